--- a/benchmarks/metrics_cost.py
+++ b/benchmarks/metrics_cost.py
@@ -2,7 +2,7 @@
 
 Run from the project's root with the dev tools: `.venv-dev/bin/python -m
 benchmarks.metrics_cost`. Prints requests per second of one sidecar on
-loopback with counts kept (`Metrics`) and without (`Quiet`), in turns, and the
+loopback with counts kept (`Metrics`) and without (`NullMetrics`), in turns, and the
 slowest and median answers of `/_metrics` from a sidecar process under load
 beside idle connections. Numbers vary with the machine: compare within a run.
 """
@@ -16,9 +16,9 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from tests.process import call, with_door
+from tests.process import http_call, start_ready_sidecar
 from tests.sockets import Endpoint, Registry, read_message, request, sidecar
-from woadyard.ops.metrics import Metrics, Quiet
+from woadyard.ops.metrics import Metrics, NullMetrics
 
 REQUESTS, AT_ONCE, TURNS, IDLE = 4_000, 32, 4, 100
 IDS = count()  # a repeated X-Request-Id is turned down
@@ -44,9 +44,9 @@
 async def hot_path() -> None:
     async with sidecar(Endpoint()) as one:
         await load(one.port, 500)  # warm
-        rates: dict[str, list[float]] = {"Metrics": [], "Quiet": []}
+        rates: dict[str, list[float]] = {"Metrics": [], "NullMetrics": []}
         for _ in range(TURNS):
-            for kind in (Metrics, Quiet):
+            for kind in (Metrics, NullMetrics):
                 one.driver.turns.metrics = kind()
                 rates[kind.__name__].append(await load(one.port))
     for name, found in rates.items():
@@ -57,13 +57,13 @@
     endpoint, registry = Endpoint(), Registry()
     with TemporaryDirectory() as folder:
         async with await endpoint.start(), await registry.start():
-            process, port, door = await with_door(Path(folder), registry, endpoint)
+            process, port, door = await start_ready_sidecar(Path(folder), registry, endpoint)
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(IDLE)]
             running = asyncio.ensure_future(load(port))
             took = []
             while not running.done():
                 began = time.perf_counter()
-                await call(door, "GET", "/_metrics")
+                await http_call(door, "GET", "/_metrics")
                 took.append(time.perf_counter() - began)
             rate = await running
             for _, writer in idle:
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -18,7 +18,7 @@
 from tempfile import TemporaryDirectory
 
 from benchmarks.metrics_cost import load
-from tests.process import Process, config, free_port, ready
+from tests.process import Process, free_port, sidecar_environ, wait_until_ready
 from tests.sockets import Endpoint, Registry
 
 TURNS, REQUESTS = 7, 3_000
@@ -50,12 +50,12 @@
 async def measure(checkout: Path, found: Found, registry: Registry, endpoint: Endpoint) -> None:
     with TemporaryDirectory() as folder:
         port, door = free_port(), free_port()
-        environ = config(Path(folder), registry, endpoint)
+        environ = sidecar_environ(Path(folder), registry, endpoint)
         environ |= {"LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}"}
         began = time.perf_counter()
         process = await start(checkout, environ)
         try:
-            await ready(door)
+            await wait_until_ready(door)
             found.ready_ms.append((time.perf_counter() - began) * 1e3)
             found.rss_mb.append(rss_mb(process.pid))
             await load(port, 500)  # warm
--- a/benchmarks/whatif_cost.py
+++ b/benchmarks/whatif_cost.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks.metrics_cost import load
-from tests.process import Process, config, free_port, ready, start
+from tests.process import Process, free_port, sidecar_environ, start_sidecar, wait_until_ready
 from tests.sockets import Endpoint, Registry
 from tests.sockets import sidecar as in_process
 from woadyard.interface import OK, Arrival, Outcome, Send
@@ -58,10 +58,10 @@
 ) -> tuple[Process, int]:
     folder.mkdir()
     port, door = free_port(), free_port()
-    environ = config(folder, registry, endpoint, **changes)
+    environ = sidecar_environ(folder, registry, endpoint, **changes)
     environ |= {"LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}"}
-    process = await start(environ)
-    await ready(door)
+    process = await start_sidecar(environ)
+    await wait_until_ready(door)
     return process, port
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -16,46 +16,48 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_LISTED = 3
 
 
-class RefusedError(Exception):
+class InvalidListError(Exception):
     """The list does not hold; the message says why."""
 
 
 @dataclass
-class Known:
+class KnownFailure:
     test: str
     cause: str
     issue: str
     outcome: str = "not run"
-    faults: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
 
-    def told(self) -> str:
+    def summary(self) -> str:
         outcome = "passed, to be taken off the list" if self.outcome == "passed" else self.outcome
         return f"{self.test}: {outcome} (cause: {self.cause}; issue: {self.issue})"
 
 
-def read(root: Path) -> list[Known]:
+def read_list(root: Path) -> list[KnownFailure]:
     """What is listed there; nothing where there is no list."""
     path = root / FILE
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise RefusedError(f"{FILE} lists {len(lines)} tests; {MOST} at most: mend the others first")
+    if len(lines) > MAX_LISTED:
+        raise InvalidListError(
+            f"{FILE} lists {len(lines)} tests; {MAX_LISTED} at most: mend the others first"
+        )
     return [_known(line) for line in lines]
 
 
-def _known(line: str) -> Known:
+def _known(line: str) -> KnownFailure:
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 3 or not all(parts):
-        raise RefusedError(f"{FILE}: {line!r} is not of the form: test-node-id | cause | issue")
+        raise InvalidListError(f"{FILE}: {line!r} is not of the form: test-node-id | cause | issue")
     test, cause, issue = parts
-    return Known(test, cause, issue)
+    return KnownFailure(test, cause, issue)
 
 
-class Names:
+class CollectedTests:
     """The ids of what pytest collects."""
 
     def __init__(self) -> None:
@@ -67,24 +69,24 @@
 
 def verify(root: Path) -> None:
     """Refuses a list that is not as it has to be, or that names a test that does not exist."""
-    listed = read(root)
+    listed = read_list(root)
     if not listed:
         return
-    names, said = Names(), io.StringIO()
+    names, said = CollectedTests(), io.StringIO()
     with contextlib.redirect_stdout(said), contextlib.redirect_stderr(said):
         code = pytest.main(["--collect-only", f"--rootdir={root}"], plugins=[names])
     if code != pytest.ExitCode.OK:
-        raise RefusedError(f"{said.getvalue()}\n{FILE}: the tests it is compared with are not collected")
+        raise InvalidListError(f"{said.getvalue()}\n{FILE}: the tests it is compared with are not collected")
     for one in listed:
         if one.test not in names.ids:
-            raise RefusedError(f"{FILE}: there is no test {one.test}")
+            raise InvalidListError(f"{FILE}: there is no test {one.test}")
 
 
-class Verdicts:
+class KnownFailuresPlugin:
     """Keeps what is listed out of the verdict, in the process that counts and prints. It takes reports
     rather than tests, so an error around a test or a worker's crash in it counts as its failure."""
 
-    def __init__(self, listed: list[Known]) -> None:
+    def __init__(self, listed: list[KnownFailure]) -> None:
         self.listed = {one.test: one for one in listed}
 
     @pytest.hookimpl(wrapper=True)
@@ -92,7 +94,7 @@
         if known := self.listed.get(report.nodeid):
             if report.failed:
                 known.outcome = "failed"
-                known.faults.append(report.longreprtext)
+                known.failures.append(report.longreprtext)
                 report.outcome = "skipped"
                 report.wasxfail = f"{known.cause}; issue {known.issue}"
             elif known.outcome != "failed" and (report.skipped or report.when == "call"):
@@ -102,8 +104,8 @@
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         terminalreporter.section(FILE)
         for known in self.listed.values():
-            terminalreporter.write_line(known.told())
-            for fault in known.faults:
+            terminalreporter.write_line(known.summary())
+            for fault in known.failures:
                 terminalreporter.write_line(fault)
 
 
@@ -111,15 +113,15 @@
     if hasattr(config, "workerinput"):
         return
     try:
-        listed = read(config.rootpath)
-    except RefusedError as refused:
+        listed = read_list(config.rootpath)
+    except InvalidListError as refused:
         raise pytest.UsageError(str(refused)) from None
     if listed:
-        config.pluginmanager.register(Verdicts(listed))
+        config.pluginmanager.register(KnownFailuresPlugin(listed))
 
 
 if __name__ == "__main__":
     try:
         verify(Path.cwd())
-    except RefusedError as refused:
+    except InvalidListError as refused:
         sys.exit(str(refused))
--- a/tests/process.py
+++ b/tests/process.py
@@ -19,7 +19,9 @@
     def port(self) -> int: ...
 
 
-def config(tmp_path: Path, registry: HasPort, *endpoints: Endpoint, **changes: Any) -> dict[str, str]:
+def sidecar_environ(
+    tmp_path: Path, registry: HasPort, *endpoints: Endpoint, **changes: Any
+) -> dict[str, str]:
     raw = {
         "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{registry.port}", "seed": "8c1f",
         "limits": {"sockets": 1024}, "settings": SETTINGS,
@@ -34,7 +36,7 @@
 Process = asyncio.subprocess.Process
 
 
-async def start(environ: dict[str, str], *inherited: int) -> Process:
+async def start_sidecar(environ: dict[str, str], *inherited: int) -> Process:
     pipe = asyncio.subprocess.PIPE
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "woadyard", env=environ, stdout=pipe, stderr=pipe, pass_fds=inherited
@@ -50,7 +52,7 @@
             return port
 
 
-async def open_at(port: int) -> tuple[Reader, Writer]:
+async def connect_when_open(port: int) -> tuple[Reader, Writer]:
     """A connection there, as soon as somebody listens."""
     while True:
         with contextlib.suppress(ConnectionError):
@@ -58,27 +60,29 @@
         await asyncio.sleep(0.01)
 
 
-async def call(port: int, method: str, path: str, body: str = "") -> Message:
+async def http_call(port: int, method: str, path: str, body: str = "") -> Message:
     """One call at the operators' door, as soon as there is one."""
-    reader, writer = await open_at(port)
+    reader, writer = await connect_when_open(port)
     writer.write(f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
     back = await read_message(reader)
     writer.close()
     return back
 
 
-async def ready(port: int) -> None:
-    while not (await call(port, "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
+async def wait_until_ready(port: int) -> None:
+    while not (await http_call(port, "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
         await asyncio.sleep(0.01)
 
 
-async def with_door(folder: Path, registry: Registry, *endpoints: Endpoint) -> tuple[Process, int, int]:
+async def start_ready_sidecar(
+    folder: Path, registry: Registry, *endpoints: Endpoint
+) -> tuple[Process, int, int]:
     """A sidecar process with its door, ready; and the ports of both."""
     port, door = free_port(), free_port()
     environ = {
-        **config(folder, registry, *endpoints),
+        **sidecar_environ(folder, registry, *endpoints),
         "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}",
     }  # fmt: skip
-    process = await start(environ)
-    await ready(door)
+    process = await start_sidecar(environ)
+    await wait_until_ready(door)
     return process, port, door
--- a/tests/test_audit_ledger.py
+++ b/tests/test_audit_ledger.py
@@ -17,7 +17,7 @@
 from woadyard.audit.position import parse
 from woadyard.audit.questions import at, gaps, out_of_use, version_of, who_acted
 from woadyard.audit.run import Run
-from woadyard.errors import PeerError, RecordError
+from woadyard.errors import LogEntryError, PeerError
 
 FIRST = Position("log", 1, 1, "s", build="b")
 
@@ -208,9 +208,9 @@
     book = ledger_of(Spans("n1", "a", 0, FIRST), 5)
     before = json.dumps(book.dump())
     for act in (book.check, book.apply):
-        with pytest.raises(RecordError):
+        with pytest.raises(LogEntryError):
             act(bad)
-    with pytest.raises(RecordError):
+    with pytest.raises(LogEntryError):
         book.load({"runs": [{}]})
     assert json.dumps(book.dump()) == before
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,7 +6,7 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.limits import Ledger
 from woadyard.shared.budget import Lease
 
@@ -41,7 +41,7 @@
             _, lease, name, asked, seq, keeps = self.calls.pop(at % len(self.calls))
             try:
                 granted = self.ledger.hold(self.now, name, seq, TTL, LIMIT, ["e"], keeps)
-            except RecordError:
+            except LogEntryError:
                 return
             if not lost:
                 self.answers.append((lease, asked, seq, granted))
@@ -117,6 +117,6 @@
     ledger = Ledger()
     ledger.hold(0, "n1", 2, TTL, LIMIT, ["e"], {})
     before = ledger.dump()
-    with pytest.raises(RecordError):
+    with pytest.raises(LogEntryError):
         ledger.hold(1, "n1", seq, TTL, LIMIT, [], {})
     assert ledger.dump() == before
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.process import config, free_port, start
+from tests.process import free_port, sidecar_environ, start_sidecar
 from tests.sockets import SETTINGS, Registry, run
 
 CLASS = SETTINGS["classes"][0]
@@ -54,13 +54,13 @@
     async def main() -> None:
         registry = Registry()
         async with await registry.start():
-            environ = {**config(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
+            environ = {**sidecar_environ(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
             path = Path(environ["LB_CONFIG"])
             good = json.loads(path.read_text())
             in_force = tmp_path / "in-force.json"
             in_force.write_text(path.read_text())
             assert await check_config(path) == (0, [f"{path}: good"])
-            process = await start(environ)
+            process = await start_sidecar(environ)
             assert process.stderr is not None
             await registry.asked.get()
             for bad in BAD_RELOADS:
@@ -82,9 +82,9 @@
 def test_a_fault_that_stops_a_start_is_the_same_line(tmp_path: Path, bad: dict[str, Any]) -> None:
     async def main() -> None:
         registry = Registry()
-        environ = config(tmp_path, registry, **bad)
+        environ = sidecar_environ(tmp_path, registry, **bad)
         code, lines = await check_config(Path(environ["LB_CONFIG"]))
-        process = await start(environ)
+        process = await start_sidecar(environ)
         _, errors = await process.communicate()
         assert (code, process.returncode) == (2, 2)
         assert json.loads(errors)["error"] == lines[0]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from woadyard.net.console import VISITORS_MOST, CallError, Console, Route
+from woadyard.net.threaded_http import MAX_CONNECTIONS, HttpError, Route, ThreadedHttpServer
 
 TIMEOUT_S = 20.0  # for a test that hangs; nothing is measured by it
 
 
 def refuse(body: str) -> str:
-    raise CallError(HTTPStatus.NOT_FOUND, "never listed")
+    raise HttpError(HTTPStatus.NOT_FOUND, "never listed")
 
 
 @contextlib.contextmanager
@@ -28,7 +28,7 @@
         told.append(body)
         return "done"
 
-    console = Console(
+    console = ThreadedHttpServer(
         {
             b"/_ready": Route(b"GET", lambda body: "ready"),
             b"/note": Route(b"POST", note),
@@ -103,7 +103,7 @@
 
 
 def test_callers_that_hold_on_are_cut_each_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("woadyard.net.console.VISIT_S", 0.05)
+    monkeypatch.setattr("woadyard.net.threaded_http.REQUEST_TIMEOUT_S", 0.05)
     with door() as (port, _), connect(port) as silent, connect(port) as half:
         half.sendall(b"GET /_re")
         assert rest(silent) == b""
@@ -112,8 +112,8 @@
 
 def test_many_that_hold_on_keep_nobody_out() -> None:
     with door() as (port, _), contextlib.ExitStack() as stack:
-        held = [stack.enter_context(connect(port)) for _ in range(VISITORS_MOST + 8)]
-        for one in held[VISITORS_MOST:]:
+        held = [stack.enter_context(connect(port)) for _ in range(MAX_CONNECTIONS + 8)]
+        for one in held[MAX_CONNECTIONS:]:
             one.sendall(b"GET")
         assert call(port, b"GET /_ready HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
         with contextlib.suppress(ConnectionResetError):
@@ -138,4 +138,4 @@
 
 def test_an_address_in_use_is_an_error() -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(OSError, match="in use"):
-        Console({}).open("127.0.0.1", taken.getsockname()[1])
+        ThreadedHttpServer({}).open("127.0.0.1", taken.getsockname()[1])
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.process import Process, call, config, free_port, ready
+from tests.process import Process, free_port, http_call, sidecar_environ, wait_until_ready
 from tests.sockets import (
     TIMEOUT_S,
     Endpoint,
@@ -30,7 +30,7 @@
     until,
 )
 from woadyard.net.caller import Caller
-from woadyard.net.console import VISITORS_MOST
+from woadyard.net.threaded_http import MAX_CONNECTIONS
 
 
 async def joined(one: Sidecar) -> tuple[asyncio.StreamReader, Writer, Caller]:
@@ -245,20 +245,20 @@
     endpoint, registry = Endpoint(), Registry()
     registry.port, port, door = free_port(), free_port(), free_port()
     environ = {
-        **config(tmp_path, registry, endpoint, limits={"sockets": told}),
+        **sidecar_environ(tmp_path, registry, endpoint, limits={"sockets": told}),
         "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}",
     }  # fmt: skip
     async with await endpoint.start():
-        config(tmp_path, registry, endpoint, limits={"sockets": told})  # it has its port now
+        sidecar_environ(tmp_path, registry, endpoint, limits={"sockets": told})  # it has its port now
         process = await limited(environ, given)
         try:
-            await ready(door)
-            with crowd(300, port) as callers, crowd(2 * VISITORS_MOST, door):
+            await wait_until_ready(door)
+            with crowd(300, port) as callers, crowd(2 * MAX_CONNECTIONS, door):
                 peak = 0
                 while sum(ended(one) for one in callers) < 200:
                     peak = max(peak, descriptors(process))
                     await asyncio.sleep(0)
-                assert (await call(door, "GET", "/_ready")).start.startswith("HTTP/1.1 200")
+                assert (await http_call(door, "GET", "/_ready")).start.startswith("HTTP/1.1 200")
                 async with await registry.start(registry.port):
                     _, watch = await registry.asked.get()
                     push(watch, 2, True, endpoint.entry())
--- a/tests/test_discovery_chains.py
+++ b/tests/test_discovery_chains.py
@@ -17,7 +17,7 @@
 
 from tests.sockets import SETTINGS
 from tests.test_discovery import HEAD, Clock
-from woadyard.__main__ import Reload
+from woadyard.__main__ import ConfigReloader
 from woadyard.net import discovery as net
 from woadyard.net.config import Config
 from woadyard.net.discovery import Discovery
@@ -294,7 +294,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**force, "settings": settings_of(after_s)}))
     config = cast(Config, Mock(path=str(path), raw=force))
-    Reload(config, chain.driver, chain.discovery, Mock())()
+    ConfigReloader(config, chain.driver, chain.discovery, Mock())()
     if not failing:
         chain.begun[-1].connection_lost(ConnectionResetError())
     assert chain.after(refused, busy) <= (2.2 if after_s else 0.6)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -7,7 +7,7 @@
 import numpy as np
 import pytest
 
-from woadyard.errors import PlanError, RecordError, WoadyardError
+from woadyard.errors import LogEntryError, PlanError, WoadyardError
 from woadyard.experiment import Decision, Plan, State, Stopper
 
 Row = tuple[str, int, float, str, int, int]
@@ -156,7 +156,7 @@
 def test_a_bad_row_is_refused_with_a_remedy_and_nothing_of_it_counts(bad: dict[str, Any]) -> None:
     stopper = Stopper(Plan())
     row: dict[str, Any] = {"source": "one", "number": 1, "at_s": 0.0, "arm": "a", "tried": 10, "good": 9}
-    with pytest.raises(RecordError) as told:
+    with pytest.raises(LogEntryError) as told:
         stopper.add(**{**row, **bad})
     assert told.value.remedy and stopper.tried == [0, 0]
     assert stopper.add(**{**row, "tried": np.int64(10), "good": np.uint8(9), "number": np.int32(1)})
--- a/tests/test_experiment_book.py
+++ b/tests/test_experiment_book.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.experiment.book import ExperimentsBook
 from woadyard.experiment.messages import Directive, read_directive
 from woadyard.experiment.plan import Plan
@@ -44,7 +44,7 @@
         1, "one", read_directive(msgspec.to_builtins(book.directive())).arms, "a", None, 30_000, 1000
     )
     put(book, "decide", 5.0, decision=END)
-    with pytest.raises(RecordError) as told:
+    with pytest.raises(LogEntryError) as told:
         put(book, "decide", 6.0, decision={**END, "winner": "a"})
     assert "winner" in str(told.value) and "applied" in told.value.remedy
     directive = book.directive()
@@ -78,7 +78,7 @@
     book = running()
     before = book.dump()
     for call in (book.check, book.apply):
-        with pytest.raises(RecordError):
+        with pytest.raises(LogEntryError):
             call(record)
     assert book.dump() == before
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,9 +8,9 @@
 import signal
 from pathlib import Path
 
-from tests.process import config, free_port, open_at, start
+from tests.process import connect_when_open, free_port, sidecar_environ, start_sidecar
 from tests.sockets import Registry, run
-from woadyard.ops.logs import BURST, WINDOW_S, RateLimit
+from woadyard.ops.logs import BURST, WINDOW_S, RateLimitFilter
 
 FLOOD = 1_000
 
@@ -22,21 +22,21 @@
 
 
 def test_an_event_gets_its_budget_in_a_window_and_the_rest_is_counted() -> None:
-    limit = RateLimit()
+    limit = RateLimitFilter()
     passed = [limit.filter(record(n / FLOOD)) for n in range(FLOOD)]
     assert passed.count(True) == BURST and passed[:BURST] == [True] * BURST
     assert limit.filter(record(0.5, "other event")), "each event has its own budget"
     later = record(WINDOW_S + 0.5)
     assert limit.filter(later) and vars(later)["suppressed"] == FLOOD - BURST
-    assert limit.flush(logging.getLogger("woadyard.test")) == 0, "said once, with the line"
+    assert limit.log_suppressed(logging.getLogger("woadyard.test")) == 0, "said once, with the line"
 
 
 def test_what_is_held_back_is_said_by_a_flush() -> None:
-    limit = RateLimit()
+    limit = RateLimitFilter()
     for n in range(BURST + 3):
         limit.filter(record(n * 0.01))
-    assert limit.flush(logging.getLogger("woadyard.test")) == 3
-    assert limit.flush(logging.getLogger("woadyard.test")) == 0
+    assert limit.log_suppressed(logging.getLogger("woadyard.test")) == 3
+    assert limit.log_suppressed(logging.getLogger("woadyard.test")) == 0
 
 
 async def flood(port: int) -> None:
@@ -53,8 +53,10 @@
         registry = Registry()
         async with await registry.start():
             port = free_port()
-            process = await start({**config(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{port}"})
-            await open_at(port)
+            process = await start_sidecar(
+                {**sidecar_environ(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{port}"}
+            )
+            await connect_when_open(port)
             await flood(port)
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -14,7 +14,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from tests.test_registry import ENTRY
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.lists import ListBook
 from woadyard.net.held import TAKE, Held, Named, Told
 from woadyard.registry.follow import Follower
@@ -116,7 +116,7 @@
         told = theirs.log_after(host.applied, host.chain, host.lineage)
         try:
             Follower(mine, Random(1), 1.0).take(told)
-        except RecordError:
+        except LogEntryError:
             assert seen > theirs.host.term, "only an older term is not followed"
             assert not theirs.leads, "and its writer stopped"
         else:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,7 +8,7 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from tests.process import call, with_door
+from tests.process import http_call, start_ready_sidecar
 from tests.sockets import Endpoint, Registry, read_message, request, run
 
 REQUESTS, AT_ONCE, IDLE = 300, 30, 40
@@ -36,15 +36,15 @@
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
         async with await endpoint.start(), await registry.start():
-            process, port, door = await with_door(tmp_path, registry, endpoint)
+            process, port, door = await start_ready_sidecar(tmp_path, registry, endpoint)
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(IDLE)]
             todo, done = list(range(REQUESTS)), list[bytes]()
             load = asyncio.gather(*(caller(port, todo, done) for _ in range(AT_ONCE)))
             while not load.done():  # read while the load runs: each answer is whole and in order
-                during = samples((await call(door, "GET", "/_metrics")).body.decode())
+                during = samples((await http_call(door, "GET", "/_metrics")).body.decode())
                 assert during["woadyard_requests_total"] <= REQUESTS
             await load
-            after = samples((await call(door, "GET", "/_metrics")).body.decode())
+            after = samples((await http_call(door, "GET", "/_metrics")).body.decode())
             for _, writer in idle:
                 writer.close()
             process.send_signal(signal.SIGTERM)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.process import call, config, free_port, ready, start
+from tests.process import free_port, http_call, sidecar_environ, start_sidecar, wait_until_ready
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -31,7 +31,7 @@
     serve_ok,
     sidecar,
 )
-from woadyard.__main__ import Reload
+from woadyard.__main__ import ConfigReloader
 from woadyard.membership.shrink import ShrinkGuard
 from woadyard.net.config import read_config
 from woadyard.net.discovery import Discovery
@@ -52,12 +52,12 @@
         port = listening.getsockname()[1]
         async with await endpoint.start(), await registry.start():
             environ = {
-                **config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"),
+                **sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"),
                 "LB_ACCEPT_FD": str(listening.fileno()),
             }
             doors = [free_port(), free_port()]
-            old = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
-            await ready(doors[0])
+            old = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
+            await wait_until_ready(doors[0])
             await registry.asked.get()
             kept, kept_writer = await asyncio.open_connection("127.0.0.1", port)
             kept_writer.write(request(rid="first"))
@@ -66,13 +66,15 @@
             taken_writer.write(request(rid="slow"))
             await endpoint.arrived.acquire()
             await endpoint.arrived.acquire()
-            new = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
+            new = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
             _, watch = await registry.asked.get()
-            assert (await call(doors[1], "GET", "/_ready")).start.startswith("HTTP/1.1 503"), "no list yet"
+            assert (await http_call(doors[1], "GET", "/_ready")).start.startswith("HTTP/1.1 503"), (
+                "no list yet"
+            )
             push(watch, 2, True, endpoint.entry())
-            await ready(doors[1])
+            await wait_until_ready(doors[1])
             old.send_signal(signal.SIGTERM)
-            while (await call(doors[0], "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
+            while (await http_call(doors[0], "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
                 await asyncio.sleep(0.01)
             for n in range(20):  # all come to the new process, or some would see it end
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -103,7 +105,7 @@
     async def main() -> None:
         registry = Registry(beat_s=1.0)
         async with await registry.start():
-            process = await start({**config(tmp_path, registry), "LB_ACCEPT_FD": descriptor})
+            process = await start_sidecar({**sidecar_environ(tmp_path, registry), "LB_ACCEPT_FD": descriptor})
             _, errors = await process.communicate()
             assert process.returncode == 2
             assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
@@ -116,7 +118,7 @@
     async def main() -> None:
         registry = Registry(beat_s=1.0)
         async with await registry.start():
-            process = await start(config(tmp_path, registry, console=console))
+            process = await start_sidecar(sidecar_environ(tmp_path, registry, console=console))
             _, errors = await process.communicate()
             assert process.returncode == 2
             assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
@@ -132,7 +134,7 @@
         async with await first.start(), await second.start(), await registry.start():
             known = {"generation": 1, "reset": True, "instances": [first.entry("s-1"), second.entry("s-2")]}
             environ = {
-                **config(tmp_path, registry, listen=f"127.0.0.1:{port}", known=known),
+                **sidecar_environ(tmp_path, registry, listen=f"127.0.0.1:{port}", known=known),
                 "LB_ACCEPT_FD": str(listening.fileno()),
             }
             ids = count()
@@ -145,21 +147,21 @@
                     writer.close()
 
             async def said(door: int, what: str, body: str) -> str:
-                return (await call(door, "POST", f"/_endpoints/{what}", body)).start.split()[1]
+                return (await http_call(door, "POST", f"/_endpoints/{what}", body)).start.split()[1]
 
             doors = [free_port(), free_port()]
-            old = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
-            await ready(doors[0])
+            old = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
+            await wait_until_ready(doors[0])
             await registry.asked.get()
             assert await said(doors[0], "detach", "s-9") == "404"
             assert await said(doors[0], "detach", "") == "400"
             for _ in range(2):
                 assert await said(doors[0], "detach", "s-1") == "200"
             await ask(20)
-            new = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
+            new = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
             _, watch = await registry.asked.get()
             push(watch, 2, True, first.entry("s-1"), second.entry("s-2"))
-            await ready(doors[1])
+            await wait_until_ready(doors[1])
             old.send_signal(signal.SIGTERM)
             await old.wait()
             await ask(20)
@@ -188,7 +190,7 @@
     one: Sidecar
     path: Path
     discovery: Discovery
-    reload: Reload
+    reload: ConfigReloader
 
     def read(self, raw: dict[str, Any] | bytes) -> None:
         self.path.write_bytes(raw if isinstance(raw, bytes) else json.dumps(raw).encode())
@@ -199,12 +201,14 @@
 async def tuned(tmp_path: Path, *endpoints: Endpoint) -> AsyncIterator[Tuned]:
     registry = Registry(beat_s=1.0)
     async with sidecar(*endpoints, registry=registry) as one:
-        environ = config(tmp_path, registry)
+        environ = sidecar_environ(tmp_path, registry)
         discovery = one.driver.discovery
         assert discovery is not None
         read = read_config(environ)
-        guard = ShrinkGuard(read.shrink_most, one.driver.listed, one.driver.loop.time)
-        yield Tuned(one, Path(environ["LB_CONFIG"]), discovery, Reload(read, one.driver, discovery, guard))
+        guard = ShrinkGuard(read.max_list_shrink, one.driver.listed, one.driver.loop.time)
+        yield Tuned(
+            one, Path(environ["LB_CONFIG"]), discovery, ConfigReloader(read, one.driver, discovery, guard)
+        )
 
 
 BAD_NUMBERS: list[Any] = ["5", True, None, 0, -1, float("nan"), float("inf"), [1]]
--- a/tests/test_registry_log.py
+++ b/tests/test_registry_log.py
@@ -15,7 +15,7 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.lists import EXPIRE, PUT, RENEW, ListBook
 from woadyard.registry.books import books
 from woadyard.registry.host import Host
@@ -68,8 +68,8 @@
     def _write(self, record: dict[str, Any]) -> None:
         try:
             self.model.check(record)
-        except RecordError:
-            with pytest.raises(RecordError):
+        except LogEntryError:
+            with pytest.raises(LogEntryError):
                 self.journal.append(self.host, record)
             return
         assert self.journal.append(self.host, record) == self.model.apply(record)
@@ -181,14 +181,14 @@
 
 def test_what_this_build_does_not_know_is_refused_and_the_files_stay(tmp_path: Path) -> None:
     journal, host = opened(tmp_path)
-    with pytest.raises(RecordError) as refused:
+    with pytest.raises(LogEntryError) as refused:
         journal.append(host, {"book": "tides", "op": "rise", "at": 0})
     assert refused.value.remedy and not journal.log_path.exists()
     journal.append(host, put("s-1", 0))
     dump = host.dump()
     journal.snapshot_path.write_text(json.dumps({**dump, "books": {**dump["books"], "tides": {}}}))
     before = journal.log_path.read_bytes()
-    with pytest.raises(RecordError, match="tides"):
+    with pytest.raises(LogEntryError, match="tides"):
         opened(tmp_path)
     assert journal.log_path.read_bytes() == before
 
@@ -198,8 +198,8 @@
     host = Host(books())
     host.apply({"op": "lead", "lineage": "ab", "term": 7, "at": 0})
     before = host.dump()
-    with pytest.raises(RecordError):
+    with pytest.raises(LogEntryError):
         host.apply({**put("s-1", 0), "term": term})
-    with pytest.raises(RecordError):
+    with pytest.raises(LogEntryError):
         host.apply({"op": "lead", "lineage": "ab", "term": 7, "at": 0})
     assert host.dump() == before
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -14,7 +14,7 @@
 from tests.process import Process
 from tests.sockets import run
 from tests.test_registry import ENTRY, Watcher, ask, service
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.lists import ListBook
 from woadyard.lists.service import PATH
 from woadyard.registry.host import NO_CHAIN
@@ -165,7 +165,7 @@
         again = Registry(Journal(tmp_path / "w"), clock=lambda: 0)
         told = again.log_after(0, NO_CHAIN, "")
         assert "records" not in told and told["snapshot"]["books"]["list"]["entries"].keys() == {"s-0"}
-        with pytest.raises(RecordError):
+        with pytest.raises(LogEntryError):
             again.log_after(0, NO_CHAIN, "another")
 
     run(main())
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from tests.process import call, config, free_port, ready, start
+from tests.process import free_port, http_call, sidecar_environ, start_sidecar, wait_until_ready
 from tests.sockets import Endpoint, read_message, request, run
 from tests.test_registry import ask, service
 from tests.test_replicas import end
 from woadyard.errors import PeerError
 from woadyard.lists.service import PATH
-from woadyard.membership.shrink import WITHIN_S, ShrinkGuard
+from woadyard.membership.shrink import LOSS_WINDOW_S, ShrinkGuard
 
 
 def entry(n: int, lifecycle: str = "ready") -> dict[str, Any]:
@@ -55,11 +55,11 @@
         held.now += 1.0
         held.told(False, entry(n, "gone"))
     assert len(held.names) == 5, "half of ten, and no more within the window"
-    held.now += WITHIN_S
+    held.now += LOSS_WINDOW_S
     assert held.told(False, entry(3)) == 6, "four of five are still too many to believe"
     slow = Held(0.5)
     for n in range(9):
-        slow.now += WITHIN_S
+        slow.now += LOSS_WINDOW_S
         slow.told(False, entry(n, "gone"))
     assert len(slow.names) == 1, "a slow decline is believed"
 
@@ -72,13 +72,13 @@
 
 def test_an_operators_word_lets_go_of_what_is_held_and_off_holds_nothing() -> None:
     held = Held(0.5)
-    assert not held.guard.accept()
+    assert not held.guard.accept_losses()
     held.told(True, entry(1))
-    assert held.guard.accept() and held.names == {"s-1"}
+    assert held.guard.accept_losses() and held.names == {"s-1"}
     assert Held(1.0).told(True) == 0
     held = Held(0.5)
     held.told(True, entry(1))
-    held.guard.retune(1.0)
+    held.guard.set_max_loss_share(1.0)
     assert held.names == {"s-1"}, "turned off, it lets go as well"
 
 
@@ -103,15 +103,15 @@
 
             await leases(60_000)
             port, door = free_port(), free_port()
-            environ = config(tmp_path, endpoint, known=None, **{"list-shrink-most": 0.5})
-            process = await start(
+            environ = sidecar_environ(tmp_path, endpoint, known=None, **{"list-shrink-most": 0.5})
+            process = await start_sidecar(
                 {**environ, "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}",
                  "LB_DISCOVERY": f"127.0.0.1:{at}"}
             )  # fmt: skip
-            await ready(door)
+            await wait_until_ready(door)
 
             async def shown(line: str) -> None:
-                while line not in (await call(door, "GET", "/_metrics")).body.decode():
+                while line not in (await http_call(door, "GET", "/_metrics")).body.decode():
                     await asyncio.sleep(0.02)
 
             async def status(rid: str) -> str:
@@ -127,11 +127,11 @@
                 await asyncio.sleep(0.02)
             await shown(f"woadyard_list_version {listing['generation']}.0")
             assert await status("r1") == "200"
-            back = await call(door, "POST", "/_list/accept")
+            back = await http_call(door, "POST", "/_list/accept")
             assert back.start.split()[1] == "200" and b"let go" in back.body
             await shown("woadyard_list_held 0.0")
             assert await status("r2") != "200", "the list is empty, on an operator's word"
-            assert (await call(door, "POST", "/_list/accept")).start.split()[1] == "409"
+            assert (await http_call(door, "POST", "/_list/accept")).start.split()[1] == "409"
         await end(registry, process)
 
     run(main())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.process import config, free_port, start
+from tests.process import free_port, sidecar_environ, start_sidecar
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -44,8 +44,8 @@
     endpoint, registry = Endpoint(slow), Registry()
     async with await endpoint.start(), await registry.start():
         port = free_port()
-        environ = {**config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
-        process = await start(environ)
+        environ = {**sidecar_environ(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
+        process = await start_sidecar(environ)
         _, watch = await registry.asked.get()
         push(watch, 2, True, endpoint.entry())
         while True:  # it watches before it listens
@@ -116,9 +116,9 @@
     old, new = Registry(), Registry()
     changes = {"settings": {**SETTINGS, "discovery": discovery}}
     async with await old.start(), await new.start():
-        environ = {**config(tmp_path, old, **changes), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
+        environ = {**sidecar_environ(tmp_path, old, **changes), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
         environ["LB_DISCOVERY"] = f"127.0.0.1:{old.port}"
-        process = await start(environ)
+        process = await start_sidecar(environ)
         assert process.stderr is not None
         start_line, watch = await old.asked.get()
         assert "from=1 " in start_line
@@ -127,7 +127,7 @@
         process.send_signal(signal.SIGHUP)
         line = await process.stderr.readline()
         assert json.loads(line)["event"] == "not reloaded"
-        config(tmp_path, new, **changes)
+        sidecar_environ(tmp_path, new, **changes)
         process.send_signal(signal.SIGHUP)
         start_line, watch = await new.asked.get()
         assert "from=5 " in start_line
@@ -154,7 +154,7 @@
 async def test_a_bad_configuration_is_one_line_and_an_exit(tmp_path: Path, changes: dict[str, Any]) -> None:
     registry = Registry()
     registry.port = 1
-    process = await start(config(tmp_path, registry, **changes))
+    process = await start_sidecar(sidecar_environ(tmp_path, registry, **changes))
     out, errors = await process.communicate()
     assert process.returncode == 2 and out == b""
     assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
@@ -163,6 +163,6 @@
 @on_loop
 async def test_no_configuration_is_one_line_and_an_exit() -> None:
     environ = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
-    process = await start(environ)
+    process = await start_sidecar(environ)
     _, errors = await process.communicate()
     assert process.returncode == 2 and json.loads(errors)["error"] == "LB_CONFIG is not set"
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -11,8 +11,7 @@
 
 import pytest
 
-from tests.process import Process, call, config, free_port, start
-from tests.process import ready as at_door
+from tests.process import Process, free_port, http_call, sidecar_environ, start_sidecar, wait_until_ready
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -35,7 +34,7 @@
     while True:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(1.0):
-                if (await call(port, "GET", "/health/ready")).start.startswith("HTTP/1.1 200"):
+                if (await http_call(port, "GET", "/health/ready")).start.startswith("HTTP/1.1 200"):
                     return
         await asyncio.sleep(0.02)
 
@@ -106,7 +105,9 @@
         await stack.enter_async_context(await endpoint.start())
         changes: dict[str, Any] = {"settings": {**SETTINGS, "discovery": discovery}}
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", **changes))
+            process = await start_sidecar(
+                sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", **changes)
+            )
             stack.push_async_callback(end, process)
             await ready(port)
         if discovery == "push" or how == "down":
@@ -122,7 +123,7 @@
     async with contextlib.AsyncExitStack() as stack:
         registry = await stack.enter_async_context(deaf("down"))
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, registry, listen=f"127.0.0.1:{port}"))
+            process = await start_sidecar(sidecar_environ(tmp_path, registry, listen=f"127.0.0.1:{port}"))
             stack.push_async_callback(end, process)
             await ready(port)
 
@@ -136,16 +137,18 @@
         await stack.enter_async_context(await endpoint.start())
         await stack.enter_async_context(await registry.start())
         environ = {
-            **config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"),
+            **sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"),
             "LB_ACCEPT_FD": str(listening.fileno()),
         }
         elder = None
         for _ in range(2):
             async with asyncio.timeout(READY_S):
                 door = free_port()
-                process = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{door}"}, listening.fileno())
+                process = await start_sidecar(
+                    {**environ, "LB_CONSOLE": f"127.0.0.1:{door}"}, listening.fileno()
+                )
                 stack.push_async_callback(end, process)
-                await at_door(door)
+                await wait_until_ready(door)
                 await ready(port)
             if elder is not None:
                 elder.kill()  # all requests go to the one that took over
@@ -173,7 +176,7 @@
         crowd = [asyncio.create_task(idle()) for _ in range(100)]
         stack.callback(lambda: [one.cancel() for one in crowd])
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, registry, endpoint, **changes))
+            process = await start_sidecar(sidecar_environ(tmp_path, registry, endpoint, **changes))
             stack.push_async_callback(end, process)
             await ready(port)
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.process import config, free_port, open_at, start
+from tests.process import connect_when_open, free_port, sidecar_environ, start_sidecar
 from tests.sockets import (
     LARGE,
     SETTINGS,
@@ -65,8 +65,8 @@
     async with await endpoint.start(), await registry.start():
         port = free_port()
         changes = {"settings": lasting(300_000), "listen": f"127.0.0.1:{port}"}
-        process = await start(config(tmp_path, registry, endpoint, **changes))
-        reader, writer = await open_at(port)
+        process = await start_sidecar(sidecar_environ(tmp_path, registry, endpoint, **changes))
+        reader, writer = await connect_when_open(port)
         writer.write(request())
         await read_message(reader)  # it heeds signals by now
         process.send_signal(signal.SIGTERM)
@@ -175,14 +175,16 @@
     endpoint, registry = Endpoint(slow), Registry()
     async with await endpoint.start(), await registry.start():
         port = free_port()
-        process = await start(config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"))
+        process = await start_sidecar(
+            sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}")
+        )
         assert process.stderr is not None
-        reader, writer = await open_at(port)
+        reader, writer = await connect_when_open(port)
         writer.write(request(rid="held"))
         await endpoint.arrived.acquire()
         process.send_signal(signal.SIGTERM)
         others = {**SETTINGS, "classes": SETTINGS["classes"][1:]}  # its class is gone
-        config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", settings=others)
+        sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", settings=others)
         process.send_signal(further)
         while further == signal.SIGHUP and b"reloaded" not in await process.stderr.readline():
             pass  # discovery says nothing, and that is told
@@ -197,7 +199,7 @@
 async def test_sigterm_before_it_listens_ends_it_at_once(tmp_path: Path) -> None:
     endpoint, registry = Endpoint(), Registry()
     async with await endpoint.start(), await registry.start():
-        process = await start(config(tmp_path, registry, endpoint))
+        process = await start_sidecar(sidecar_environ(tmp_path, registry, endpoint))
         await registry.asked.get()  # it waits a moment for its first list
         process.send_signal(signal.SIGTERM)
         await process.communicate()
--- a/tests/test_whatif_door.py
+++ b/tests/test_whatif_door.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.faults import CUT, PASS, RESET, FaultProxy
-from tests.process import config, free_port, ready, start
+from tests.process import free_port, sidecar_environ, start_sidecar, wait_until_ready
 from tests.sockets import Endpoint, Message, Registry, Writer, answer, read_message, request, run
 from woadyard.errors import PeerError
 from woadyard.interface import OK
@@ -37,15 +37,15 @@
             await one.start()
         door, port = free_port(), free_port()
         environ = {
-            **config(tmp_path, registry, *endpoints, record={"memory-kb": 1024}),
+            **sidecar_environ(tmp_path, registry, *endpoints, record={"memory-kb": 1024}),
             "LB_CONSOLE": f"127.0.0.1:{door}", "LB_LISTEN": f"127.0.0.1:{port}",
         }  # fmt: skip
         raw = json.loads(Path(environ["LB_CONFIG"]).read_text())
         raw["known"]["instances"] = [one.entry(f"s-{n}") for n, one in enumerate(endpoints)]
         Path(environ["LB_CONFIG"]).write_text(json.dumps(raw))
-        process = await start(environ)
+        process = await start_sidecar(environ)
         try:
-            await ready(door)
+            await wait_until_ready(door)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             for number in range(ASKED):
                 writer.write(request(rid=f"r{number}"))
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from benchmarks import whatif_world
-from woadyard.errors import PeerError, RecordError
+from woadyard.errors import LogEntryError, PeerError
 from woadyard.interface import LIST_DELTA, LIST_FULL
 from woadyard.net.weights import Weights
 from woadyard.whatif.measure import measure
@@ -65,7 +65,7 @@
 def test_the_gate_lets_nothing_out_that_it_must_not(records: list[dict[str, Any]], why: str) -> None:
     book = write(Plans(), propose(), *records[:-1])
     before = book.dump()
-    with pytest.raises(RecordError, match=why) as refused:
+    with pytest.raises(LogEntryError, match=why) as refused:
         book.check(records[-1])
     assert refused.value.remedy and book.dump() == before
 
@@ -102,7 +102,7 @@
         record = {**record, "revision": book.next - 1} if "revision" in record else record
         try:
             book.check(record)
-        except RecordError:
+        except LogEntryError:
             continue
         book.apply(record)
         told = {one: book.directive(one)["revision"] for one in FLEET}
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -22,22 +22,22 @@
 from woadyard.membership.shrink import ShrinkGuard
 from woadyard.net.budget import Budget, Hooks
 from woadyard.net.config import (
-    SOCKETS_DEFAULT,
+    DEFAULT_SOCKETS,
     Config,
-    locality,
-    log_level,
-    read_again,
     read_config,
-    shared,
-    shrink_most,
+    read_locality,
+    read_log_level,
+    read_max_list_shrink,
+    read_shared_settings,
+    reread_config,
 )
-from woadyard.net.console import DESCRIPTORS, CallError, Console, Route, Routes
 from woadyard.net.discovery import Discovery
 from woadyard.net.driver import Driver
 from woadyard.net.gossip import Gossip
 from woadyard.net.server import Server
 from woadyard.net.sharing import Shared
-from woadyard.net.state import LOOK_S, Seats
+from woadyard.net.state import SYNC_INTERVAL_S, ProcessSlots
+from woadyard.net.threaded_http import RESERVED_DESCRIPTORS, HttpError, Route, Routes, ThreadedHttpServer
 from woadyard.net.upstream import Upstream
 from woadyard.ops import logs
 from woadyard.ops.metrics import Metrics
@@ -49,37 +49,37 @@
 
 LOG = logging.getLogger("woadyard")
 LIST_PATH = "/registry/instances"
-OTHER_SOCKETS = 32
+RESERVED_SOCKETS = 32
 # A process that takes over waits no longer for discovery's first word.
-UNHEARD_US = 3_000_000
+FIRST_LIST_WAIT_US = 3_000_000
 
 
-class Reload:
+class ConfigReloader:
     """SIGHUP: new settings and discovery's address, all of a file or nothing."""
 
     def __init__(self, config: Config, driver: Driver, discovery: Discovery, guard: ShrinkGuard) -> None:
-        self.path, self.force, self.guard = config.path, config.raw, guard
+        self.path, self.raw_in_force, self.guard = config.path, config.raw, guard
         self.driver, self.discovery = driver, discovery
 
     def __call__(self) -> None:
         try:
-            raw, settings = read_again(self.path, self.force)
+            raw, settings = reread_config(self.path, self.raw_in_force)
         except ConfigError as error:
             LOG.warning("not reloaded", extra=error.fields())
             return
-        self.force = raw
-        self.driver.retune(raw["settings"], settings, locality(raw))
-        self.guard.retune(shrink_most(raw))
+        self.raw_in_force = raw
+        self.driver.retune(raw["settings"], settings, read_locality(raw))
+        self.guard.set_max_loss_share(read_max_list_shrink(raw))
         self.discovery.retune(not settings.asks_discovery)
         self.discovery.move(str(raw["discovery"]))
-        if (again := shared(raw)) is not None and self.driver.shared is not None:
+        if (again := read_shared_settings(raw)) is not None and self.driver.shared is not None:
             self.driver.shared.eject_share = again.eject_share
-        LOG.setLevel(log_level(raw).upper())
+        LOG.setLevel(read_log_level(raw).upper())
         fields = {"classes": sorted(self.driver.names.classes), "attempts": settings.max_attempts}
         LOG.info("reloaded", extra={**fields, "discovery": raw["discovery"]})
 
 
-def routes(server: Server, may_serve: Callable[[], bool], guard: ShrinkGuard) -> Routes:
+def build_admin_routes(server: Server, may_serve: Callable[[], bool], guard: ShrinkGuard) -> Routes:
     """The operators' calls. They run on the door's thread: what they read of
     the balancing is single values, and nothing there waits for them."""
 
@@ -87,9 +87,9 @@
 
     def change(act: Callable[[str], bool], body: str) -> str:
         if not body:
-            raise CallError(HTTPStatus.BAD_REQUEST, "the body names no endpoint", "send its instanceId")
+            raise HttpError(HTTPStatus.BAD_REQUEST, "the body names no endpoint", "send its instanceId")
         if not act(body):
-            raise CallError(
+            raise HttpError(
                 HTTPStatus.NOT_FOUND,
                 "no list ever named this endpoint",
                 "look its name up in the list",
@@ -98,14 +98,14 @@
 
     def ready(body: str) -> str:
         if not server.accepting or server.shut_out or not may_serve():
-            raise CallError(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", "wait; the log says why")
+            raise HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", "wait; the log says why")
         return "ready"
 
     def accept_list(body: str) -> str:
         view = guard.view
         if view is None or not view.held:
-            raise CallError(HTTPStatus.CONFLICT, "no list is held back", "nothing is to be done")
-        server.driver.loop.call_soon_threadsafe(guard.accept)
+            raise HttpError(HTTPStatus.CONFLICT, "no list is held back", "nothing is to be done")
+        server.driver.loop.call_soon_threadsafe(guard.accept_losses)
         return f"done, let go: {' '.join(sorted(view.held))}"
 
     return {
@@ -117,25 +117,25 @@
     }
 
 
-def open_console(
-    config: Config, server: Server, seats: Seats | None, guard: ShrinkGuard, recorder: Recorder | None
-) -> Console | None:
+def open_admin_listener(
+    config: Config, server: Server, seats: ProcessSlots | None, guard: ShrinkGuard, recorder: Recorder | None
+) -> ThreadedHttpServer | None:
     if config.console is None:
         return None
     driver = server.driver
     # One that takes over has to know what its elder knows by now, if anybody tells.
-    since = None if seats is None or seats.alone else driver.now()
-    looks = [driver.bans.look]
+    since = None if seats is None or seats.is_alone else driver.now()
+    looks = [driver.bans.sync]
     if seats is not None:
-        looks.append(seats.look)
+        looks.append(seats.poll)
 
     def may_serve() -> bool:
-        return since is None or driver.heard or driver.now() - since > UNHEARD_US
+        return since is None or driver.heard or driver.now() - since > FIRST_LIST_WAIT_US
 
-    calls = routes(server, may_serve, guard)
+    calls = build_admin_routes(server, may_serve, guard)
     if recorder is not None:
-        calls[b"/_trace"] = Route(b"GET", recorder.piece, query=True)
-    console = Console(calls, looks, LOOK_S)
+        calls[b"/_trace"] = Route(b"GET", recorder.piece, takes_query=True)
+    console = ThreadedHttpServer(calls, looks, SYNC_INTERVAL_S)
     try:
         console.open(*config.console)
     except (OSError, OverflowError) as error:
@@ -153,7 +153,7 @@
         loop.call_soon_threadsafe(driver.verdicts, entries)
 
     rng = random.Random()  # not the seed's: processes of one file must differ
-    gossip = Gossip(config.shared, share.name, rng, heard, driver.metrics, config.state)
+    gossip = Gossip(config.shared, share.name, rng, heard, driver.metrics, config.state_file)
     share.publish = gossip.publish
     driver.affinity_header = config.shared.affinity_header.lower().encode()
     port = gossip.open()
@@ -188,7 +188,7 @@
     return reporter_of(config.audit, name, driver, discovery, server)
 
 
-def open_plans(driver: Driver, reporter: Reporter | None, recorder: Recorder | None) -> None:
+def follow_weight_plans(driver: Driver, reporter: Reporter | None, recorder: Recorder | None) -> None:
     """Act on plans of weights: they come with the answers to reports."""
     if reporter is None:
         return
@@ -202,33 +202,33 @@
     reporter.orders.plan = weights.direct
 
 
-def take_seat(
+def claim_process_slot(
     config: Config, loop: asyncio.AbstractEventLoop, halve: Callable[[float], None]
-) -> Seats | None:
+) -> ProcessSlots | None:
     """Where a second process of this sidecar may run beside this one."""
-    if config.state is None:
+    if config.state_file is None:
         return None
 
     def changed(alone: bool) -> None:
         loop.call_soon_threadsafe(halve, 1.0 if alone else 0.5)
 
-    seats = Seats(config.state, changed)
-    seats.look()
+    seats = ProcessSlots(config.state_file, changed)
+    seats.poll()
     return seats
 
 
-def given() -> int:
+def descriptor_limit() -> int:
     """Descriptors that the system lets this process have, whatever its file says."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return SOCKETS_DEFAULT if soft == resource.RLIM_INFINITY else soft
+    return DEFAULT_SOCKETS if soft == resource.RLIM_INFINITY else soft
 
 
 async def serve(config: Config) -> None:
     loop = asyncio.get_running_loop()
     # Both sides share the sockets, less some for the listener, the watch and the loop.
     doors = bool(config.console) + bool(config.shared)
-    aside = OTHER_SOCKETS + doors * DESCRIPTORS
-    most = max(16, min(config.sockets, SOCKETS_DEFAULT, given()) - aside)
+    aside = RESERVED_SOCKETS + doors * RESERVED_DESCRIPTORS
+    most = max(16, min(config.max_sockets, DEFAULT_SOCKETS, descriptor_limit()) - aside)
     upstream = Upstream(loop, Driver.now, most)
     raw = config.raw["settings"]
     # Counts are kept where a door can show them.
@@ -238,10 +238,10 @@
     share = Shared(name, config.shared.eject_share) if config.shared else None
     driver = Driver(
         loop, config.seed, config.settings, raw, upstream,
-        state=config.state, metrics=metrics, shared=share, locality=config.locality,
+        state=config.state_file, metrics=metrics, shared=share, locality=config.locality,
     )  # fmt: skip
-    guard = ShrinkGuard(config.shrink_most, driver.listed, loop.time)
-    guard.on_held = driver.metrics.held_back
+    guard = ShrinkGuard(config.max_list_shrink, driver.listed, loop.time)
+    guard.on_held_change = driver.metrics.set_held_endpoints
     discovery = driver.discovery = Discovery(
         loop,
         config.discovery,
@@ -250,31 +250,31 @@
         guard,
         random.Random(config.seed),
     )
-    loop.add_signal_handler(signal.SIGHUP, Reload(config, driver, discovery, guard))
+    loop.add_signal_handler(signal.SIGHUP, ConfigReloader(config, driver, discovery, guard))
     recorder = open_recorder(config, driver, name)
     server = Server(driver, most, aside)
     reporter = open_reporter(config, driver, name, discovery, server)
-    open_plans(driver, reporter, recorder)
-    seats = take_seat(config, loop, server.share)
+    follow_weight_plans(driver, reporter, recorder)
+    seats = claim_process_slot(config, loop, server.share)
     try:
-        driver.start(config.known, seats is None or seats.alone)
+        driver.start(config.known_list, seats is None or seats.is_alone)
     except PeerError as error:
         raise ConfigError(f"known: {error}") from None
-    if config.known is not None:
-        guard.prime(config.known["instances"])
-        alone = seats is None or seats.alone  # one that takes over has a lease, and is owed a yes soon
-        if config.known["instances"] and (alone or discovery.pushed):
+    if config.known_list is not None:
+        guard.set_known_list(config.known_list["instances"])
+        alone = seats is None or seats.is_alone  # one that takes over has a lease, and is owed a yes soon
+        if config.known_list["instances"] and (alone or discovery.pushed):
             await discovery.first()  # that list may be old, and newer ones bind from the start
     upstream.others, upstream.give_way = lambda: len(server.callers), server.give_way
     try:
-        if config.accept is None:
+        if config.accept_fd is None:
             await server.listen(*config.listen)
         else:
-            await server.adopt(config.accept)
+            await server.adopt(config.accept_fd)
     except (OSError, OverflowError, ValueError) as error:
         raise ConfigError(f"can't listen: {error}") from None
     gossip = open_gossip(config, driver)
-    console = open_console(config, server, seats, guard, recorder)
+    console = open_admin_listener(config, server, seats, guard, recorder)
     if reporter is not None:
         reporter.open()
     ended = asyncio.Event()
@@ -291,22 +291,22 @@
     upstream.close()
 
 
-def say_suppressed(loop: asyncio.AbstractEventLoop, limit: logs.RateLimit) -> None:
+def log_suppressed_periodically(loop: asyncio.AbstractEventLoop, limit: logs.RateLimitFilter) -> None:
     """Now and then, what the rate limit held back, where nothing said it since."""
-    limit.flush(LOG)
-    loop.call_later(logs.WINDOW_S, say_suppressed, loop, limit)
+    limit.log_suppressed(LOG)
+    loop.call_later(logs.WINDOW_S, log_suppressed_periodically, loop, limit)
 
 
-async def run(config: Config, limit: logs.RateLimit) -> None:
-    say_suppressed(asyncio.get_running_loop(), limit)
+async def run(config: Config, limit: logs.RateLimitFilter) -> None:
+    log_suppressed_periodically(asyncio.get_running_loop(), limit)
     try:
         await serve(config)
     finally:
-        limit.flush(LOG)
+        limit.log_suppressed(LOG)
 
 
 def main(argv: list[str] | None = None) -> int:
-    arguments = cli.parse(argv)
+    arguments = cli.parse_arguments(argv)
     if arguments.command == "check-config":
         return cli.check_config(arguments.file, arguments.in_force)
     if arguments.command == "registry":
@@ -324,7 +324,7 @@
         uvloop.run(run(config, limit))
     except ConfigError as error:
         LOG.error("can't start", extra=error.fields())
-        return cli.FAULTY
+        return cli.EXIT_CONFIG_ERROR
     return 0
 
 
--- a/woadyard/audit/ledger.py
+++ b/woadyard/audit/ledger.py
@@ -16,7 +16,7 @@
 from woadyard.audit.position import parse
 from woadyard.audit.run import Run
 from woadyard.audit.straggler import SHUT_OUT, STATES
-from woadyard.errors import PeerError, RecordError
+from woadyard.errors import LogEntryError, PeerError
 from woadyard.registry.book import Record
 
 ROWS_MOST = 65_536  # of all runs together; a sidecar's part of it is what is left by the others
@@ -44,7 +44,7 @@
     def _read(self, record: Record) -> list[Report]:
         op, at = record.get("op"), record.get("at", 0)
         if type(at) is not int or at < 0:
-            raise RecordError("a record's time is no number")
+            raise LogEntryError("a record's time is no number")
         if op == REPORTS:
             try:
                 reports = msgspec.convert(record.get("reports"), list[Report])
@@ -53,14 +53,14 @@
                 for one in reports:
                     parse(one.position)
             except (msgspec.ValidationError, PeerError) as error:
-                raise RecordError(f"no reports: {error}") from None
+                raise LogEntryError(f"no reports: {error}") from None
             return reports
         if op not in (STATE, OVER):
-            raise RecordError(f"the audit has no {op!r}")
+            raise LogEntryError(f"the audit has no {op!r}")
         if str(record.get("key")) not in self.runs:
-            raise RecordError(f"no such run: {record.get('key')!r}")
+            raise LogEntryError(f"no such run: {record.get('key')!r}")
         if op == STATE and record.get("state") not in STATES:
-            raise RecordError(f"no such state: {record.get('state')!r}")
+            raise LogEntryError(f"no such state: {record.get('state')!r}")
         return []
 
     def apply(self, record: Record) -> bool:
@@ -105,7 +105,7 @@
             runs = [Run.load(one) for one in raw["runs"]]
             counts = int(raw["compacted"]), int(raw["forgotten"])
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise RecordError(f"no dump of the audit: {error!r}") from None
+            raise LogEntryError(f"no dump of the audit: {error!r}") from None
         self.runs, self.names = {}, {}
         for run in runs:
             self._add(run)
--- a/woadyard/audit/service.py
+++ b/woadyard/audit/service.py
@@ -29,7 +29,7 @@
 from woadyard.audit.watchman import Watchman
 from woadyard.audit.writing import Batches
 from woadyard.errors import PeerError
-from woadyard.net.config import address
+from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
 from woadyard.registry.answers import answer, at_writer, query, refusal
 from woadyard.registry.service import Registry
@@ -85,7 +85,7 @@
             if "sent-on" in request.query:
                 raise FetchError("the process that this one follows is a replica too")
             target = f"{REPORT_PATH}?sent-on=1"
-            status, back = await fetch(address(writer), "POST", target, raw, timeout_s=FORWARD_S)
+            status, back = await fetch(parse_address(writer), "POST", target, raw, timeout_s=FORWARD_S)
         except FetchError as error:
             remedy = "report to another replica; see whether the writer runs"
             return refusal(HTTPStatus.BAD_GATEWAY, f"the writer is not reached: {error}", remedy)
--- a/woadyard/cli.py
+++ b/woadyard/cli.py
@@ -11,14 +11,14 @@
 from collections.abc import Sequence
 
 from woadyard.errors import ConfigError
-from woadyard.net.config import read_again, read_config, read_file
+from woadyard.net.config import read_config, read_config_file, reread_config
 from woadyard.registry import add_arguments
 
 # What a command returns to the shell where the configuration has faults.
-FAULTY = 2
+EXIT_CONFIG_ERROR = 2
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     top = argparse.ArgumentParser(
         prog="woadyard",
         description="A load-balancing sidecar. Without a command it runs, configured by "
@@ -46,20 +46,20 @@
     return top
 
 
-def faults(path: str, in_force: str | None = None) -> list[str]:
+def find_config_errors(path: str, in_force: str | None = None) -> list[str]:
     """The faults of the file at `path`, one line each: the start's check, then
     the reload's against the file `in_force` (or itself), each line as that
     check says it; none for a good file."""
     against = in_force or path
     try:
-        force = read_file(against)
+        force = read_config_file(against)
     except (OSError, ValueError, ConfigError) as error:
         if in_force is None:  # the start's check says it, as a start would
             force = {}
         else:
             return [f"{against}: {type(error).__name__}: {error}"]
     found: list[str] = []
-    for check in (lambda: read_config({"LB_CONFIG": path}), lambda: read_again(path, force)):
+    for check in (lambda: read_config({"LB_CONFIG": path}), lambda: reread_config(path, force)):
         try:
             check()
         except ConfigError as error:
@@ -69,13 +69,13 @@
 
 
 def check_config(path: str, in_force: str | None = None) -> int:
-    found = faults(path, in_force)
+    found = find_config_errors(path, in_force)
     for line in found:
         print(line)
     if not found:
         print(f"{path}: good")
-    return FAULTY if found else 0
+    return EXIT_CONFIG_ERROR if found else 0
 
 
-def parse(argv: Sequence[str] | None = None) -> argparse.Namespace:
-    return parser().parse_args(sys.argv[1:] if argv is None else argv)
+def parse_arguments(argv: Sequence[str] | None = None) -> argparse.Namespace:
+    return build_parser().parse_args(sys.argv[1:] if argv is None else argv)
--- a/woadyard/errors.py
+++ b/woadyard/errors.py
@@ -35,7 +35,7 @@
     remedy = "see whether the peer runs the same version and can be reached"
 
 
-class RecordError(WoadyardError):
+class LogEntryError(WoadyardError):
     """A record that a book of the log can't apply; nothing of it was."""
 
     remedy = "send a record that the book's page names; the log is as it was"
--- a/woadyard/experiment/book.py
+++ b/woadyard/experiment/book.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from woadyard.errors import PeerError, PlanError, RecordError
+from woadyard.errors import LogEntryError, PeerError, PlanError
 from woadyard.experiment.messages import Directive, Name, read_evidence
 from woadyard.experiment.rules import Decision, State
 from woadyard.experiment.trial import Draft, Trial
@@ -133,6 +133,6 @@
         self.trials, self.revision, self.forgotten = trials, revision, forgotten
 
 
-def _refused(error: BaseException) -> RecordError:
+def _refused(error: BaseException) -> LogEntryError:
     remedy = error.remedy if isinstance(error, PlanError) else None
-    return RecordError(str(error) if isinstance(error, PlanError) else f"no such record: {error!r}", remedy)
+    return LogEntryError(str(error) if isinstance(error, PlanError) else f"no such record: {error!r}", remedy)
--- a/woadyard/experiment/conductor.py
+++ b/woadyard/experiment/conductor.py
@@ -16,7 +16,7 @@
 import msgspec
 from prometheus_client import Counter
 
-from woadyard.errors import RecordError, StateError
+from woadyard.errors import LogEntryError, StateError
 from woadyard.experiment.book import APPLIED, DECIDE, ExperimentsBook
 from woadyard.experiment.cells import SUMS, Key
 from woadyard.experiment.rules import ENDS, Decision, State
@@ -120,7 +120,7 @@
                 self._look(trial)
             elif trial.state in ENDS and not self.older(self.book.revision):
                 self._applied(trial)
-        except (RecordError, StateError) as error:
+        except (LogEntryError, StateError) as error:
             LOG.error("an experiment's step can't be written", extra=error.fields())
 
     def _look(self, trial: Trial) -> None:
--- a/woadyard/experiment/stopper.py
+++ b/woadyard/experiment/stopper.py
@@ -8,7 +8,7 @@
 from itertools import combinations
 from typing import Any, SupportsIndex
 
-from woadyard.errors import PlanError, RecordError
+from woadyard.errors import LogEntryError, PlanError
 from woadyard.experiment.plan import Plan
 from woadyard.experiment.rules import Decision, State
 from woadyard.experiment.seen import Seen
@@ -81,15 +81,15 @@
         """Requests assigned to `arm` since the source's number before: tried, of them good, failed
         and over the latency bound. `drawn` is how many were assigned, where some have no end yet
         (`tried` counts those that have one): shares are judged by it. False where this row, known
-        by source, number, arm, cls and zone, was counted before. Raises `RecordError`, and then
+        by source, number, arm, cls and zone, was counted before. Raises `LogEntryError`, and then
         nothing was counted."""
         index = self._arms.get(arm) if isinstance(arm, str) else None
         if index is None:
-            raise RecordError(f"no such arm: {arm!r}", f"the arms are {', '.join(self.plan.arms)}")
+            raise LogEntryError(f"no such arm: {arm!r}", f"the arms are {', '.join(self.plan.arms)}")
         which = _whole("number", number)
         counts = _whole("tried", tried), _whole("good", good), _whole("failed", failed), _whole("slow", slow)
         if max(counts) > counts[0]:
-            raise RecordError(f"more good, failed or slow than tried: {counts}", "send counts of one row")
+            raise LogEntryError(f"more good, failed or slow than tried: {counts}", "send counts of one row")
         share = counts[0] if drawn is None else _whole("drawn", drawn)
         at = _time(at_s)
         seen = self._seen_of(source)
@@ -114,10 +114,10 @@
         try:
             seen = self._seen.get(source)
         except TypeError:
-            raise RecordError(f"a source needs a name, not {type(source).__name__}") from None
+            raise LogEntryError(f"a source needs a name, not {type(source).__name__}") from None
         if seen is None:
             if len(self._seen) >= MOST_SOURCES:
-                raise RecordError(f"more than {MOST_SOURCES} sources", "name a source by its sidecar")
+                raise LogEntryError(f"more than {MOST_SOURCES} sources", "name a source by its sidecar")
             seen = self._seen[source] = Seen()
         return seen
 
@@ -309,9 +309,9 @@
     try:
         number = operator.index(value)
     except TypeError:
-        raise RecordError(f"{name} is no whole number: {value!r}", "send counts as whole numbers") from None
+        raise LogEntryError(f"{name} is no whole number: {value!r}", "send counts as whole numbers") from None
     if number < 0:
-        raise RecordError(f"{name} is below 0: {number}", "send counts since the number before, not totals")
+        raise LogEntryError(f"{name} is below 0: {number}", "send counts since the number before, not totals")
     return number
 
 
@@ -321,5 +321,5 @@
     except (TypeError, ValueError):
         at = math.nan
     if not math.isfinite(at):
-        raise RecordError(f"at_s is no time: {at_s!r}", "send a time in seconds")
+        raise LogEntryError(f"at_s is no time: {at_s!r}", "send a time in seconds")
     return at
--- a/woadyard/limits/book.py
+++ b/woadyard/limits/book.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.limits.ledger import Ledger
 from woadyard.registry.book import Record
 
@@ -21,17 +21,17 @@
 
     def check(self, record: Record) -> None:
         if record.get("op") != HOLD:
-            raise RecordError(f"the limits have no such op: {record.get('op')!r}")
+            raise LogEntryError(f"the limits have no such op: {record.get('op')!r}")
         numbers = [record.get(key) for key in ("seq_of", "ttl_us", "limit")]
         if not all(type(number) is int and number > 0 for number in numbers):
-            raise RecordError("a hold needs numbers above 0")
+            raise LogEntryError("a hold needs numbers above 0")
         of, keeps = record.get("of"), record.get("keeps")
         if not isinstance(record.get("id"), str) or not isinstance(of, list) or not isinstance(keeps, dict):
-            raise RecordError("a hold needs an id, resources and what it keeps")
+            raise LogEntryError("a hold needs an id, resources and what it keeps")
         if not all(isinstance(key, str) for key in of):
-            raise RecordError("a hold's resources are no list of names")
+            raise LogEntryError("a hold's resources are no list of names")
         if not all(type(count) is int and count >= 0 for count in keeps.values()):
-            raise RecordError("a hold keeps what is no number")
+            raise LogEntryError("a hold keeps what is no number")
         self.ledger.check(int(record["at"]), record["id"], record["seq_of"])
 
     def apply(self, record: Record) -> bool:
@@ -56,4 +56,4 @@
         try:
             self.ledger = Ledger.load(raw)
         except (AttributeError, TypeError, ValueError) as error:
-            raise RecordError(f"no dump of the limits: {error!r}") from None
+            raise LogEntryError(f"no dump of the limits: {error!r}") from None
--- a/woadyard/limits/ledger.py
+++ b/woadyard/limits/ledger.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 
 
 @dataclass
@@ -41,10 +41,10 @@
         self.holdings = {name: one for name, one in self.holdings.items() if one.ends > at}
 
     def check(self, at: int, name: str, seq: int) -> None:
-        """RecordError on a call older than the last: it may tell of less than is used."""
+        """LogEntryError on a call older than the last: it may tell of less than is used."""
         before = self.holdings.get(name)
         if before is not None and before.ends > at and seq <= before.seq:
-            raise RecordError(f"call {seq} of {name!r} comes after {before.seq}")
+            raise LogEntryError(f"call {seq} of {name!r} comes after {before.seq}")
 
     def extend(self, at: int) -> None:
         """The ledger has a new keeper: every lease runs anew."""
@@ -63,7 +63,7 @@
     ) -> dict[str, int]:
         """Grant `name` its shares of the resources `of`, each of `limit` in all; `keeps`
         is what it may still use at most from when it asked. Returns the grants.
-        RecordError as `check`, before anything is changed."""
+        LogEntryError as `check`, before anything is changed."""
         self.check(at, name, seq)
         self.lapse(at)
         before = self.holdings.pop(name, None)
--- a/woadyard/lists/book.py
+++ b/woadyard/lists/book.py
@@ -15,7 +15,7 @@
 from collections import deque
 from typing import Any
 
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.registry.book import Record
 
 # The kinds of record; each is a JSON object with "op" and its fields.
@@ -50,15 +50,15 @@
             entry, ttl_us = record.get("entry"), record.get("ttl_us")
             named = isinstance(entry, dict) and isinstance(entry.get("instanceId"), str)
             if not named or type(ttl_us) is not int or ttl_us <= 0:
-                raise RecordError("a put needs an entry with an instanceId and a lease above 0")
+                raise LogEntryError("a put needs an entry with an instanceId and a lease above 0")
         elif op in (RENEW, DROP):
             if not isinstance(record.get("id"), str):
-                raise RecordError("an id is no text")
+                raise LogEntryError("an id is no text")
             if op == RENEW and record["id"] not in self.entries:
                 remedy = "register it anew: its lease ran out, or the service lost it"
-                raise RecordError(f"no lease to renew: {record['id']!r}", remedy)
+                raise LogEntryError(f"no lease to renew: {record['id']!r}", remedy)
         elif op != EXPIRE:
-            raise RecordError(f"the list has no such op: {op!r}")
+            raise LogEntryError(f"the list has no such op: {op!r}")
 
     def apply(self, record: Record) -> bool:
         """True if the list changed (and the version rose). A renewal moves a lease on
@@ -153,9 +153,9 @@
             leases, ttls = dict(raw["leases"]), dict(raw["ttls"])
             terms = [(int(term), int(began)) for term, began in raw["terms"]]
         except (KeyError, TypeError, ValueError) as error:
-            raise RecordError(f"no dump of the list: {error!r}") from None
+            raise LogEntryError(f"no dump of the list: {error!r}") from None
         if not terms or leases.keys() != entries.keys() or ttls.keys() != entries.keys():
-            raise RecordError("a dump of the list has parts that do not fit")
+            raise LogEntryError("a dump of the list has parts that do not fit")
         self.version, self.entries, self.leases, self.ttls = version, entries, leases, ttls
         self.terms = terms
         self.history.clear()
--- a/woadyard/membership/__init__.py
+++ b/woadyard/membership/__init__.py
@@ -6,4 +6,4 @@
 from typing import Any
 
 # Takes one list (version, whether it is whole, entries); PeerError if it is bad.
-Listen = Callable[[int, bool, list[dict[str, Any]]], None]
+ListHandler = Callable[[int, bool, list[dict[str, Any]]], None]
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -47,13 +47,13 @@
         until = min(call.expires, now + left)
         attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
         call.attempts.append(attempt)
-        self.turns.metrics.sent(attempt.copy)
+        self.turns.metrics.attempt_sent(attempt.copy)
         if (observer := self.turns.observer) is not None:
             attempt.extra = observer.sent(now, action)
         if self.force.locality is not None:
             place = self.places.by_number.get(action.endpoint)
             if place is not None:
-                self.turns.metrics.zone(place.zone)
+                self.turns.metrics.zone_attempt_sent(place.zone)
         if attempt.copy >= self.force.settings.max_attempts or not self.may_start(attempt, now):
             self.ended(attempt, MOOT, None, b"")
             return
@@ -99,7 +99,7 @@
             attempt.timer.cancel()
             attempt.timer = None
         call = attempt.call
-        self.turns.metrics.ended(outcome, now_us() - attempt.sent)
+        self.turns.metrics.attempt_ended(outcome, now_us() - attempt.sent)
         if outcome == OK and answer is not None and call.open:
             self.requests.answer(call, answer)
         if call.relayed is attempt and call.open:
--- a/woadyard/net/caller.py
+++ b/woadyard/net/caller.py
@@ -349,7 +349,7 @@
     def refuse(self, error: BadRequestError) -> None:
         """A plain 4xx, then the end."""
         LOG.info("request refused", extra={"status": error.status, "why": str(error)})
-        self.server.driver.metrics.malformed(error.status)
+        self.server.driver.metrics.request_malformed(error.status)
         if self.shedding:  # answered already
             self._linger()
             return
--- a/woadyard/net/config.py
+++ b/woadyard/net/config.py
@@ -21,30 +21,30 @@
     from woadyard.audit import AuditSettings
     from woadyard.net.recorder import RecordSettings
 
-SOCKETS_DEFAULT = 1024
+DEFAULT_SOCKETS = 1024
 LOG_LEVELS = ("debug", "info", "warning", "error")
 # What each class must say in a file read again, and a keyed one besides.
 CLASS_KEYS = ("name", "repeat", "aim-us", "deadline-us")
-KEYED_KEYS = ("dedup-scope", "repeat-window-us")
+KEYED_CLASS_KEYS = ("dedup-scope", "repeat-window-us")
 # May be missing from a file read again: lists come from discovery by then.
-START_ONLY = frozenset(("known",))
+START_ONLY_KEYS = frozenset(("known",))
 
 
-FAULTS = (OSError, ValueError, KeyError, TypeError, AttributeError, OverflowError, WireError)
-Least = Annotated[float, msgspec.Meta(ge=0.0)]
+READ_ERRORS = (OSError, ValueError, KeyError, TypeError, AttributeError, OverflowError, WireError)
+NonNegative = Annotated[float, msgspec.Meta(ge=0.0)]
 
 
 class LocalitySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
     """The file's `locality`; `regions` names each zone's, by the names in `settings.zones`."""
 
     regions: dict[str, str] = {}
-    leave: Least | None = None
-    panic: Least | None = None
-    window_ms: Least | None = None
-    away_ms: Least | None = None
-    ramp_ms: Least | None = None
+    leave: NonNegative | None = None
+    panic: NonNegative | None = None
+    window_ms: NonNegative | None = None
+    away_ms: NonNegative | None = None
+    ramp_ms: NonNegative | None = None
 
-    def named(self, regions: tuple[int, ...]) -> Locality:
+    def to_locality(self, regions: tuple[int, ...]) -> Locality:
         """With the regions' numbers, and the module's defaults for what is not said."""
         times = {"window_us": self.window_ms, "away_us": self.away_ms, "ramp_us": self.ramp_ms}
         values: dict[str, Any] = {key: int(ms * 1000) for key, ms in times.items() if ms is not None}
@@ -58,38 +58,38 @@
     path: str
     raw: dict[str, Any]
     listen: tuple[str, int]
-    accept: int | None  # a listening socket that the platform holds
+    accept_fd: int | None  # a listening socket that the platform holds
     console: tuple[str, int] | None
     discovery: str
     seed: int
-    sockets: int
+    max_sockets: int
     settings: Settings
-    known: dict[str, Any] | None
-    state: Path | None  # what outlives this process; nothing where none is kept
+    known_list: dict[str, Any] | None
+    state_file: Path | None  # what outlives this process; nothing where none is kept
     log_level: str = "info"
     locality: Locality | None = None
     shared: SharedSettings | None = None
     record: RecordSettings | None = None
     audit: AuditSettings | None = None
-    shrink_most: float = 1.0  # share of the list that may be lost at once and be believed
+    max_list_shrink: float = 1.0  # share of the list that may be lost at once and be believed
 
 
-def address(text: Any) -> tuple[str, int]:
+def parse_address(text: Any) -> tuple[str, int]:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise ConfigError(f"no address: {text!r}")
     return host, int(port)
 
 
-def addresses(text: Any) -> tuple[str, ...]:
+def parse_addresses(text: Any) -> tuple[str, ...]:
     """Of discovery: one address, or several replicas' with commas between."""
     found = tuple(part.strip() for part in str(text).split(","))
     for one in found:
-        address(one)
+        parse_address(one)
     return found
 
 
-def state_path(environ: dict[str, str], raw: dict[str, Any]) -> Path | None:
+def state_file_path(environ: dict[str, str], raw: dict[str, Any]) -> Path | None:
     """One file for each sidecar, should several share the folder."""
     folder, name = environ.get("TMPDIR"), str(environ.get("LB_NAME") or raw.get("name", ""))
     return Path(folder) / f"woadyard-{quote(name, safe='')}.json" if folder else None
@@ -100,45 +100,45 @@
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
-        raw = read_file(path)
+        raw = read_config_file(path)
         known = raw.get("known")
         if known is not None and not (isinstance(known["instances"], list) and int(known["generation"]) >= 0):
             raise ConfigError("known is no list of endpoints")
         discovery = str(environ.get("LB_DISCOVERY") or raw["discovery"])
-        addresses(discovery)
+        parse_addresses(discovery)
         accept = environ.get("LB_ACCEPT_FD")
         name = str(environ.get("LB_NAME") or raw.get("name") or "")
         _check_named(raw, name)
-        found = shared(raw)
+        found = read_shared_settings(raw)
         if found is not None:
             _check_shared(found, raw)
         console = environ.get("LB_CONSOLE") or raw.get("console")
         return Config(
             path=path,
             raw=raw,
-            listen=address(environ.get("LB_LISTEN") or raw["listen"]),
-            accept=int(accept) if accept else None,
-            console=address(console) if console else None,
+            listen=parse_address(environ.get("LB_LISTEN") or raw["listen"]),
+            accept_fd=int(accept) if accept else None,
+            console=parse_address(console) if console else None,
             discovery=discovery,
             seed=int(str(raw.get("seed", "0")), 16),
-            sockets=int(raw.get("limits", {}).get("sockets", SOCKETS_DEFAULT)),
+            max_sockets=int(raw.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
             settings=read_settings(json.dumps(raw["settings"]).encode()),
-            known=known,
-            state=state_path(environ, raw) if console else None,
-            log_level=log_level(raw),
-            locality=locality(raw),
+            known_list=known,
+            state_file=state_file_path(environ, raw) if console else None,
+            log_level=read_log_level(raw),
+            locality=read_locality(raw),
             shared=found,
-            audit=audit(raw),
-            record=record(raw, bool(console)),
-            shrink_most=shrink_most(raw),
+            audit=read_audit_settings(raw),
+            record=read_record_settings(raw, bool(console)),
+            max_list_shrink=read_max_list_shrink(raw),
         )
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}", error.remedy) from None
-    except FAULTS as error:
+    except READ_ERRORS as error:
         raise ConfigError(f"{path}: {type(error).__name__}: {error}") from None
 
 
-def log_level(raw: dict[str, Any]) -> str:
+def read_log_level(raw: dict[str, Any]) -> str:
     """The lowest level of the lines logged; `info` where the file says none."""
     level = raw.get("log-level", "info")
     if level not in LOG_LEVELS:
@@ -146,7 +146,7 @@
     return str(level)
 
 
-def locality(raw: dict[str, Any]) -> Locality | None:
+def read_locality(raw: dict[str, Any]) -> Locality | None:
     """How zones are chosen, from the file's `locality`; None where it says nothing."""
     told = read_section(raw.get("locality"), LocalitySection, "locality")
     if told is None:
@@ -160,16 +160,16 @@
         names.index(told.regions[zone]) if zone in told.regions else len(names) + n
         for n, zone in enumerate(zones)
     )
-    return told.named(numbers)
+    return told.to_locality(numbers)
 
 
-def shared(raw: dict[str, Any]) -> SharedSettings | None:
+def read_shared_settings(raw: dict[str, Any]) -> SharedSettings | None:
     """What is shared with other sidecars, and where; None where the file says nothing."""
     found = read_shared(raw.get("shared"))
     if found is not None:
         for one in (found.listen, found.advertise or found.listen):
-            address(one)
-        addresses(found.peers)
+            parse_address(one)
+        parse_addresses(found.peers)
     return found
 
 
@@ -188,7 +188,7 @@
         raise ConfigError("shared.limit-lease-ms is no longer than the longest deadline")
 
 
-def record(raw: dict[str, Any], door: bool) -> RecordSettings | None:
+def read_record_settings(raw: dict[str, Any], door: bool) -> RecordSettings | None:
     """What is recorded for what-if replays; None where the file says nothing."""
     if raw.get("record") is None:
         return None
@@ -202,18 +202,18 @@
         raise ConfigError(str(error)) from None
 
 
-def audit(raw: dict[str, Any]) -> AuditSettings | None:
+def read_audit_settings(raw: dict[str, Any]) -> AuditSettings | None:
     """Where what this sidecar acts on is reported; None where the file says nothing."""
     if raw.get("audit") is None:
         return None
     from woadyard.audit.messages import read_settings as read_audit  # loaded only where it is on
 
     found = read_audit(raw["audit"])
-    addresses(found.service)
+    parse_addresses(found.service)
     return found
 
 
-def shrink_most(raw: dict[str, Any]) -> float:
+def read_max_list_shrink(raw: dict[str, Any]) -> float:
     """The share of the endpoints, above 0 and up to 1, that lists may lose at once
     before they are held back; 1 (nothing is held) where the file says none."""
     share = raw.get("list-shrink-most", 1.0)
@@ -222,7 +222,7 @@
     return float(share)
 
 
-def read_file(path: str) -> dict[str, Any]:
+def read_config_file(path: str) -> dict[str, Any]:
     with open(path, "rb") as file:
         raw = json.load(file)
     if not isinstance(raw, dict):
@@ -230,20 +230,20 @@
     return raw
 
 
-def read_again(path: str, force: dict[str, Any]) -> tuple[dict[str, Any], Settings]:
+def reread_config(path: str, force: dict[str, Any]) -> tuple[dict[str, Any], Settings]:
     """The file as it is now, checked whole before any of it is used. It has to
     say all that the one in force says: a default in place of a key that was
     lost would loosen a rule without a word. What the environment said at the
     start of discovery's address is the older word."""
     try:
-        raw = read_file(path)
-        _has_all(raw, force, "", START_ONLY)
-        addresses(raw["discovery"])
-        log_level(raw)
-        shrink_most(raw)
-        shared(raw)
-        audit(raw)
-        locality(raw)
+        raw = read_config_file(path)
+        _has_all(raw, force, "", START_ONLY_KEYS)
+        parse_addresses(raw["discovery"])
+        read_log_level(raw)
+        read_max_list_shrink(raw)
+        read_shared_settings(raw)
+        read_audit_settings(raw)
+        read_locality(raw)
         settings = raw["settings"]
         _has_all(settings, force["settings"], "settings.")
         for part in ("ceilings", "invariants"):
@@ -257,7 +257,7 @@
         return raw, read_settings(json.dumps(settings).encode())
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}", error.remedy) from None
-    except FAULTS as error:
+    except READ_ERRORS as error:
         raise ConfigError(f"{path}: {type(error).__name__}: {error}") from None
 
 
@@ -269,7 +269,7 @@
 
 
 def _check_class(entry: dict[str, Any]) -> None:
-    for key in CLASS_KEYS + (KEYED_KEYS if entry["repeat"] == "dedup" else ()):
+    for key in CLASS_KEYS + (KEYED_CLASS_KEYS if entry["repeat"] == "dedup" else ()):
         if key not in entry:
             raise ConfigError(f"a class lacks {key}")
     if not isinstance(entry["name"], str) or not entry["name"]:
--- a/woadyard/net/discovery.py
+++ b/woadyard/net/discovery.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from woadyard.membership import Listen
+from woadyard.membership import ListHandler
 from woadyard.net.backoff import Backoff
 from woadyard.net.held import REFUSE, TAKE, Held, Named, Told
 from woadyard.net.stream import CallEnd, Stream
@@ -48,7 +48,7 @@
         address: str,
         path: str,
         pushed: bool,
-        listen: Listen,
+        listen: ListHandler,
         rng: random.Random,
     ) -> None:
         self.loop, self.path = loop, path
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -42,7 +42,7 @@
 from woadyard.net.state import Bans
 from woadyard.net.turns import Turns, now_us
 from woadyard.net.upstream import Upstream
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.policy import Balancer
 from woadyard.shared.store import Entry as VerdictEntry
 
@@ -60,12 +60,12 @@
         raw: dict[str, Any],
         upstream: Upstream,
         state: Path | None = None,
-        metrics: Quiet | None = None,
+        metrics: NullMetrics | None = None,
         shared: Shared | None = None,
         locality: Locality | None = None,
     ) -> None:
         self.loop, self.upstream, self.shared = loop, upstream, shared
-        self.metrics = metrics or Quiet()
+        self.metrics = metrics or NullMetrics()
         self.raw = raw
         self.force = InForce(shared is not None)
         self._settle(settings, locality)
@@ -156,12 +156,12 @@
         self.heard = True
 
     def _list_failed(self) -> None:
-        self.metrics.listed(LIST_FAILED, 0)
+        self.metrics.list_received(LIST_FAILED, 0)
         self.tell(self.balancer.members, LIST_FAILED, ())
 
     def _list(self, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         read = self.listing.read(version, raw)
-        self.metrics.listed(mode, version)
+        self.metrics.list_received(mode, version)
         self.listing.apply(version, mode != LIST_DELTA, read)
         self.tell(self.balancer.members, mode, [entry for entry, _ in read])
         if self.observer is not None:
@@ -208,7 +208,7 @@
 
     def limit(self, caps: dict[int, int], others: int) -> None:
         """This process's shares of the limits that all sidecars keep together."""
-        self.metrics.shares(sum(caps.values()))
+        self.metrics.set_shares(sum(caps.values()))
         self.tell(self.balancer.limit, caps, others)
 
     # --- Operators --------------------------------------------------------------------
@@ -218,12 +218,12 @@
         self.loop.call_soon_threadsafe(self._detach if out else self._attach, number)
 
     def _detach(self, number: int) -> None:
-        self.metrics.banned(True)
+        self.metrics.ban_changed(True)
         self.upstream.remove(number)
         self.tell(self.balancer.detach, number)
 
     def _attach(self, number: int) -> None:
-        self.metrics.banned(False)
+        self.metrics.ban_changed(False)
         self.listing.reopen(number)
         self.tell(self.balancer.attach, number)
 
--- a/woadyard/net/gossip.py
+++ b/woadyard/net/gossip.py
@@ -26,12 +26,12 @@
 from urllib.parse import quote
 
 from woadyard.errors import ConfigError, PeerError
-from woadyard.net.config import address
-from woadyard.net.console import CallError, Console, Route
+from woadyard.net.config import parse_address
 from woadyard.net.discovery import Discovery
 from woadyard.net.fetch import AnswerTooLargeError, FetchError, fetch
 from woadyard.net.listwriter import ListWriter
-from woadyard.ops.metrics import Quiet
+from woadyard.net.threaded_http import HttpError, Route, ThreadedHttpServer
+from woadyard.ops.metrics import NullMetrics
 from woadyard.shared.settings import SharedSettings
 from woadyard.shared.store import VERDICT, Entry, SharedStore, TellingError, read_vector
 
@@ -66,7 +66,7 @@
         name: str,
         rng: random.Random,
         heard: Heard,
-        metrics: Quiet,
+        metrics: NullMetrics,
         state: Path | None = None,
     ) -> None:
         self.settings, self.name, self.rng = settings, name, rng
@@ -78,7 +78,7 @@
         self.said: dict[str, tuple[str, int]] = {}  # verdicts of the own module: what, when
         self.told: list[Entry] = []  # as `heard` last was
         self.saved, self.kept = 0.0, dict[str, int]()  # when, and the vector then
-        self.console = Console(
+        self.console = ThreadedHttpServer(
             {PATH.encode(): Route(b"POST", self.answer)}, [self._tick], settings.interval_s, ASK_MOST
         )
         self.loop = self.console.loop
@@ -87,7 +87,7 @@
 
     def open(self) -> int:
         """Listen, and exchange from now on; ConfigError where the address can't be used."""
-        host, port = address(self.settings.listen)
+        host, port = parse_address(self.settings.listen)
         self._load()
         try:
             bound = self.console.open(host, port)
@@ -141,14 +141,14 @@
         try:
             for one in entries:
                 if one["lifecycle"] == "ready":
-                    peers[str(one["instanceId"])] = address(one["hostPort"])
+                    peers[str(one["instanceId"])] = parse_address(one["hostPort"])
                 else:
                     peers.pop(one["instanceId"], None)
         except (KeyError, TypeError, ConfigError) as error:
             raise PeerError(f"no peer: {error!r}") from None
         peers.pop(self.store.me, None)
         self.peers = peers
-        self.metrics.peers(len(peers))
+        self.metrics.set_peers(len(peers))
 
     def _register(self) -> tuple[str, str, dict[str, Any]]:
         """The own name at the list service, kept by a lease."""
@@ -192,13 +192,13 @@
             told = _read(back)
             self.store.merge(now, told.get("entries"), now - began, self._names())
         except (TellingError, AnswerTooLargeError) as error:
-            self.metrics.exchanged("refused", len(body), 0)
+            self.metrics.exchange_ended("refused", len(body), 0)
             LOG.warning("a peer's telling refused", extra={"peer": origin, **error.fields()})
         except FetchError as error:
-            self.metrics.exchanged("failed", len(body), 0)
+            self.metrics.exchange_ended("failed", len(body), 0)
             LOG.debug("peer not reached", extra={"peer": origin, **error.fields()})
         else:
-            self.metrics.exchanged("done", len(body), len(back))
+            self.metrics.exchange_ended("done", len(body), len(back))
             self._say(now)
 
     def answer(self, body: str) -> str:
@@ -208,7 +208,7 @@
             vector = read_vector(told.get("vector"))
         except TellingError as error:
             LOG.warning("a peer's call refused", extra=error.fields())
-            raise CallError(HTTPStatus.BAD_REQUEST, str(error), error.remedy) from None
+            raise HttpError(HTTPStatus.BAD_REQUEST, str(error), error.remedy) from None
         if self.store.lacks(vector) and isinstance(peer := told.get("from"), str):
             self._ask(peer)
         rows = self.store.telling(now_us(), vector, TELL_MOST)
--- a/woadyard/net/invariants.py
+++ b/woadyard/net/invariants.py
@@ -15,7 +15,7 @@
 
 from woadyard.interface import FULL, KEYED, NEVER_RAN, SAFE
 from woadyard.net.message import Attempt, Call
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 
 if TYPE_CHECKING:
     from woadyard.net.names import InForce
@@ -39,7 +39,7 @@
 class Invariants:
     """Counts violations by rule."""
 
-    def __init__(self, force: InForce, places: Places, metrics: Quiet) -> None:
+    def __init__(self, force: InForce, places: Places, metrics: NullMetrics) -> None:
         self.force, self.places, self.metrics = force, places, metrics
         self.counts: Counter[Rule] = Counter()
 
@@ -84,5 +84,5 @@
 
     def _count(self, rule: Rule, why: str, **fields: int) -> None:
         self.counts[rule] += 1
-        self.metrics.violated(rule)
+        self.metrics.invariant_violated(rule)
         LOG.error("invariant violated", extra={"rule": rule, "why": why, **fields})
--- a/woadyard/net/listwriter.py
+++ b/woadyard/net/listwriter.py
@@ -11,7 +11,7 @@
 
 from woadyard.errors import ConfigError
 from woadyard.net.backoff import Backoff
-from woadyard.net.config import address
+from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
 from woadyard.registry.refusal import read_refusal
 
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, addresses: str, rng: random.Random) -> None:
-        self.replicas = [address(one.strip()) for one in addresses.split(",")]
+        self.replicas = [parse_address(one.strip()) for one in addresses.split(",")]
         self.turn = 0
         self.sent_on: tuple[str, int] | None = None  # the writer, as a replica named it
         self.term: tuple[str, int] | None = None  # lineage and term, the greatest told
@@ -73,7 +73,7 @@
     def _send_on(self, back: bytes) -> bool:
         writer = read_refusal(back).writer
         try:
-            self.sent_on = address(writer) if writer else None
+            self.sent_on = parse_address(writer) if writer else None
         except ConfigError:
             self.sent_on = None
         return self.sent_on is not None
--- a/woadyard/net/places.py
+++ b/woadyard/net/places.py
@@ -47,7 +47,7 @@
             read = [self._entry(one) for one in raw]
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
             raise PeerError(f"no entry: {error!r}") from None
-        self.bans.note(one["instanceId"] for one in raw)
+        self.bans.add_listed(one["instanceId"] for one in raw)
         return [one for one in read if not self._outdated(version, *one)]
 
     def apply(self, version: int, whole: bool, read: Read) -> None:
@@ -71,14 +71,14 @@
     def may_start(self, endpoint: int, now: int) -> bool:
         """Whether anything may be sent there now: it is listed, or left within the grace."""
         place = self.by_number.get(endpoint)
-        if place is None or endpoint in self.bans.out:
+        if place is None or endpoint in self.bans.banned_numbers:
             return False
         return place.left_at is None or now < place.left_at + self._start_grace_us()
 
     def may_have_started(self, endpoint: int, now: int) -> bool:
         """Whether something that is on its way by now may have been: the whole grace counts."""
         place = self.by_number.get(endpoint)
-        if place is None or endpoint in self.bans.out:
+        if place is None or endpoint in self.bans.banned_numbers:
             return False
         return place.left_at is None or now < place.left_at + self.force.drain_grace_us
 
@@ -139,7 +139,7 @@
             self._open(number, place)
 
     def _open(self, number: int, place: Place) -> None:
-        if number not in self.bans.out:
+        if number not in self.bans.banned_numbers:
             host, _, port = place.address.rpartition(":")
             self.upstream.place(number, host, int(port))
 
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -27,7 +27,7 @@
 from woadyard.errors import ConfigError, PeerError
 from woadyard.interface import MOOT, Arrival, Outcome, Send, Settings
 from woadyard.net.backoff import Backoff
-from woadyard.net.config import address
+from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
 
 CALL_S, LAST_S = 2.0, 0.3
@@ -63,7 +63,7 @@
         rng: random.Random,
     ) -> None:
         self.settings, self.named, self.orders, self.rng = settings, named, orders, rng
-        self.replicas = [address(one.strip()) for one in settings.service.split(",")]
+        self.replicas = [parse_address(one.strip()) for one in settings.service.split(",")]
         self.turn = rng.randrange(len(self.replicas))
         self.position = Position(build=build)
         self.spans = Spans(name, secrets.token_hex(6), now_us(), self.position, settings.spans)
@@ -226,6 +226,6 @@
     if settings is not None:
         for one in settings.service.split(","):
             try:
-                address(one.strip())
+                parse_address(one.strip())
             except ConfigError as error:
                 raise ConfigError(f"audit.service: {error}") from None
--- a/woadyard/net/requests.py
+++ b/woadyard/net/requests.py
@@ -24,7 +24,7 @@
     def take(self, call: Call) -> None:
         self.next_id += 1
         call.id, call.taken = self.next_id, now_us()
-        self.turns.metrics.taken()
+        self.turns.metrics.request_received()
         self.calls[call.id] = call
         loading = call.upload is not None and not call.upload.whole
         if not loading:
@@ -88,7 +88,7 @@
         """The module's word; `after_us` above 0 is told to the caller."""
         if (call := self.open_call(request)) is None:
             return
-        self.turns.metrics.refused()
+        self.turns.metrics.request_rejected()
         if (observer := self.turns.observer) is not None:
             observer.refused(now_us(), request)
         after = b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us > 0 else b""
@@ -106,7 +106,7 @@
     def told(self, call: Call, status: int) -> None:
         """Its final answer is known."""
         now = now_us()
-        self.turns.metrics.answered(status, now - call.taken)
+        self.turns.metrics.response_sent(status, now - call.taken)
         if (observer := self.turns.observer) is not None:
             observer.answered(now, call.id, status)
 
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -86,9 +86,9 @@
     def turn_away(self) -> Answer:
         """The answer to a request that this sidecar takes no more."""
         metrics = self.driver.metrics
-        metrics.taken()
-        metrics.refused()
-        metrics.answered(503, 0)
+        metrics.request_received()
+        metrics.request_rejected()
+        metrics.response_sent(503, 0)
         return Answer(503, b"Retry-After: 1\r\n" if self.driver.settings.retry_after else b"")
 
     def claim(self, name: bytes, expires: int) -> None:
--- a/woadyard/net/sharing.py
+++ b/woadyard/net/sharing.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from woadyard.net.state import endpoint_number
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.shared.affinity import Affinity
 from woadyard.shared.store import Entry
 from woadyard.shared.verdicts import TRUST_ONE, trusts
@@ -26,13 +26,13 @@
         self.affinity = Affinity()
         self.relimit: Callable[[], None] = lambda: None  # tells the caps anew
 
-    def judge(self, ready: set[int], metrics: Quiet) -> dict[int, float]:
+    def judge(self, ready: set[int], metrics: NullMetrics) -> dict[int, float]:
         """Factors below 1 that the other sidecars' verdicts leave, by endpoint."""
         entries = [one for one in self.entries if one.name not in self.distrusted]
         factors = trusts(entries, self.name, ready, self.eject_share)
         if factors != self.factors:
             self.factors = factors
-            metrics.lowered(len(factors))
+            metrics.set_lowered_endpoints(len(factors))
             LOG.info("others' verdicts", extra={"lowered": len(factors), "of": len(ready)})
         # A key stays at its home on one sidecar's word; two move it, at all alike.
         self.affinity.settle(number for number in ready if factors.get(number, 1.0) >= TRUST_ONE)
@@ -42,7 +42,7 @@
 class Trust:
     """One factor for each endpoint, from all that has a say."""
 
-    def __init__(self, shared: Shared | None, metrics: Quiet) -> None:
+    def __init__(self, shared: Shared | None, metrics: NullMetrics) -> None:
         self.shared, self.metrics = shared, metrics
         self.planned: dict[int, float] = {}  # below 1, by endpoint number
 
--- a/woadyard/net/state.py
+++ b/woadyard/net/state.py
@@ -18,10 +18,10 @@
 from typing import IO
 
 # Names that are remembered, the latest: guards memory where endpoints come and go.
-LISTED_MOST = 50_000
+MAX_LISTED_NAMES = 50_000
 LOG = logging.getLogger(__name__)
 # How often the file is looked at: well within the grace of a drain.
-LOOK_S = 0.05
+SYNC_INTERVAL_S = 0.05
 
 
 def endpoint_number(instance: str) -> int:
@@ -41,24 +41,24 @@
     file follows. `changed` is told each endpoint that went out or came back."""
 
     def __init__(self, path: Path | None, changed: Callable[[int, bool], None]) -> None:
-        self.path, self.changed = path, changed
-        self.guard = threading.Lock()
+        self.path, self.on_change = path, changed
+        self.lock = threading.Lock()
         self.listed: dict[str, None] = {}  # the oldest first
         self.banned: dict[str, None] = {}
-        self.out: set[int] = set()  # numbers of those banned
-        self.unsaved = False
-        self.seen: tuple[int, int, int] | None = None  # the file as it was last read
-        self.failed = ""  # the last error that was logged
-        self.look()
+        self.banned_numbers: set[int] = set()  # numbers of those banned
+        self.has_unsaved = False
+        self.last_signature: tuple[int, int, int] | None = None  # the file as it was last read
+        self.last_error = ""  # the last error that was logged
+        self.sync()
 
-    def note(self, instances: Iterable[str]) -> None:
+    def add_listed(self, instances: Iterable[str]) -> None:
         """These were listed: the next look saves it."""
-        with self.guard:
+        with self.lock:
             for instance in instances:
                 if instance not in self.listed:
                     self.listed[instance] = None
-                    self.unsaved = True
-            while len(self.listed) > LISTED_MOST:
+                    self.has_unsaved = True
+            while len(self.listed) > MAX_LISTED_NAMES:
                 del self.listed[next(iter(self.listed))]
 
     def detach(self, instance: str) -> bool:
@@ -69,8 +69,8 @@
         return self._set(instance, False)
 
     def _set(self, instance: str, out: bool) -> bool:
-        self.look()  # the other process may have heard of it first
-        with self.guard:
+        self.sync()  # the other process may have heard of it first
+        with self.lock:
             if instance not in self.listed:
                 return False
             self._apply({**self.banned, instance: None} if out else self._without(instance))
@@ -81,10 +81,10 @@
     def _without(self, instance: str) -> dict[str, None]:
         return {name: None for name in self.banned if name != instance}
 
-    def look(self) -> None:
+    def sync(self) -> None:
         """Take over what another process wrote, and save what is new here."""
-        with self.guard:
-            if self.path is None or (self._signature() == self.seen and not self.unsaved):
+        with self.lock:
+            if self.path is None or (self._signature() == self.last_signature and not self.has_unsaved):
                 return
             self._locked(self._exchange)
 
@@ -104,19 +104,19 @@
                 fcntl.flock(lock, fcntl.LOCK_EX)
                 act()
         except OSError as error:
-            if str(error) != self.failed:  # once for each cause
-                self.failed = str(error)
+            if str(error) != self.last_error:  # once for each cause
+                self.last_error = str(error)
                 LOG.warning("state is not kept", extra={"error": str(error)})
 
     def _exchange(self) -> None:
         self._read()
-        if self.unsaved:
+        if self.has_unsaved:
             self._write()
 
     def _read(self) -> None:
         """A file that can't be read says nothing; the next change writes it anew."""
         assert self.path is not None
-        self.seen = self._signature()
+        self.last_signature = self._signature()
         try:
             raw = json.loads(self.path.read_bytes())
             listed, banned = _texts(raw["listed"]), _texts(raw["banned"])
@@ -125,7 +125,7 @@
         except (OSError, ValueError, KeyError, TypeError) as error:
             LOG.warning("state is not read", extra={"error": f"{type(error).__name__}: {error}"})
             return
-        self.unsaved |= not self.listed.keys() <= listed.keys()
+        self.has_unsaved |= not self.listed.keys() <= listed.keys()
         self.listed = {**listed, **self.listed}
         self._apply(banned)
 
@@ -133,42 +133,42 @@
         before, self.banned = self.banned, banned
         for instance in banned:
             if instance not in before:
-                self.out.add(number := endpoint_number(instance))
-                self.changed(number, True)
+                self.banned_numbers.add(number := endpoint_number(instance))
+                self.on_change(number, True)
         for instance in before:
             if instance not in banned:
-                self.out.discard(number := endpoint_number(instance))
-                self.changed(number, False)
+                self.banned_numbers.discard(number := endpoint_number(instance))
+                self.on_change(number, False)
 
     def _write(self) -> None:
         assert self.path is not None
         aside = self.path.with_suffix(".new")
         aside.write_text(json.dumps({"banned": list(self.banned), "listed": list(self.listed)}))
         os.replace(aside, self.path)
-        self.seen, self.unsaved = self._signature(), False
+        self.last_signature, self.has_unsaved = self._signature(), False
 
 
-class Seats:
+class ProcessSlots:
     """Tells whether a second process of this sidecar runs. Each holds a lock for
     as long as it lives, which the system takes back however it ends."""
 
     def __init__(self, path: Path, changed: Callable[[bool], None]) -> None:
         self.paths = [path.with_suffix(f".seat{n}") for n in (0, 1)]
-        self.changed = changed
-        self.alone = True
-        self.held: IO[str] | None = None
-        self.other: Path | None = None
+        self.on_change = changed
+        self.is_alone = True
+        self.lock_file: IO[str] | None = None
+        self.other_path: Path | None = None
 
-    def look(self) -> None:
+    def poll(self) -> None:
         try:
-            if self.held is None:
+            if self.lock_file is None:
                 self._sit()
-            alone = self.other is None or not self._taken(self.other)
+            alone = self.other_path is None or not self._taken(self.other_path)
         except OSError:
             return  # no folder to meet in
-        if alone != self.alone:
-            self.alone = alone
-            self.changed(alone)
+        if alone != self.is_alone:
+            self.is_alone = alone
+            self.on_change(alone)
 
     def _sit(self) -> None:
         for path, other in (self.paths, self.paths[::-1]):
@@ -178,7 +178,7 @@
             except BlockingIOError:
                 seat.close()
                 continue
-            self.held, self.other = seat, other
+            self.lock_file, self.other_path = seat, other
             return
 
     @staticmethod
--- a/woadyard/net/console.py
+++ b/woadyard/net/threaded_http.py
@@ -21,15 +21,15 @@
 from woadyard.errors import WoadyardError
 
 # Descriptors set aside: the listener, the loop's own, and the callers'.
-VISITORS_MOST = 24
-DESCRIPTORS = VISITORS_MOST + 8
+MAX_CONNECTIONS = 24
+RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 8
 # How long a connection may take to bring its call, and to read the answer.
-VISIT_S, LINGER_S = 3.0, 1.0
-BODY_MAX, HEAD_MAX = 1024, 8 * 1024
+REQUEST_TIMEOUT_S, LINGER_TIMEOUT_S = 3.0, 1.0
+MAX_BODY_BYTES, MAX_HEAD_BYTES = 1024, 8 * 1024
 BACKLOG = 128
 
 
-class CallError(WoadyardError):
+class HttpError(WoadyardError):
     """A call that gets no for an answer; the text says why."""
 
     remedy = "see docs/on-call.md for the door's calls"
@@ -42,21 +42,21 @@
 @dataclass(frozen=True)
 class Route:
     """One call: its method, and what it does with the body, or (`query`) with what stands behind
-    the `?`; `CallError` says no. Bytes are answered as they are."""
+    the `?`; `HttpError` says no. Bytes are answered as they are."""
 
     method: bytes
-    act: Callable[[str], str | bytes]
-    query: bool = False
+    handler: Callable[[str], str | bytes]
+    takes_query: bool = False
 
 
 Routes = dict[bytes, Route]
 
 
-class Visitor(asyncio.Protocol):
+class ThreadedHttpConnection(asyncio.Protocol):
     """One connection of an operator; it carries one call."""
 
-    def __init__(self, console: Console) -> None:
-        self.console = console
+    def __init__(self, console: ThreadedHttpServer) -> None:
+        self.server = console
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.target = self.body = b""
@@ -66,13 +66,13 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.patience = self.console.loop.call_later(VISIT_S, self._out_of_patience)
-        self.console.joined(self)
+        self.patience = self.server.loop.call_later(REQUEST_TIMEOUT_S, self._out_of_patience)
+        self.server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.over = True
         self.patience.cancel()
-        self.console.visitors.pop(self, None)
+        self.server.connections.pop(self, None)
         del self.parser  # it holds the visitor in turn
 
     def data_received(self, data: bytes) -> None:
@@ -83,14 +83,14 @@
             self.parser.feed_data(data)
             if self.whole:
                 self._answer(HTTPStatus.OK, self._act())
-            elif not self.in_body and self.fed > HEAD_MAX:
-                raise CallError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+            elif not self.in_body and self.fed > MAX_HEAD_BYTES:
+                raise HttpError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            self._refuse(cause if isinstance(cause, CallError) else MALFORMED)
+            self._refuse(cause if isinstance(cause, HttpError) else MALFORMED)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._refuse(MALFORMED)
-        except CallError as error:
+        except HttpError as error:
             self._refuse(error)
 
     def on_url(self, url: bytes) -> None:
@@ -106,25 +106,25 @@
 
     def on_body(self, data: bytes) -> None:
         self.body += data
-        if len(self.body) > self.console.body_max:
-            raise CallError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+        if len(self.body) > self.server.max_body_bytes:
+            raise HttpError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def on_message_complete(self) -> None:
         self.whole = True
 
     def _act(self) -> str | bytes:
         path, _, query = self.target.partition(b"?")
-        route = self.console.routes.get(path)
+        route = self.server.routes.get(path)
         if route is None:
-            raise CallError(HTTPStatus.NOT_FOUND, "unknown path")
+            raise HttpError(HTTPStatus.NOT_FOUND, "unknown path")
         if self.parser.get_method() != route.method:
-            raise CallError(HTTPStatus.METHOD_NOT_ALLOWED, f"this call is a {route.method.decode()}")
+            raise HttpError(HTTPStatus.METHOD_NOT_ALLOWED, f"this call is a {route.method.decode()}")
         try:
-            return route.act(query.decode() if route.query else self.body.decode().strip())
+            return route.handler(query.decode() if route.takes_query else self.body.decode().strip())
         except UnicodeDecodeError:
-            raise CallError(HTTPStatus.BAD_REQUEST, "the body is no text") from None
+            raise HttpError(HTTPStatus.BAD_REQUEST, "the body is no text") from None
 
-    def _refuse(self, error: CallError) -> None:
+    def _refuse(self, error: HttpError) -> None:
         self._answer(error.status, f"{error}; {error.remedy}")
 
     def _answer(self, status: HTTPStatus, told: str | bytes) -> None:
@@ -145,11 +145,11 @@
         else:
             self.transport.write_eof()
         self.patience.cancel()
-        self.patience = self.console.loop.call_later(LINGER_S, self.transport.abort)
+        self.patience = self.server.loop.call_later(LINGER_TIMEOUT_S, self.transport.abort)
 
     def _out_of_patience(self) -> None:
         if self.fed:
-            self._refuse(CallError(HTTPStatus.REQUEST_TIMEOUT, "the call did not come whole in time"))
+            self._refuse(HttpError(HTTPStatus.REQUEST_TIMEOUT, "the call did not come whole in time"))
         else:
             self.drop()
 
@@ -159,10 +159,10 @@
             self.transport.abort()
 
 
-MALFORMED = CallError(HTTPStatus.BAD_REQUEST, "malformed")
+MALFORMED = HttpError(HTTPStatus.BAD_REQUEST, "malformed")
 
 
-class Console:
+class ThreadedHttpServer:
     """The listener, and the thread that serves it; the looks are taken there every so often."""
 
     def __init__(
@@ -170,19 +170,24 @@
         routes: Routes,
         looks: Sequence[Callable[[], None]] = (),
         every_s: float = 1.0,
-        body_max: int = BODY_MAX,
+        body_max: int = MAX_BODY_BYTES,
     ) -> None:
-        self.routes, self.looks, self.every_s, self.body_max = routes, looks, every_s, body_max
-        self.visitors: dict[Visitor, None] = {}  # the longest here first
+        self.routes, self.periodic_tasks, self.period_s, self.max_body_bytes = (
+            routes,
+            looks,
+            every_s,
+            body_max,
+        )
+        self.connections: dict[ThreadedHttpConnection, None] = {}  # the longest here first
         self.loop = uvloop.new_event_loop()
         self.thread = threading.Thread(target=self._run, name="console", daemon=True)
-        self.listening: socket.socket | None = None
+        self.listening_socket: socket.socket | None = None
 
     def open(self, host: str, port: int) -> int:
         """Listen, and serve from now on; OSError where the address can't be used."""
-        self.listening = socket.create_server((host, port), backlog=BACKLOG)
+        self.listening_socket = socket.create_server((host, port), backlog=BACKLOG)
         self.thread.start()
-        return int(self.listening.getsockname()[1])
+        return int(self.listening_socket.getsockname()[1])
 
     def close(self) -> None:
         self.loop.call_soon_threadsafe(self.loop.stop)
@@ -192,20 +197,22 @@
     def _run(self) -> None:
         asyncio.set_event_loop(self.loop)
         self.loop.run_until_complete(
-            self.loop.create_server(lambda: Visitor(self), sock=self.listening, backlog=BACKLOG)
+            self.loop.create_server(
+                lambda: ThreadedHttpConnection(self), sock=self.listening_socket, backlog=BACKLOG
+            )
         )
         self._look()
         self.loop.run_forever()
 
     def _look(self) -> None:
-        for look in self.looks:
+        for look in self.periodic_tasks:
             look()
-        self.loop.call_later(self.every_s, self._look)
+        self.loop.call_later(self.period_s, self._look)
 
-    def joined(self, visitor: Visitor) -> None:
+    def add_connection(self, visitor: ThreadedHttpConnection) -> None:
         """One more; where that is too many, the one longest here gives way."""
-        self.visitors[visitor] = None
-        if len(self.visitors) > VISITORS_MOST:
-            oldest = next(iter(self.visitors))
-            del self.visitors[oldest]
+        self.connections[visitor] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]
             oldest.drop()
--- a/woadyard/net/turns.py
+++ b/woadyard/net/turns.py
@@ -18,7 +18,7 @@
 from woadyard.interface import Action
 from woadyard.net.message import Call
 from woadyard.net.observe import Observer
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.policy import Balancer
 
 LOG = logging.getLogger(__name__)
@@ -39,7 +39,7 @@
         balancer: Balancer,
         act: Callable[[Action], None],
         failed: Callable[[Call], None],
-        metrics: Quiet,
+        metrics: NullMetrics,
     ) -> None:
         self.loop, self.balancer, self.metrics = loop, balancer, metrics
         self.act, self.failed = act, failed
--- a/woadyard/ops/logs.py
+++ b/woadyard/ops/logs.py
@@ -3,7 +3,7 @@
 Each line has `time` (ISO 8601, UTC), `level`, `logger`, `event` and the fields
 the caller passed as `extra`. An event repeated faster than its budget is
 suppressed; the number suppressed rides on its next line that passes, and
-`RateLimit.flush` says it where that line never comes.
+`RateLimitFilter.log_suppressed` says it where that line never comes.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 
 @dataclass
-class Budget:
+class EventBudget:
     """What one event has spent in its window, and what it held back."""
 
-    since: float
-    spent: int = 0
+    window_start_s: float
+    passed: int = 0
     suppressed: int = 0
 
 
-class RateLimit(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Lets `burst` records of each event through per `window_s` seconds.
 
     It holds back what peers bring about, from the loggers below `woadyard`;
@@ -44,25 +44,25 @@
     def __init__(self, burst: int = BURST, window_s: float = WINDOW_S) -> None:
         super().__init__()
         self.burst, self.window_s = burst, window_s
-        self.budgets: dict[tuple[str, str], Budget] = {}
+        self.budgets: dict[tuple[str, str], EventBudget] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
         if record.name == ROOT or record.__dict__.get("summary"):
             return True  # the wiring's own: a start, a reload, an operator's act
         key = (record.name, str(record.msg))
         budget = self.budgets.get(key)
-        if budget is None or record.created - budget.since >= self.window_s:
+        if budget is None or record.created - budget.window_start_s >= self.window_s:
             held = budget.suppressed if budget is not None else 0
-            budget = self.budgets[key] = Budget(record.created, suppressed=held)
-        if budget.spent >= self.burst:
+            budget = self.budgets[key] = EventBudget(record.created, suppressed=held)
+        if budget.passed >= self.burst:
             budget.suppressed += 1
             return False
-        budget.spent += 1
+        budget.passed += 1
         if budget.suppressed:
             record.suppressed, budget.suppressed = budget.suppressed, 0
         return True
 
-    def flush(self, log: logging.Logger) -> int:
+    def log_suppressed(self, log: logging.Logger) -> int:
         """Say what was held back and has not been said; returns that count."""
         total = 0
         for (name, event), budget in self.budgets.items():
@@ -76,34 +76,34 @@
         return total
 
 
-def formatter() -> logging.Formatter:
+def build_formatter() -> logging.Formatter:
     return JsonFormatter(
         "%(asctime)s %(levelname)s %(name)s %(message)s",
         rename_fields={"asctime": "time", "levelname": "level", "name": "logger", "message": "event"},
         datefmt="%Y-%m-%dT%H:%M:%S%z",
-        reserved_attrs=[*RESERVED, "summary"],
+        reserved_attrs=[*RESERVED_ATTRIBUTES, "summary"],
     )
 
 
-RESERVED = (
+RESERVED_ATTRIBUTES = (
     "args", "created", "exc_info", "exc_text", "filename", "funcName", "levelno", "lineno", "module", "msecs",
     "msg", "pathname", "process", "processName", "relativeCreated", "stack_info", "thread",
     "threadName", "taskName",
 )  # fmt: skip
 
 
-def setup(level: str = "info", stream: TextIO | None = None) -> RateLimit:
+def setup(level: str = "info", stream: TextIO | None = None) -> RateLimitFilter:
     """Send the `woadyard` loggers' lines to `stream` (stderr), from `level` up.
 
-    Returns the filter, whose `flush` the caller runs now and then. Called
+    Returns the filter, whose `log_suppressed` the caller runs now and then. Called
     again, as at a reload, it replaces what an earlier call set.
     """
     log = logging.getLogger(ROOT)
     for old in list(log.handlers):
         log.removeHandler(old)
     handler = logging.StreamHandler(stream or sys.stderr)
-    handler.setFormatter(formatter())
-    limit = RateLimit()
+    handler.setFormatter(build_formatter())
+    limit = RateLimitFilter()
     handler.addFilter(limit)
     log.addHandler(handler)
     log.setLevel(level.upper())
--- a/woadyard/ops/metrics.py
+++ b/woadyard/ops/metrics.py
@@ -2,7 +2,7 @@
 
 `Metrics` keeps them with `prometheus_client` in a registry of its own, so
 that several sidecars in one process (as in tests) count apart; `render` gives
-the Prometheus text format 0.0.4. `Quiet` takes the same calls and keeps
+the Prometheus text format 0.0.4. `NullMetrics` takes the same calls and keeps
 nothing, for a process without a door, where nobody could read them.
 Times are in microseconds in the calls, seconds in the output.
 """
@@ -22,59 +22,59 @@
 US = 1e-6
 
 
-class Quiet:
+class NullMetrics:
     """Takes every count and keeps none."""
 
-    def taken(self) -> None:
+    def request_received(self) -> None:
         """A request taken from a caller."""
 
-    def answered(self, status: int, took_us: int) -> None:
+    def response_sent(self, status: int, took_us: int) -> None:
         """Its final answer, `took_us` after it was taken."""
 
-    def sent(self, copy: int) -> None:
+    def attempt_sent(self, copy: int) -> None:
         """An attempt sent on; `copy` counts from 0, so above it is a retry."""
 
-    def ended(self, outcome: int, took_us: int) -> None:
+    def attempt_ended(self, outcome: int, took_us: int) -> None:
         """An attempt's outcome (`woadyard.interface.OK` and the others)."""
 
-    def refused(self) -> None:
+    def request_rejected(self) -> None:
         """A request refused by admission, with no attempt."""
 
-    def malformed(self, status: int) -> None:
+    def request_malformed(self, status: int) -> None:
         """A request turned down before it was taken, with a 4xx."""
 
-    def banned(self, out: bool) -> None:
+    def ban_changed(self, out: bool) -> None:
         """An endpoint taken out (True) or put back by an operator."""
 
-    def listed(self, mode: int, version: int) -> None:
+    def list_received(self, mode: int, version: int) -> None:
         """A list, or its failure, and the version it brings."""
 
-    def held_back(self, count: int) -> None:
+    def set_held_endpoints(self, count: int) -> None:
         """Endpoints that lists lost and that are still used (the panic threshold)."""
 
-    def peers(self, count: int) -> None:
+    def set_peers(self, count: int) -> None:
         """Sidecars that share state with this one."""
 
-    def exchanged(self, result: str, sent: int, got: int) -> None:
+    def exchange_ended(self, result: str, sent: int, got: int) -> None:
         """An exchange with a peer (done, refused or failed) and its bodies' bytes."""
 
-    def lowered(self, count: int) -> None:
+    def set_lowered_endpoints(self, count: int) -> None:
         """Endpoints whose weight others' verdicts lower."""
 
-    def zone(self, name: str) -> None:
+    def zone_attempt_sent(self, name: str) -> None:
         """An attempt sent to an endpoint of this zone, where zones are chosen."""
 
-    def shares(self, count: int) -> None:
+    def set_shares(self, count: int) -> None:
         """Attempts that may be out from here by the shares held, over all endpoints."""
 
-    def violated(self, rule: str) -> None:
+    def invariant_violated(self, rule: str) -> None:
         """A rule that was broken all the same (`woadyard.net.invariants`)."""
 
     def render(self) -> str:
         return ""
 
 
-class Metrics(Quiet):
+class Metrics(NullMetrics):
     """The counts of one sidecar; every call takes a lock or two, no I/O."""
 
     def __init__(self) -> None:
@@ -128,59 +128,59 @@
         )
         self.share_count = Gauge("woadyard_shares", "Shares of limits held", registry=registry)
 
-    def taken(self) -> None:
+    def request_received(self) -> None:
         self.requests.inc()
 
-    def answered(self, status: int, took_us: int) -> None:
+    def response_sent(self, status: int, took_us: int) -> None:
         if (child := self.by_status.get(status)) is None:
             child = self.by_status[status] = self.answers(str(status))
         child.inc()
         self.request_seconds.observe(took_us * US)
 
-    def sent(self, copy: int) -> None:
+    def attempt_sent(self, copy: int) -> None:
         self.attempts.inc()
         if copy:
             self.retries.inc()
 
-    def ended(self, outcome: int, took_us: int) -> None:
+    def attempt_ended(self, outcome: int, took_us: int) -> None:
         self.outcomes[outcome].inc()
         self.attempt_seconds.observe(took_us * US)
 
-    def refused(self) -> None:
+    def request_rejected(self) -> None:
         self.refusals.inc()
 
-    def malformed(self, status: int) -> None:
+    def request_malformed(self, status: int) -> None:
         self.malformed_by(str(status)).inc()
 
-    def banned(self, out: bool) -> None:
+    def ban_changed(self, out: bool) -> None:
         self.bans[0 if out else 1].inc()
 
-    def listed(self, mode: int, version: int) -> None:
+    def list_received(self, mode: int, version: int) -> None:
         self.lists[mode].inc()
         if mode != LIST_FAILED:
             self.version.set(version)
 
-    def held_back(self, count: int) -> None:
+    def set_held_endpoints(self, count: int) -> None:
         self.held.set(count)
 
-    def peers(self, count: int) -> None:
+    def set_peers(self, count: int) -> None:
         self.peer_count.set(count)
 
-    def exchanged(self, result: str, sent: int, got: int) -> None:
+    def exchange_ended(self, result: str, sent: int, got: int) -> None:
         self.exchanges[result].inc()
         self.told[0].inc(sent)
         self.told[1].inc(got)
 
-    def lowered(self, count: int) -> None:
+    def set_lowered_endpoints(self, count: int) -> None:
         self.lowered_count.set(count)
 
-    def zone(self, name: str) -> None:
+    def zone_attempt_sent(self, name: str) -> None:
         self.zones(name).inc()
 
-    def shares(self, count: int) -> None:
+    def set_shares(self, count: int) -> None:
         self.share_count.set(count)
 
-    def violated(self, rule: str) -> None:
+    def invariant_violated(self, rule: str) -> None:
         self.violations.labels(rule).inc()
 
     def render(self) -> str:
--- a/woadyard/registry/answers.py
+++ b/woadyard/registry/answers.py
@@ -13,7 +13,7 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.errors import PeerError, PlanError, RecordError, StateError, TraceError, WoadyardError
+from woadyard.errors import LogEntryError, PeerError, PlanError, StateError, TraceError, WoadyardError
 from woadyard.registry.refusal import Refusal
 from woadyard.registry.service import DeposedError, LeaderlessError, Registry, UnsettledError
 
@@ -21,7 +21,7 @@
 T = TypeVar("T")
 # The status of an error of a call; the first that fits.
 STATUS: tuple[tuple[type[WoadyardError], int], ...] = (
-    (DeposedError, 503), (UnsettledError, 503), (StateError, 507), (RecordError, 400), (PeerError, 400),
+    (DeposedError, 503), (UnsettledError, 503), (StateError, 507), (LogEntryError, 400), (PeerError, 400),
     (PlanError, 409), (TraceError, 422),
 )  # fmt: skip
 TERM_HEADER = "X-Term"  # LINEAGE:TERM, of the log that the caller acts on
--- a/woadyard/registry/book.py
+++ b/woadyard/registry/book.py
@@ -20,7 +20,7 @@
     name: str
 
     def check(self, record: Record) -> None:
-        """Raises `RecordError` where `apply` would; changes nothing."""
+        """Raises `LogEntryError` where `apply` would; changes nothing."""
 
     def apply(self, record: Record) -> bool:
         """Apply one record that `check` passed; True where readers see a change."""
@@ -29,7 +29,7 @@
         """All of it as plain JSON values, for a snapshot."""
 
     def load(self, raw: Any) -> None:
-        """Take a dump's place; `RecordError` where it is none, and nothing changed."""
+        """Take a dump's place; `LogEntryError` where it is none, and nothing changed."""
 
 
 @runtime_checkable
--- a/woadyard/registry/command.py
+++ b/woadyard/registry/command.py
@@ -14,7 +14,7 @@
 
 from woadyard.audit.straggler import Rules
 from woadyard.errors import ConfigError, WoadyardError
-from woadyard.net.config import address, addresses
+from woadyard.net.config import parse_address, parse_addresses
 from woadyard.ops import logs
 from woadyard.registry import add_arguments
 from woadyard.registry.elector import Elector, members
@@ -66,7 +66,7 @@
         if not arguments.take_over and elector is None:
             await peers.ask()  # one of them may have taken this one's place while it was down
         more = elector.routes() if elector is not None else ()
-        await serve(registry, *address(arguments.listen), listening, more)
+        await serve(registry, *parse_address(arguments.listen), listening, more)
     except asyncio.CancelledError:
         LOG.info("stopped", extra={"index": registry.host.applied})
     finally:
@@ -96,11 +96,11 @@
 def start(arguments: argparse.Namespace) -> int:
     logs.setup()
     try:
-        address(arguments.listen)
+        parse_address(arguments.listen)
         if arguments.follow is not None:
-            address(arguments.follow)
+            parse_address(arguments.follow)
         if arguments.peers:
-            addresses(arguments.peers)
+            parse_addresses(arguments.peers)
         plans = read_plans(arguments.plans) if arguments.plans is not None else None
         registry = Registry(Journal(arguments.data), writer=arguments.follow, copies=arguments.copies)
         if arguments.audit_rules is not None:
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -22,7 +22,7 @@
 from prometheus_client import Counter, Gauge
 
 from woadyard.errors import ConfigError, PeerError, StateError
-from woadyard.net.config import address
+from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
 from woadyard.registry.answers import answer, body
 from woadyard.registry.ballots import Ballots
@@ -47,7 +47,7 @@
     if not others:
         raise ConfigError("--elect needs the other members", "name them in --peers, HOST:PORT,HOST:PORT")
     for one in others:
-        address(one)
+        parse_address(one)
     return others
 
 
@@ -178,7 +178,7 @@
         path = VOTE_PATH if isinstance(message, Ask) else BEAT_PATH
         raw = msgspec.json.encode(message)
         try:
-            status, back = await fetch(address(peer), "POST", path, raw, timeout_s=CALL_S)
+            status, back = await fetch(parse_address(peer), "POST", path, raw, timeout_s=CALL_S)
             if status != HTTPStatus.OK:
                 self._refused(peer, status, back)
                 return
--- a/woadyard/registry/follow.py
+++ b/woadyard/registry/follow.py
@@ -19,10 +19,10 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from woadyard.errors import ConfigError, RecordError, StateError
+from woadyard.errors import ConfigError, LogEntryError, StateError
 from woadyard.lists import ListBook
 from woadyard.net.backoff import Backoff
-from woadyard.net.config import address
+from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
 from woadyard.registry.books import books
 from woadyard.registry.host import Host
@@ -67,7 +67,7 @@
             began = self.clock()
             try:
                 await self.step(self.registry.writer)
-            except (FetchError, RecordError, StateError, ValueError, KeyError, TypeError) as error:
+            except (FetchError, LogEntryError, StateError, ValueError, KeyError, TypeError) as error:
                 self._lost(error)
                 await asyncio.sleep(self.backoff.next_s())
             else:
@@ -103,13 +103,13 @@
         if found.writer is not None and self.registry.election is None:  # who leads is elected
             _address(found.writer)
             self.registry.writer = found.writer
-        raise RecordError(f"the writer answers {status}: {found.error}", found.remedy)
+        raise LogEntryError(f"the writer answers {status}: {found.error}", found.remedy)
 
     def take(self, told: dict[str, Any]) -> None:
-        """Replay records in their order, or install a state; RecordError on any gap."""
+        """Replay records in their order, or install a state; LogEntryError on any gap."""
         registry = self.registry
         if (term := int(told.get("term", 0))) < registry.seen:
-            raise RecordError(
+            raise LogEntryError(
                 f"the writer is at term {term}, older than {registry.seen}",
                 "follow the process that leads now",
             )
@@ -121,7 +121,7 @@
             return
         for record in told["records"]:
             if record["seq"] != registry.host.applied + 1:
-                raise RecordError(f"record {record['seq']} after {registry.host.applied}")
+                raise LogEntryError(f"record {record['seq']} after {registry.host.applied}")
             registry.replay(record)
 
     def _say_lost(self, new: Host, marks: list[Any]) -> None:
@@ -156,6 +156,6 @@
 
 def _address(text: str) -> tuple[str, int]:
     try:
-        return address(text)
+        return parse_address(text)
     except ConfigError as error:
-        raise RecordError(str(error)) from None
+        raise LogEntryError(str(error)) from None
--- a/woadyard/registry/host.py
+++ b/woadyard/registry/host.py
@@ -23,7 +23,7 @@
 
 import xxhash
 
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.registry.book import Book, Led, Record
 
 LEAD = "lead"
@@ -54,22 +54,22 @@
         self.chain = NO_CHAIN
 
     def check(self, record: Record) -> None:
-        """Raises `RecordError` where `apply` would; changes nothing."""
+        """Raises `LogEntryError` where `apply` would; changes nothing."""
         term, at = record.get("term", 0), record.get("at", 0)
         if type(term) is not int or type(at) is not int or not 0 <= term < TERM_MOST:
-            raise RecordError("a record's term or time is no number")
+            raise LogEntryError("a record's term or time is no number")
         if record.get("op") == LEAD:
             self._check_lead(record, term)
             return
         if term != self.term:
-            raise RecordError(f"a record of term {term} in term {self.term}")
+            raise LogEntryError(f"a record of term {term} in term {self.term}")
         self._book(record).check(record)
 
     def _check_lead(self, record: Record, term: int) -> None:
         if not isinstance(record.get("lineage"), str) or self.lineage not in ("", record["lineage"]):
-            raise RecordError("the log is of another lineage")
+            raise LogEntryError("the log is of another lineage")
         if term <= self.term and (term or self.term):
-            raise RecordError(f"term {term} can't begin in term {self.term}")
+            raise LogEntryError(f"term {term} can't begin in term {self.term}")
 
     def _book(self, record: Record) -> Book:
         # Logs from before the books have holds without a name.
@@ -77,11 +77,11 @@
         book = self.books.get(name) if isinstance(name, str) else None
         if book is None:
             remedy = "run a build that knows the book, here and at every replica"
-            raise RecordError(f"no such book: {name!r}", remedy)
+            raise LogEntryError(f"no such book: {name!r}", remedy)
         return book
 
     def apply(self, record: Record) -> bool:
-        """Apply one record; True where readers of its book see a change. `RecordError`,
+        """Apply one record; True where readers of its book see a change. `LogEntryError`,
         and then nothing of it was applied."""
         self.check(record)
         if record["op"] == LEAD:
@@ -106,7 +106,7 @@
         }  # fmt: skip
 
     def load(self, raw: Any) -> None:
-        """Take a dump's place. `RecordError` where it is none: this host is then of no
+        """Take a dump's place. `LogEntryError` where it is none: this host is then of no
         more use. A book that the dump does not name stays empty."""
         if isinstance(raw, dict) and "books" not in raw:
             raw = _from_before_books(raw)
@@ -115,9 +115,9 @@
             lineage, chain, dumps = str(raw["lineage"]), str(raw["chain"]), dict(raw["books"])
             leader = str(raw.get("leader", ""))
         except (KeyError, TypeError, ValueError) as error:
-            raise RecordError(f"no snapshot: {error!r}") from None
+            raise LogEntryError(f"no snapshot: {error!r}") from None
         if strange := sorted(dumps.keys() - self.books.keys()):
-            raise RecordError(
+            raise LogEntryError(
                 f"the snapshot has a book that this build does not know: {strange[0]!r}",
                 "run the build that wrote it; its files are as they were",
             )
--- a/woadyard/registry/log.py
+++ b/woadyard/registry/log.py
@@ -44,7 +44,7 @@
 
     def recover(self, host: Host) -> None:
         """Bring an empty `host` to what the files hold; a torn tail is cut off the log.
-        `RecordError` where a whole record can't be applied: the files stay as they are."""
+        `LogEntryError` where a whole record can't be applied: the files stay as they are."""
         self.folder.mkdir(parents=True, exist_ok=True)
         if self.snapshot_path.exists():
             host.load(_read_json(self.snapshot_path))
@@ -68,7 +68,7 @@
     def append(self, host: Host, record: dict[str, Any]) -> bool:
         """Write the record, then apply it; the write comes first, so that
         nothing is served that a restart would not bring back."""
-        host.check(record)  # RecordError before anything is written
+        host.check(record)  # LogEntryError before anything is written
         record = {**record, "seq": host.applied + 1}
         payload = json.dumps(record, separators=(",", ":")).encode()
         self._write(FRAME.pack(len(payload), zlib.crc32(payload)) + payload)
--- a/woadyard/registry/peers.py
+++ b/woadyard/registry/peers.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from woadyard.net.config import address
+from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
 from woadyard.registry.answers import TERM_HEADER
 from woadyard.registry.replication import TERM_PATH, Standing
@@ -42,7 +42,9 @@
         lineage = registry.host.lineage
         headers = f"{TERM_HEADER}: {lineage}:{registry.seen}\r\n" if lineage else ""
         try:
-            status, body = await fetch(address(peer), "GET", TERM_PATH, timeout_s=CALL_S, headers=headers)
+            status, body = await fetch(
+                parse_address(peer), "GET", TERM_PATH, timeout_s=CALL_S, headers=headers
+            )
             standing = msgspec.json.decode(body, type=Standing) if status == 200 else None
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
             return
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -19,7 +19,7 @@
 from typing import Any, TypeVar
 
 from woadyard.audit.straggler import Rules
-from woadyard.errors import RecordError, StateError
+from woadyard.errors import LogEntryError, StateError
 from woadyard.registry.book import Book, Record, Timed
 from woadyard.registry.books import books
 from woadyard.registry.copies import Copies
@@ -159,14 +159,14 @@
         self.waiters.wake(LOG_TOPIC, COPIES_TOPIC)
 
     def commit(self, record: Record) -> int:
-        """Log and apply a record, at this process's term and time; its index. `RecordError`
+        """Log and apply a record, at this process's term and time; its index. `LogEntryError`
         where its book turns it down, `DeposedError` where this process leads no more,
         `StateError` where the disk refuses it; nothing of it was then applied."""
         try:
             if not self.leads:
                 raise self._deposed(f"this process does not write: it is at term {self.host.term}")
             self.replay({**record, "term": self.host.term, "at": self.clock()})
-        except RecordError:
+        except LogEntryError:
             self.counts.writes.labels("refused").inc()
             raise
         except StateError:
@@ -215,7 +215,7 @@
         """`commit`, as an HTTP status and a body in JSON."""
         try:
             index = self.commit(record)
-        except RecordError as error:
+        except LogEntryError as error:
             return 400, json.dumps(error.fields())
         except DeposedError as error:
             return 503, json.dumps(error.fields())
@@ -224,7 +224,7 @@
         return 200, json.dumps({"index": index, "term": self.host.term})
 
     def replay(self, record: dict[str, Any]) -> None:
-        """Log and apply one record as it is; RecordError, or StateError of the disk."""
+        """Log and apply one record as it is; LogEntryError, or StateError of the disk."""
         try:
             changed = self.journal.append(self.host, record)
         except OSError as error:
@@ -259,7 +259,7 @@
             return
         try:
             self.commit(record)
-        except (RecordError, StateError) as error:
+        except (LogEntryError, StateError) as error:
             LOG.error("what came due can't be written", extra=error.fields())
             self.timer = asyncio.get_running_loop().call_later(AGAIN_S, self.arm)
 
@@ -318,12 +318,12 @@
 
     def log_after(self, index: int, chain: str, lineage: str) -> dict[str, Any]:
         """What a replica lacks whose log has the running hash `chain` behind record `index`:
-        records, or the state whole where that is no part of this log. RecordError where it
+        records, or the state whole where that is no part of this log. LogEntryError where it
         is a replica of another log."""
         host, tail = self.host, self.journal.tail
         if lineage not in ("", host.lineage):
             remedy = "follow the writer of that log, or begin anew in an empty folder"
-            raise RecordError("the replica's log is of another lineage", remedy)
+            raise LogEntryError("the replica's log is of another lineage", remedy)
         told: dict[str, Any] = {"applied": host.applied, "lineage": host.lineage, "term": host.term}
         if tail.chain_at(index) == chain:
             return {**told, "records": tail.after(index, RECORDS_MOST)}
--- a/woadyard/standins/__main__.py
+++ b/woadyard/standins/__main__.py
@@ -78,7 +78,7 @@
 async def endpoint(options: argparse.Namespace) -> None:
     fields = tuple(filter(None, options.load.split(",")))
     one = StandIn(options.name, asked(options), options.seed, fields)
-    await one.start(*config.address(options.listen))
+    await one.start(*config.parse_address(options.listen))
     LOG.info("listening", extra={"port": one.port, "as": one.name, "kind": options.kind})
     if options.discovery is None:
         await ended()
@@ -98,9 +98,9 @@
 
 
 async def proxy(options: argparse.Namespace) -> None:
-    host, port = config.address(options.target)
+    host, port = config.parse_address(options.target)
     relay = FaultProxy(port, host, seed=options.seed)
-    relay.host, at = config.address(options.listen)
+    relay.host, at = config.parse_address(options.listen)
     await relay.start(at)
     if options.delay_ms is not None:
         relay.fault(DELAY, delay_s=options.delay_ms)
--- a/woadyard/whatif/planner.py
+++ b/woadyard/whatif/planner.py
@@ -20,7 +20,7 @@
 from woadyard.audit.ledger import AuditBook
 from woadyard.audit.position import parse
 from woadyard.audit.questions import live
-from woadyard.errors import RecordError, StateError, TraceError, WoadyardError
+from woadyard.errors import LogEntryError, StateError, TraceError, WoadyardError
 from woadyard.lists import ListBook
 from woadyard.registry.service import Registry
 from woadyard.whatif.doors import Door, pull_all
@@ -81,7 +81,7 @@
                     await self._judge(plan)
                 elif plan.state == ROLLING:
                     await self._roll(plan)
-            except (RecordError, StateError) as error:
+            except (LogEntryError, StateError) as error:
                 LOG.warning("plans: not written", extra=error.fields())
             except Exception:
                 LOG.exception("plans: a fault")
--- a/woadyard/whatif/plans.py
+++ b/woadyard/whatif/plans.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from woadyard.errors import PlanError, RecordError
+from woadyard.errors import LogEntryError, PlanError
 from woadyard.registry.book import Record
 from woadyard.whatif.weights import check_weights
 
@@ -102,7 +102,7 @@
             return
         plan = self.active
         if plan is None or record.get("revision") != plan.revision:
-            raise RecordError(f"no plan {record.get('revision')} is under way", "see GET /registry/plans")
+            raise LogEntryError(f"no plan {record.get('revision')} is under way", "see GET /registry/plans")
         match op:
             case "judge":
                 self._need(plan, PROPOSED, JUDGED)
@@ -110,7 +110,7 @@
             case "force":
                 self._need(plan, PROPOSED, JUDGED)
                 if not isinstance(record.get("reason"), str) or not record["reason"].strip():
-                    raise RecordError("a plan is forced only with a reason", "say why in `reason`")
+                    raise LogEntryError("a plan is forced only with a reason", "say why in `reason`")
             case "begin":
                 self._need(plan, PROPOSED, JUDGED)
                 self._check_gate(plan, record)
@@ -118,42 +118,42 @@
             case "stage":
                 self._need(plan, ROLLING)
                 if record.get("stage") != plan.stage + 1 or plan.stage + 1 >= len(plan.stages):
-                    raise RecordError(f"stage {record.get('stage')} does not follow {plan.stage}")
+                    raise LogEntryError(f"stage {record.get('stage')} does not follow {plan.stage}")
                 _cut(record)
             case "done":
                 self._need(plan, ROLLING)
                 if plan.stage != len(plan.stages) - 1:
-                    raise RecordError(f"the plan is done after stage {len(plan.stages) - 1}")
+                    raise LogEntryError(f"the plan is done after stage {len(plan.stages) - 1}")
             case "halt":
                 self._need(plan, ROLLING)
             case "withdraw" | "again":
                 self._need(plan, PROPOSED, JUDGED)
             case _:
-                raise RecordError(f"no record of plans: {op!r}")
+                raise LogEntryError(f"no record of plans: {op!r}")
 
     @staticmethod
     def _need(plan: Plan, *states: str) -> None:
         if plan.state not in states:
-            raise RecordError(f"plan {plan.revision} is {plan.state}")
+            raise LogEntryError(f"plan {plan.revision} is {plan.state}")
 
     def _check_proposal(self, record: Record) -> None:
         if self.active is not None:
             what = f"plan {self.active.revision} is {self.active.state}: there is one plan at a time"
-            raise RecordError(what, "wait for it, withdraw it, or halt it")
+            raise LogEntryError(what, "wait for it, withdraw it, or halt it")
         try:
             check_weights(record.get("weights"))
             stages = msgspec.convert(record.get("stages"), list[float])
         except (PlanError, msgspec.ValidationError) as error:
-            raise RecordError(f"no plan: {error}") from None
+            raise LogEntryError(f"no plan: {error}") from None
         rising = all(low < high for low, high in zip([0.0, *stages], stages, strict=False))
         if not stages or len(stages) > 16 or not rising or stages[-1] != 1.0:
-            raise RecordError("stages rise from above 0 to 1")
+            raise LogEntryError("stages rise from above 0 to 1")
 
     @staticmethod
     def _check_verdict(plan: Plan, record: Record) -> None:
         verdict = _judgement(record)
         if verdict.plan != plan.digest:
-            raise RecordError("the verdict is for another plan", "have this plan judged")
+            raise LogEntryError("the verdict is for another plan", "have this plan judged")
 
     @staticmethod
     def _check_gate(plan: Plan, record: Record) -> None:
@@ -162,13 +162,13 @@
             return
         verdict, remedy = plan.verdict, "have the plan judged again, or force it with a reason"
         if verdict is None:
-            raise RecordError("the plan has no verdict", remedy)
+            raise LogEntryError("the plan has no verdict", remedy)
         if verdict.state not in LETS_OUT:
-            raise RecordError(f"the verdict is {verdict.state}: {verdict.reason}", remedy)
+            raise LogEntryError(f"the verdict is {verdict.state}: {verdict.reason}", remedy)
         if not isinstance(record.get("list"), str) or record["list"] != verdict.list:
-            raise RecordError("the verdict is for another list", remedy)
+            raise LogEntryError("the verdict is for another list", remedy)
         if int(record.get("at", 0)) - verdict.at > verdict.age_us:
-            raise RecordError("the verdict is too old", remedy)
+            raise LogEntryError("the verdict is too old", remedy)
 
     def apply(self, record: Record) -> bool:
         op = record["op"]
@@ -223,7 +223,7 @@
         try:
             told = msgspec.convert(raw, _Dump)
         except msgspec.ValidationError as error:
-            raise RecordError(f"no dump of plans: {error}") from None
+            raise LogEntryError(f"no dump of plans: {error}") from None
         self.next, self.force, self.active = told.next, told.force, told.active
         self.history, self.widen, self.dropped = told.history, told.widen, told.dropped
 
@@ -250,7 +250,7 @@
 def _cut(record: Record) -> int:
     cut = record.get("cut")
     if type(cut) is not int or not 0 <= cut <= SPOTS:
-        raise RecordError(f"no cut of the sidecars: {cut!r}")
+        raise LogEntryError(f"no cut of the sidecars: {cut!r}")
     return cut
 
 
@@ -258,4 +258,4 @@
     try:
         return msgspec.convert(record.get("verdict"), Judgement)
     except msgspec.ValidationError as error:
-        raise RecordError(f"no verdict: {error}") from None
+        raise LogEntryError(f"no verdict: {error}") from None
--- a/woadyard/whatif/service.py
+++ b/woadyard/whatif/service.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 
 from woadyard.audit.service import audit_of
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.registry.answers import Handler, answer, at_writer, body
 from woadyard.registry.service import Registry
 from woadyard.whatif.planner import acting, list_digest
@@ -49,7 +49,7 @@
     def revision(request: web.Request) -> int:
         raw = request.match_info["revision"]
         if not raw.isdecimal() or len(raw) > 15:
-            raise RecordError(f"no revision: {raw[:40]!r}", "see GET /registry/plans")
+            raise LogEntryError(f"no revision: {raw[:40]!r}", "see GET /registry/plans")
         return int(raw)
 
     async def told(request: web.Request) -> web.StreamResponse:
