--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: `check-config` says what a start or a SIGHUP would say."""
+"""The command line: `check-config` prints the errors that a start or a SIGHUP would log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.sockets import SETTINGS, Registry, run
 
 CLASS = SETTINGS["classes"][0]
-# Each turned down by SIGHUP; the last three also by the start.
+# SIGHUP rejects each of them; the last three stop a start too.
 BAD_RELOADS: list[dict[str, Any] | bytes] = [
     b"",
     b"[]",
@@ -31,26 +31,28 @@
 BAD_STARTS: list[dict[str, Any]] = [{"listen": "nowhere"}, {"seed": "xyz"}, {"log-level": 3}]
 
 
-async def check_config(path: Path, *more: str) -> tuple[int | None, list[str]]:
+async def check_config(path: Path, *options: str) -> tuple[int | None, list[str]]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "woadyard", "check-config", str(path), *more, stdout=asyncio.subprocess.PIPE
+        sys.executable, "-m", "woadyard", "check-config", str(path), *options, stdout=asyncio.subprocess.PIPE
     )
-    out, _ = await process.communicate()
-    return process.returncode, out.decode().splitlines()
+    output, _ = await process.communicate()
+    return process.returncode, output.decode().splitlines()
 
 
-async def said_by_wiring(stderr: asyncio.StreamReader) -> dict[str, Any]:
-    """The next line of the wiring itself, past any of the network's parts."""
-    while (said := json.loads(await stderr.readline()))["logger"] != "woadyard":
+async def next_main_log_line(stderr: asyncio.StreamReader) -> dict[str, Any]:
+    """Return the next log line of `woadyard` itself; lines of its modules are skipped."""
+    while (line := json.loads(await stderr.readline()))["logger"] != "woadyard":
         pass
-    return dict(said)
+    return dict(line)
 
 
-def write(path: Path, good: dict[str, Any], bad: dict[str, Any] | bytes) -> None:
+def write_config(path: Path, good: dict[str, Any], bad: dict[str, Any] | bytes) -> None:
     path.write_bytes(bad if isinstance(bad, bytes) else json.dumps({**good, **bad}).encode())
 
 
-def test_each_fault_that_sighup_turns_down_is_its_line_and_the_process_is_untouched(tmp_path: Path) -> None:
+def test_check_config_prints_the_error_of_each_reload_that_sighup_rejects(tmp_path: Path) -> None:
+    """The process keeps running and accepts a valid file afterwards."""
+
     async def main() -> None:
         registry = Registry()
         async with await registry.start():
@@ -64,14 +66,14 @@
             assert process.stderr is not None
             await registry.asked.get()
             for bad in BAD_RELOADS:
-                write(path, good, bad)
-                code, lines = await check_config(path, "--in-force", str(in_force))
+                write_config(path, good, bad)
+                status, lines = await check_config(path, "--in-force", str(in_force))
                 process.send_signal(signal.SIGHUP)
-                said = await said_by_wiring(process.stderr)
-                assert said["event"] == "not reloaded" and code == 2 and said["error"] in lines, bad
+                logged = await next_main_log_line(process.stderr)
+                assert logged["event"] == "not reloaded" and status == 2 and logged["error"] in lines, bad
             path.write_text(json.dumps(good))
             process.send_signal(signal.SIGHUP)
-            assert (await said_by_wiring(process.stderr))["event"] == "reloaded"
+            assert (await next_main_log_line(process.stderr))["event"] == "reloaded"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
@@ -79,14 +81,14 @@
 
 
 @pytest.mark.parametrize("bad", BAD_STARTS)
-def test_a_fault_that_stops_a_start_is_the_same_line(tmp_path: Path, bad: dict[str, Any]) -> None:
+def test_check_config_prints_the_error_that_stops_a_start(tmp_path: Path, bad: dict[str, Any]) -> None:
     async def main() -> None:
         registry = Registry()
         environ = sidecar_environ(tmp_path, registry, **bad)
-        code, lines = await check_config(Path(environ["LB_CONFIG"]))
+        status, lines = await check_config(Path(environ["LB_CONFIG"]))
         process = await start_sidecar(environ)
         _, errors = await process.communicate()
-        assert (code, process.returncode) == (2, 2)
+        assert (status, process.returncode) == (2, 2)
         assert json.loads(errors)["error"] == lines[0]
 
     run(main())
@@ -98,7 +100,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "woadyard", *words, "--help", stdout=asyncio.subprocess.PIPE
             )
-            out, _ = await process.communicate()
-            assert process.returncode == 0 and out.startswith(b"usage: woadyard")
+            output, _ = await process.communicate()
+            assert process.returncode == 0 and output.startswith(b"usage: woadyard")
 
     run(main())
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' door, over loopback."""
+"""The HTTP server of the admin listener, over loopback."""
 
 from __future__ import annotations
 
@@ -12,66 +12,67 @@
 
 from woadyard.net.threaded_http import MAX_CONNECTIONS, HttpError, Route, ThreadedHttpServer
 
-TIMEOUT_S = 20.0  # for a test that hangs; nothing is measured by it
+TIMEOUT_S = 20.0  # ends a test that hangs; no behaviour depends on it
 
 
-def refuse(body: str) -> str:
+def reject(body: str) -> str:
     raise HttpError(HTTPStatus.NOT_FOUND, "never listed")
 
 
 @contextlib.contextmanager
-def door() -> Iterator[tuple[int, list[str]]]:
-    """Its port, and the bodies of the calls that it carried out."""
-    told: list[str] = []
+def running_server() -> Iterator[tuple[int, list[str]]]:
+    """Yield the port, and the bodies that the handler of `/note` received."""
+    received: list[str] = []
 
     def note(body: str) -> str:
-        told.append(body)
+        received.append(body)
         return "done"
 
-    console = ThreadedHttpServer(
+    server = ThreadedHttpServer(
         {
             b"/_ready": Route(b"GET", lambda body: "ready"),
             b"/note": Route(b"POST", note),
-            b"/refuse": Route(b"POST", refuse),
+            b"/refuse": Route(b"POST", reject),
         }
     )
-    port = console.open("127.0.0.1", 0)
+    port = server.open("127.0.0.1", 0)
     try:
-        yield port, told
+        yield port, received
     finally:
-        console.close()
+        server.close()
 
 
 def connect(port: int) -> socket.socket:
     return socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
 
 
-def rest(one: socket.socket) -> bytes:
+def read_to_end(connection: socket.socket) -> bytes:
     parts = []
-    while part := one.recv(4096):
+    while part := connection.recv(4096):
         parts.append(part)
     return b"".join(parts)
 
 
-def call(port: int, *parts: bytes) -> bytes:
-    with connect(port) as one:
+def send(port: int, *parts: bytes) -> bytes:
+    """Send a request in these parts on a new connection; return the response."""
+    with connect(port) as connection:
         for part in parts:
-            one.sendall(part)
-        return rest(one)
+            connection.sendall(part)
+        return read_to_end(connection)
 
 
 def post(path: str, body: bytes) -> bytes:
     return f"POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def test_a_call_is_answered_and_its_connection_ended() -> None:
-    with door() as (port, told):
-        back = call(port, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert back.startswith(b"HTTP/1.1 200 OK\r\n") and back.endswith(b"\r\n\r\nready\n")
-        assert call(port, post("/note?why=x", b" s-1\n")).startswith(b"HTTP/1.1 200 ")
+def test_a_request_gets_a_response_and_its_connection_is_closed() -> None:
+    with running_server() as (port, received):
+        response = send(port, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert response.startswith(b"HTTP/1.1 200 OK\r\n") and response.endswith(b"\r\n\r\nready\n")
+        assert send(port, post("/note?why=x", b" s-1\n")).startswith(b"HTTP/1.1 200 ")
         chunked = b"POST /note HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ns-2\r\n0\r\n\r\n"
-        assert call(port, *(chunked[n : n + 1] for n in range(len(chunked)))).startswith(b"HTTP/1.1 200 ")
-        assert told == ["s-1", "s-2"]
+        assert send(port, *(chunked[n : n + 1] for n in range(len(chunked)))).startswith(b"HTTP/1.1 200 ")
+        assert received == ["s-1", "s-2"]
 
 
 @pytest.mark.parametrize(
@@ -88,52 +89,54 @@
         (b"POST /note HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
     ],
 )
-def test_what_is_no_call_gets_a_no_and_changes_nothing(raw: bytes, status: int) -> None:
-    with door() as (port, told):
-        assert call(port, raw).startswith(b"HTTP/1.1 %d " % status)
-        assert not told
+def test_an_invalid_request_is_rejected_and_has_no_effect(raw: bytes, status: int) -> None:
+    with running_server() as (port, received):
+        assert send(port, raw).startswith(b"HTTP/1.1 %d " % status)
+        assert not received
 
 
-def test_who_expects_a_word_first_gets_it() -> None:
-    with door() as (port, told), connect(port) as one:
-        one.sendall(b"POST /note HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-        assert one.recv(4096) == b"HTTP/1.1 100 Continue\r\n\r\n"
-        one.sendall(b"s-1")
-        assert rest(one).startswith(b"HTTP/1.1 200 ") and told == ["s-1"]
+def test_expect_100_continue_is_answered_before_the_body() -> None:
+    with running_server() as (port, received), connect(port) as connection:
+        connection.sendall(b"POST /note HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
+        assert connection.recv(4096) == b"HTTP/1.1 100 Continue\r\n\r\n"
+        connection.sendall(b"s-1")
+        assert read_to_end(connection).startswith(b"HTTP/1.1 200 ") and received == ["s-1"]
 
 
-def test_callers_that_hold_on_are_cut_each_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_and_incomplete_connections_are_closed_after_the_timeout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("woadyard.net.threaded_http.REQUEST_TIMEOUT_S", 0.05)
-    with door() as (port, _), connect(port) as silent, connect(port) as half:
-        half.sendall(b"GET /_re")
-        assert rest(silent) == b""
-        assert rest(half).startswith(b"HTTP/1.1 408 ")
+    with running_server() as (port, _), connect(port) as silent, connect(port) as incomplete:
+        incomplete.sendall(b"GET /_re")
+        assert read_to_end(silent) == b""
+        assert read_to_end(incomplete).startswith(b"HTTP/1.1 408 ")
 
 
-def test_many_that_hold_on_keep_nobody_out() -> None:
-    with door() as (port, _), contextlib.ExitStack() as stack:
+def test_open_connections_above_the_maximum_do_not_block_new_ones() -> None:
+    with running_server() as (port, _), contextlib.ExitStack() as stack:
         held = [stack.enter_context(connect(port)) for _ in range(MAX_CONNECTIONS + 8)]
-        for one in held[MAX_CONNECTIONS:]:
-            one.sendall(b"GET")
-        assert call(port, b"GET /_ready HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
+        for connection in held[MAX_CONNECTIONS:]:
+            connection.sendall(b"GET")
+        assert send(port, b"GET /_ready HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
         with contextlib.suppress(ConnectionResetError):
-            assert rest(held[0]) == b"", "the one longest here gave way"
+            assert read_to_end(held[0]) == b"", "the oldest connection was aborted"
 
 
-def test_the_door_answers_while_the_balancing_is_at_work() -> None:
-    """Its thread is its own: what keeps this one busy keeps nobody waiting there."""
-    with door() as (port, _):
+def test_the_server_responds_while_the_main_thread_is_busy() -> None:
+    """It has a thread of its own: balancing work on another thread does not delay it."""
+    with running_server() as (port, _):
         answered = threading.Event()
 
-        def ask() -> None:
-            call(port, b"GET /_ready HTTP/1.1\r\n\r\n")
+        def request() -> None:
+            send(port, b"GET /_ready HTTP/1.1\r\n\r\n")
             answered.set()
 
-        asker = threading.Thread(target=ask)
-        asker.start()
-        while not answered.is_set():  # never hands over of its own accord
+        client = threading.Thread(target=request)
+        client.start()
+        while not answered.is_set():  # never yields of its own accord
             pass
-        asker.join()
+        client.join()
 
 
 def test_an_address_in_use_is_an_error() -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What operators took out: kept over restarts, and shared by two processes."""
+"""State that outlives a process: detached endpoints, shared by two processes of a sidecar."""
 
 from __future__ import annotations
 
@@ -9,75 +9,75 @@
 from woadyard.net.state import Bans, ProcessSlots, endpoint_number
 
 
-class Told(list[tuple[int, bool]]):
-    def __call__(self, number: int, out: bool) -> None:
-        self.append((number, out))
+class RecordedChanges(list[tuple[int, bool]]):
+    def __call__(self, number: int, is_banned: bool) -> None:
+        self.append((number, is_banned))
 
 
-def test_a_ban_binds_both_processes_and_one_call_ends_it(tmp_path: Path) -> None:
-    told = Told()
-    old, new = Bans(tmp_path / "s.json", Told()), Bans(tmp_path / "s.json", told)
+def test_a_ban_applies_to_both_processes_and_either_can_lift_it(tmp_path: Path) -> None:
+    changes = RecordedChanges()
+    old, new = Bans(tmp_path / "s.json", RecordedChanges()), Bans(tmp_path / "s.json", changes)
     old.add_listed(["s-1", "s-2"])
     assert old.detach("s-1") and old.detach("s-1")
     new.sync()
-    assert new.banned_numbers == {endpoint_number("s-1")} and told == [(endpoint_number("s-1"), True)]
-    assert new.attach("s-1"), "what one process saw listed the other knows"
+    assert new.banned_numbers == {endpoint_number("s-1")} and changes == [(endpoint_number("s-1"), True)]
+    assert new.attach("s-1"), "an instance that was listed to one process is known to the other"
     old.sync()
     assert not old.banned_numbers and not new.banned_numbers
 
 
-def test_what_was_never_listed_gets_a_no_and_changes_nothing(tmp_path: Path) -> None:
-    bans = Bans(tmp_path / "s.json", Told())
+def test_an_instance_that_was_never_listed_is_rejected(tmp_path: Path) -> None:
+    bans = Bans(tmp_path / "s.json", RecordedChanges())
     assert not bans.detach("s-1") and not bans.attach("s-1") and not bans.banned_numbers
 
 
-def test_bans_and_names_outlive_the_process(tmp_path: Path) -> None:
-    old = Bans(tmp_path / "s.json", Told())
+def test_bans_and_listed_names_outlive_the_process(tmp_path: Path) -> None:
+    old = Bans(tmp_path / "s.json", RecordedChanges())
     old.add_listed(["s-1", "s-2"])
     old.detach("s-1")
-    told = Told()
-    new = Bans(tmp_path / "s.json", told)
-    assert told == [(endpoint_number("s-1"), True)] and new.detach("s-2")
+    changes = RecordedChanges()
+    new = Bans(tmp_path / "s.json", changes)
+    assert changes == [(endpoint_number("s-1"), True)] and new.detach("s-2")
 
 
 @pytest.mark.parametrize(
     "raw", [b"", b"{", b"[]", b'{"banned": 5, "listed": []}', b"\xff", b'{"banned": [1]}']
 )
-def test_a_damaged_file_stops_nothing_and_is_mended(tmp_path: Path, raw: bytes) -> None:
+def test_a_damaged_file_is_ignored_and_replaced(tmp_path: Path, raw: bytes) -> None:
     path = tmp_path / "s.json"
     path.write_bytes(raw)
-    bans = Bans(path, Told())
+    bans = Bans(path, RecordedChanges())
     bans.add_listed(["s-1"])
     assert bans.detach("s-1")
     path.write_bytes(raw)
     bans.sync()
-    assert bans.banned_numbers == {endpoint_number("s-1")}, "what is in memory holds"
+    assert bans.banned_numbers == {endpoint_number("s-1")}, "the state in memory stays in effect"
     bans.add_listed(["s-2"])
     bans.sync()
-    assert Bans(path, Told()).banned_numbers == bans.banned_numbers
+    assert Bans(path, RecordedChanges()).banned_numbers == bans.banned_numbers
 
 
-def test_without_a_folder_bans_hold_in_memory(tmp_path: Path) -> None:
+def test_without_a_folder_bans_are_kept_in_memory(tmp_path: Path) -> None:
     for path in (None, tmp_path / "missing" / "s.json"):
-        bans = Bans(path, Told())
+        bans = Bans(path, RecordedChanges())
         bans.add_listed(["s-1"])
         assert bans.detach("s-1") and bans.banned_numbers and bans.attach("s-1") and not bans.banned_numbers
 
 
-def test_two_processes_know_of_each_other_while_both_live(tmp_path: Path) -> None:
-    told: list[bool] = []
+def test_two_processes_detect_each_other_while_both_run(tmp_path: Path) -> None:
+    changes: list[bool] = []
     first, second = (
-        ProcessSlots(tmp_path / "s.json", told.append),
-        ProcessSlots(tmp_path / "s.json", lambda alone: None),
+        ProcessSlots(tmp_path / "s.json", changes.append),
+        ProcessSlots(tmp_path / "s.json", lambda is_alone: None),
     )
     first.poll()
-    assert not told
+    assert not changes
     second.poll()
     first.poll()
-    assert told == [False] and not second.is_alone
+    assert changes == [False] and not second.is_alone
     assert second.lock_file is not None
-    second.lock_file.close()  # it ended, whichever way
+    second.lock_file.close()  # as the end of the process does, however it ends
     first.poll()
-    assert told == [False, True]
-    ProcessSlots(tmp_path / "missing" / "s.json", told.append).poll()
-    assert len(told) == 2, "no folder: each is on its own"
+    assert changes == [False, True]
+    ProcessSlots(tmp_path / "missing" / "s.json", changes.append).poll()
+    assert len(changes) == 2, "without a folder a process counts as alone"
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -1,4 +1,4 @@
-"""One real sidecar: reads its configuration, wires the parts, heeds signals."""
+"""The sidecar process: reads its configuration, connects its parts and handles signals."""
 
 from __future__ import annotations
 
@@ -49,13 +49,14 @@
 
 LOG = logging.getLogger("woadyard")
 LIST_PATH = "/registry/instances"
+# Sockets of the listener, the watch of discovery and the event loop.
 RESERVED_SOCKETS = 32
-# A process that takes over waits no longer for discovery's first word.
+# A process that replaces another is ready after this time also without a list from discovery.
 FIRST_LIST_WAIT_US = 3_000_000
 
 
 class ConfigReloader:
-    """SIGHUP: new settings and discovery's address, all of a file or nothing."""
+    """Handles SIGHUP: applies the file's settings and discovery address, or nothing if it is invalid."""
 
     def __init__(self, config: Config, driver: Driver, discovery: Discovery, guard: ShrinkGuard) -> None:
         self.path, self.raw_in_force, self.guard = config.path, config.raw, guard
@@ -72,27 +73,30 @@
         self.guard.set_max_loss_share(read_max_list_shrink(raw))
         self.discovery.retune(not settings.asks_discovery)
         self.discovery.move(str(raw["discovery"]))
-        if (again := read_shared_settings(raw)) is not None and self.driver.shared is not None:
-            self.driver.shared.eject_share = again.eject_share
+        if (shared_settings := read_shared_settings(raw)) is not None and self.driver.shared is not None:
+            self.driver.shared.eject_share = shared_settings.eject_share
         LOG.setLevel(read_log_level(raw).upper())
         fields = {"classes": sorted(self.driver.names.classes), "attempts": settings.max_attempts}
         LOG.info("reloaded", extra={**fields, "discovery": raw["discovery"]})
 
 
 def build_admin_routes(server: Server, may_serve: Callable[[], bool], guard: ShrinkGuard) -> Routes:
-    """The operators' calls. They run on the door's thread: what they read of
-    the balancing is single values, and nothing there waits for them."""
+    """Return the routes of the admin API.
+
+    The handlers run on the admin listener's thread: they read single values of the
+    balancer's state only, and the balancer never waits for them.
+    """
 
     bans = server.driver.bans
 
-    def change(act: Callable[[str], bool], body: str) -> str:
+    def change_ban(action: Callable[[str], bool], body: str) -> str:
         if not body:
             raise HttpError(HTTPStatus.BAD_REQUEST, "the body names no endpoint", "send its instanceId")
-        if not act(body):
+        if not action(body):
             raise HttpError(
                 HTTPStatus.NOT_FOUND,
-                "no list ever named this endpoint",
-                "look its name up in the list",
+                "no list ever contained this endpoint",
+                "check its instanceId in the list",
             )
         return f"done, out are: {' '.join(bans.banned) or 'none'}"
 
@@ -104,70 +108,75 @@
     def accept_list(body: str) -> str:
         view = guard.view
         if view is None or not view.held:
-            raise HttpError(HTTPStatus.CONFLICT, "no list is held back", "nothing is to be done")
+            raise HttpError(HTTPStatus.CONFLICT, "no list is held back", "nothing needs to be done")
         server.driver.loop.call_soon_threadsafe(guard.accept_losses)
         return f"done, let go: {' '.join(sorted(view.held))}"
 
     return {
         b"/_ready": Route(b"GET", ready),
         b"/_metrics": Route(b"GET", lambda body: server.driver.metrics.render()),
-        b"/_endpoints/detach": Route(b"POST", partial(change, bans.detach)),
-        b"/_endpoints/attach": Route(b"POST", partial(change, bans.attach)),
+        b"/_endpoints/detach": Route(b"POST", partial(change_ban, bans.detach)),
+        b"/_endpoints/attach": Route(b"POST", partial(change_ban, bans.attach)),
         b"/_list/accept": Route(b"POST", accept_list),
     }
 
 
 def open_admin_listener(
-    config: Config, server: Server, seats: ProcessSlots | None, guard: ShrinkGuard, recorder: Recorder | None
+    config: Config, server: Server, slots: ProcessSlots | None, guard: ShrinkGuard, recorder: Recorder | None
 ) -> ThreadedHttpServer | None:
+    """Open the admin listener, if it is configured."""
     if config.console is None:
         return None
     driver = server.driver
-    # One that takes over has to know what its elder knows by now, if anybody tells.
-    since = None if seats is None or seats.is_alone else driver.now()
-    looks = [driver.bans.sync]
-    if seats is not None:
-        looks.append(seats.poll)
+    # A process that replaces another must first have the list that the other has, if discovery sends one.
+    waiting_since_us = None if slots is None or slots.is_alone else driver.now()
+    periodic_tasks = [driver.bans.sync]
+    if slots is not None:
+        periodic_tasks.append(slots.poll)
 
     def may_serve() -> bool:
-        return since is None or driver.heard or driver.now() - since > FIRST_LIST_WAIT_US
+        return (
+            waiting_since_us is None or driver.heard or driver.now() - waiting_since_us > FIRST_LIST_WAIT_US
+        )
 
-    calls = build_admin_routes(server, may_serve, guard)
+    routes = build_admin_routes(server, may_serve, guard)
     if recorder is not None:
-        calls[b"/_trace"] = Route(b"GET", recorder.piece, takes_query=True)
-    console = ThreadedHttpServer(calls, looks, SYNC_INTERVAL_S)
+        routes[b"/_trace"] = Route(b"GET", recorder.piece, takes_query=True)
+    admin_listener = ThreadedHttpServer(routes, periodic_tasks, SYNC_INTERVAL_S)
     try:
-        console.open(*config.console)
+        admin_listener.open(*config.console)
     except (OSError, OverflowError) as error:
         raise ConfigError(f"can't open the console: {error}") from None
-    return console
+    return admin_listener
 
 
 def open_gossip(config: Config, driver: Driver) -> Gossip | None:
-    """Share state with other sidecars, where the file says so."""
-    share, loop = driver.shared, driver.loop
-    if config.shared is None or share is None:
+    """Start to share state with other sidecars, if it is configured."""
+    shared_state, loop = driver.shared, driver.loop
+    if config.shared is None or shared_state is None:
         return None
 
-    def heard(entries: list[Entry]) -> None:
+    def verdicts_received(entries: list[Entry]) -> None:
         loop.call_soon_threadsafe(driver.verdicts, entries)
 
-    rng = random.Random()  # not the seed's: processes of one file must differ
-    gossip = Gossip(config.shared, share.name, rng, heard, driver.metrics, config.state_file)
-    share.publish = gossip.publish
+    rng = random.Random()  # not seeded: processes with the same configuration must differ
+    gossip = Gossip(
+        config.shared, shared_state.name, rng, verdicts_received, driver.metrics, config.state_file
+    )
+    shared_state.publish = gossip.publish
     driver.affinity_header = config.shared.affinity_header.lower().encode()
     port = gossip.open()
     if config.shared.limit:
         hooks = Hooks(driver.wanted, driver.used, driver.longest_us, driver.limit)
         budget = Budget(loop, config.shared, gossip.store.me, hooks, rng)
-        share.relimit = budget.tell
+        shared_state.relimit = budget.tell
         budget.open()
     LOG.info("sharing state", extra={"as": gossip.store.me, "port": port, "peers": config.shared.peers})
     return gossip
 
 
 def open_recorder(config: Config, driver: Driver, name: str) -> Recorder | None:
-    """Record what the driver sees, where the file says so."""
+    """Start to record the driver's events, if it is configured."""
     if config.record is None:
         return None
     from woadyard.net.recorder import Recorder
@@ -180,7 +189,7 @@
 def open_reporter(
     config: Config, driver: Driver, name: str, discovery: Discovery, server: Server
 ) -> Reporter | None:
-    """Report what this process acts on, where the file says so."""
+    """Return the reporter of this process's position to the audit, if it is configured."""
     if config.audit is None:
         return None
     from woadyard.net.auditing import reporter_of
@@ -189,56 +198,57 @@
 
 
 def follow_weight_plans(driver: Driver, reporter: Reporter | None, recorder: Recorder | None) -> None:
-    """Act on plans of weights: they come with the answers to reports."""
+    """Apply the plans of weights that come with the responses to reports."""
     if reporter is None:
         return
     from woadyard.net.weights import Weights
 
-    def told(revision: int, weights: dict[str, float]) -> None:
+    def weights_changed(revision: int, new_weights: dict[str, float]) -> None:
         if recorder is not None:
-            recorder.weighed(driver.now(), revision, weights)
+            recorder.weighed(driver.now(), revision, new_weights)
 
-    driver.planned = weights = Weights(driver.weigh, told)
+    driver.planned = weights = Weights(driver.weigh, weights_changed)
     reporter.orders.plan = weights.direct
 
 
 def claim_process_slot(
-    config: Config, loop: asyncio.AbstractEventLoop, halve: Callable[[float], None]
+    config: Config, loop: asyncio.AbstractEventLoop, set_share: Callable[[float], None]
 ) -> ProcessSlots | None:
-    """Where a second process of this sidecar may run beside this one."""
+    """Detect a second process of this sidecar, which gets half of the sockets; None without a state file."""
     if config.state_file is None:
         return None
 
-    def changed(alone: bool) -> None:
-        loop.call_soon_threadsafe(halve, 1.0 if alone else 0.5)
+    def slots_changed(is_alone: bool) -> None:
+        loop.call_soon_threadsafe(set_share, 1.0 if is_alone else 0.5)
 
-    seats = ProcessSlots(config.state_file, changed)
-    seats.poll()
-    return seats
+    slots = ProcessSlots(config.state_file, slots_changed)
+    slots.poll()
+    return slots
 
 
 def descriptor_limit() -> int:
-    """Descriptors that the system lets this process have, whatever its file says."""
+    """Return how many descriptors the system allows this process, whatever its configuration says."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return DEFAULT_SOCKETS if soft == resource.RLIM_INFINITY else soft
 
 
 async def serve(config: Config) -> None:
+    """Run the sidecar until it has stopped after SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    # Both sides share the sockets, less some for the listener, the watch and the loop.
-    doors = bool(config.console) + bool(config.shared)
-    aside = RESERVED_SOCKETS + doors * RESERVED_DESCRIPTORS
-    most = max(16, min(config.max_sockets, DEFAULT_SOCKETS, descriptor_limit()) - aside)
-    upstream = Upstream(loop, Driver.now, most)
-    raw = config.raw["settings"]
-    # Counts are kept where a door can show them.
+    # Clients and endpoints share the sockets that the listeners, the watch and the loop leave.
+    threaded_servers = bool(config.console) + bool(config.shared)
+    reserved = RESERVED_SOCKETS + threaded_servers * RESERVED_DESCRIPTORS
+    socket_limit = max(16, min(config.max_sockets, DEFAULT_SOCKETS, descriptor_limit()) - reserved)
+    upstream = Upstream(loop, Driver.now, socket_limit)
+    raw_settings = config.raw["settings"]
+    # Without an admin listener nobody could read the metrics.
     metrics = Metrics() if config.console else None
-    # The same over restarts; two sidecars that share state have names of their own.
+    # The name is the same over restarts; sidecars that share state have different names.
     name = os.environ.get("LB_NAME") or str(config.raw.get("name", ""))
-    share = Shared(name, config.shared.eject_share) if config.shared else None
+    shared_state = Shared(name, config.shared.eject_share) if config.shared else None
     driver = Driver(
-        loop, config.seed, config.settings, raw, upstream,
-        state=config.state_file, metrics=metrics, shared=share, locality=config.locality,
+        loop, config.seed, config.settings, raw_settings, upstream,
+        state=config.state_file, metrics=metrics, shared=shared_state, locality=config.locality,
     )  # fmt: skip
     guard = ShrinkGuard(config.max_list_shrink, driver.listed, loop.time)
     guard.on_held_change = driver.metrics.set_held_endpoints
@@ -252,19 +262,20 @@
     )
     loop.add_signal_handler(signal.SIGHUP, ConfigReloader(config, driver, discovery, guard))
     recorder = open_recorder(config, driver, name)
-    server = Server(driver, most, aside)
+    server = Server(driver, socket_limit, reserved)
     reporter = open_reporter(config, driver, name, discovery, server)
     follow_weight_plans(driver, reporter, recorder)
-    seats = claim_process_slot(config, loop, server.share)
+    slots = claim_process_slot(config, loop, server.share)
     try:
-        driver.start(config.known_list, seats is None or seats.is_alone)
+        driver.start(config.known_list, slots is None or slots.is_alone)
     except PeerError as error:
         raise ConfigError(f"known: {error}") from None
     if config.known_list is not None:
         guard.set_known_list(config.known_list["instances"])
-        alone = seats is None or seats.is_alone  # one that takes over has a lease, and is owed a yes soon
-        if config.known_list["instances"] and (alone or discovery.pushed):
-            await discovery.first()  # that list may be old, and newer ones bind from the start
+        # A process that replaces another has a lease, and must soon be ready.
+        is_alone = slots is None or slots.is_alone
+        if config.known_list["instances"] and (is_alone or discovery.pushed):
+            await discovery.first()  # the known list may be old, and a newer one applies from the start
     upstream.others, upstream.give_way = lambda: len(server.callers), server.give_way
     try:
         if config.accept_fd is None:
@@ -274,54 +285,56 @@
     except (OSError, OverflowError, ValueError) as error:
         raise ConfigError(f"can't listen: {error}") from None
     gossip = open_gossip(config, driver)
-    console = open_admin_listener(config, server, seats, guard, recorder)
+    admin_listener = open_admin_listener(config, server, slots, guard, recorder)
     if reporter is not None:
         reporter.open()
-    ended = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, server.stop, ended.set)
-    loop.add_signal_handler(signal.SIGINT, server.stop, ended.set)
-    await ended.wait()
+    stopped = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, server.stop, stopped.set)
+    loop.add_signal_handler(signal.SIGINT, server.stop, stopped.set)
+    await stopped.wait()
     if reporter is not None:
         await reporter.close()
-    if console is not None:
-        console.close()
+    if admin_listener is not None:
+        admin_listener.close()
     if gossip is not None:
         gossip.close()
     discovery.close()
     upstream.close()
 
 
-def log_suppressed_periodically(loop: asyncio.AbstractEventLoop, limit: logs.RateLimitFilter) -> None:
-    """Now and then, what the rate limit held back, where nothing said it since."""
-    limit.log_suppressed(LOG)
-    loop.call_later(logs.WINDOW_S, log_suppressed_periodically, loop, limit)
+def log_suppressed_periodically(loop: asyncio.AbstractEventLoop, rate_limit: logs.RateLimitFilter) -> None:
+    """Log every `WINDOW_S` how many lines the rate limit suppressed, where no line has carried it."""
+    rate_limit.log_suppressed(LOG)
+    loop.call_later(logs.WINDOW_S, log_suppressed_periodically, loop, rate_limit)
 
 
-async def run(config: Config, limit: logs.RateLimitFilter) -> None:
-    log_suppressed_periodically(asyncio.get_running_loop(), limit)
+async def run(config: Config, rate_limit: logs.RateLimitFilter) -> None:
+    """Run the sidecar, and log the suppressed lines when it ends."""
+    log_suppressed_periodically(asyncio.get_running_loop(), rate_limit)
     try:
         await serve(config)
     finally:
-        limit.log_suppressed(LOG)
+        rate_limit.log_suppressed(LOG)
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run a command, or the sidecar if none is given; return the exit status."""
     arguments = cli.parse_arguments(argv)
     if arguments.command == "check-config":
         return cli.check_config(arguments.file, arguments.in_force)
     if arguments.command == "registry":
-        # Loaded only here: the sidecar carries none of the service.
+        # Imported only here: the sidecar loads none of the list service.
         from woadyard.registry.command import start
 
         return start(arguments)
-    limit = logs.setup()
-    # What stands now stays: the collector need not walk it again.
+    rate_limit = logs.setup()
+    # Objects that exist now are kept: the garbage collector need not scan them again.
     gc.set_threshold(50_000, 20, 50)
     gc.freeze()
     try:
         config = read_config(dict(os.environ))
         LOG.setLevel(config.log_level.upper())
-        uvloop.run(run(config, limit))
+        uvloop.run(run(config, rate_limit))
     except ConfigError as error:
         LOG.error("can't start", extra=error.fields())
         return cli.EXIT_CONFIG_ERROR
--- a/woadyard/cli.py
+++ b/woadyard/cli.py
@@ -1,7 +1,7 @@
 """The command line: `python -m woadyard [COMMAND]`.
 
 Without a command the sidecar runs, configured by `LB_CONFIG` and the other
-variables as before; the commands beside it serve the operators.
+environment variables. The commands are tools for operators.
 """
 
 from __future__ import annotations
@@ -14,68 +14,74 @@
 from woadyard.net.config import read_config, read_config_file, reread_config
 from woadyard.registry import add_arguments
 
-# What a command returns to the shell where the configuration has faults.
+# Exit status of a command whose configuration is invalid.
 EXIT_CONFIG_ERROR = 2
 
 
 def build_parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(
+    """Return the parser of the command line."""
+    root_parser = argparse.ArgumentParser(
         prog="woadyard",
         description="A load-balancing sidecar. Without a command it runs, configured by "
         "LB_CONFIG (a JSON file) and LB_LISTEN, LB_DISCOVERY, LB_CONSOLE, LB_ACCEPT_FD.",
     )
-    commands = top.add_subparsers(dest="command", metavar="COMMAND")
+    commands = root_parser.add_subparsers(dest="command", metavar="COMMAND")
     check = commands.add_parser(
         "check-config",
-        help="check a configuration whole, as the start and SIGHUP would",
-        description="Prints one line for each fault found and exits with 2 if there is any; "
-        "each line is the one that a start or a SIGHUP would give.",
+        help="check a configuration file as a start and a SIGHUP reload would",
+        description="Prints one line for each error and exits with 2 if there is any; "
+        "each line is the one that a start or a SIGHUP would log.",
     )
     check.add_argument("file", help="the JSON file to check")
     check.add_argument(
         "--in-force",
         metavar="FILE",
-        help="the file a running process has in force: a reload must say all that it says",
+        help="the file that a running process uses: a reload must have every key that it has",
     )
     registry = commands.add_parser(
         "registry",
         help="run the list service",
-        description="The list service: versions, watches, leases, kept in a log with snapshots.",
+        description="The list service: versions, watches and leases, kept in a log with snapshots.",
     )
     add_arguments(registry)
-    return top
+    return root_parser
 
 
 def find_config_errors(path: str, in_force: str | None = None) -> list[str]:
-    """The faults of the file at `path`, one line each: the start's check, then
-    the reload's against the file `in_force` (or itself), each line as that
-    check says it; none for a good file."""
-    against = in_force or path
+    """Return the errors of the configuration file at `path`, one line each.
+
+    The file is checked as at a start, then as at a reload of a process that runs with the
+    file `in_force` (by default with `path` itself). The lines are those that the start or
+    the reload would log; a valid file has none.
+    """
+    reference_path = in_force or path
     try:
-        force = read_config_file(against)
+        raw_in_force = read_config_file(reference_path)
     except (OSError, ValueError, ConfigError) as error:
-        if in_force is None:  # the start's check says it, as a start would
-            force = {}
+        if in_force is None:  # the check of the start reports it, as a start would
+            raw_in_force = {}
         else:
-            return [f"{against}: {type(error).__name__}: {error}"]
-    found: list[str] = []
-    for check in (lambda: read_config({"LB_CONFIG": path}), lambda: reread_config(path, force)):
+            return [f"{reference_path}: {type(error).__name__}: {error}"]
+    errors: list[str] = []
+    for check in (lambda: read_config({"LB_CONFIG": path}), lambda: reread_config(path, raw_in_force)):
         try:
             check()
         except ConfigError as error:
-            if str(error) not in found:
-                found.append(str(error))
-    return found
+            if str(error) not in errors:
+                errors.append(str(error))
+    return errors
 
 
 def check_config(path: str, in_force: str | None = None) -> int:
-    found = find_config_errors(path, in_force)
-    for line in found:
+    """Print the errors of a configuration file; return the exit status."""
+    errors = find_config_errors(path, in_force)
+    for line in errors:
         print(line)
-    if not found:
+    if not errors:
         print(f"{path}: good")
-    return EXIT_CONFIG_ERROR if found else 0
+    return EXIT_CONFIG_ERROR if errors else 0
 
 
 def parse_arguments(argv: Sequence[str] | None = None) -> argparse.Namespace:
+    """Parse `argv`, by default the arguments of this process."""
     return build_parser().parse_args(sys.argv[1:] if argv is None else argv)
--- a/woadyard/errors.py
+++ b/woadyard/errors.py
@@ -1,59 +1,59 @@
-"""The errors of this program, one small tree: each says what happened and what an operator can do.
+"""The exceptions of this program, all derived from `WoadyardError`.
 
-`str(error)` is what happened, one line; `remedy` is what to do about it, one line, told in the
-log beside the error and in the answer of the door or of a service. A class has a remedy for its
-kind; whoever raises one may give a better one.
+`str(error)` says in one line what happened; `remedy` says in one line what an operator can do
+about it. Both are logged, and both are sent in the error responses of the admin listener and of
+the services. A class has a default remedy; the code that raises an error may give a better one.
 """
 
 from __future__ import annotations
 
 
 class WoadyardError(Exception):
-    """Base of all; `what` is one line without a full stop."""
+    """Base class of all errors; `message` is one line without a full stop."""
 
     remedy = "report it with the log lines before it"
 
-    def __init__(self, what: str, remedy: str | None = None) -> None:
-        super().__init__(what)
+    def __init__(self, message: str, remedy: str | None = None) -> None:
+        super().__init__(message)
         if remedy is not None:
             self.remedy = remedy
 
     def fields(self) -> dict[str, str]:
-        """For a structured log line's `extra`, or a service's JSON answer."""
+        """Return the `extra` fields of a log line, or the body of a service's JSON response."""
         return {"error": str(self), "remedy": self.remedy}
 
 
 class ConfigError(WoadyardError):
-    """Settings that can't be used; nothing of them is."""
+    """A configuration is invalid; none of its settings is applied."""
 
-    remedy = "mend the configuration file; `python -m woadyard check-config FILE` says what is wrong"
+    remedy = "correct the configuration file; `python -m woadyard check-config FILE` lists its errors"
 
 
 class PeerError(WoadyardError):
-    """What a peer sent is not what the protocol has, or a call to it failed."""
+    """A peer sent a message that violates the protocol, or a call to it failed."""
 
-    remedy = "see whether the peer runs the same version and can be reached"
+    remedy = "check that the peer runs the same version and can be reached"
 
 
 class LogEntryError(WoadyardError):
-    """A record that a book of the log can't apply; nothing of it was."""
+    """A log entry can't be applied by its state machine; the state is unchanged."""
 
-    remedy = "send a record that the book's page names; the log is as it was"
+    remedy = "send an entry that the state machine's documentation lists; the log is unchanged"
 
 
 class StateError(WoadyardError):
-    """Files of kept state that can't be read or written."""
+    """Files of persisted state can't be read or written."""
 
-    remedy = "see to the folder's space and rights; a file that is damaged may be moved away"
+    remedy = "check the folder's free space and permissions; a damaged file may be moved away"
 
 
 class PlanError(WoadyardError):
-    """A plan, an experiment or a release that breaks its own rules."""
+    """A plan, an experiment or a release violates its own rules."""
 
-    remedy = "draw the plan anew within the rules that the message names"
+    remedy = "draw up the plan again within the rules that the message names"
 
 
 class TraceError(WoadyardError):
-    """A recorded trace that can't be read or does not fit its question."""
+    """A recorded trace can't be read or does not fit the question asked of it."""
 
-    remedy = "record anew, or leave the damaged part out"
+    remedy = "record the trace again, or leave the damaged part out"
--- a/woadyard/membership/__init__.py
+++ b/woadyard/membership/__init__.py
@@ -1,9 +1,9 @@
-"""Which endpoints there are, where the list itself may be wrong."""
+"""Checks of the endpoint lists that discovery sends, before they are applied."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-# Takes one list (version, whether it is whole, entries); PeerError if it is bad.
+# Applies one list (version, whether it is whole, entries); raises PeerError if the list is invalid.
 ListHandler = Callable[[int, bool, list[dict[str, Any]]], None]
--- a/woadyard/net/config.py
+++ b/woadyard/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration: read at the start, and again whole at each SIGHUP."""
+"""Reads and checks the configuration, at the start and at each SIGHUP."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
 
 DEFAULT_SOCKETS = 1024
 LOG_LEVELS = ("debug", "info", "warning", "error")
-# What each class must say in a file read again, and a keyed one besides.
+# Keys that each request class must have in a reloaded file, and those of a class with `dedup`.
 CLASS_KEYS = ("name", "repeat", "aim-us", "deadline-us")
 KEYED_CLASS_KEYS = ("dedup-scope", "repeat-window-us")
-# May be missing from a file read again: lists come from discovery by then.
+# Keys that a reloaded file may lack: by then, lists come from discovery.
 START_ONLY_KEYS = frozenset(("known",))
 
 
+# What reading an invalid file may raise; reported as ConfigError.
 READ_ERRORS = (OSError, ValueError, KeyError, TypeError, AttributeError, OverflowError, WireError)
 NonNegative = Annotated[float, msgspec.Meta(ge=0.0)]
 
 
 class LocalitySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """The file's `locality`; `regions` names each zone's, by the names in `settings.zones`."""
+    """The section `locality`; `regions` maps zones, as named in `settings.zones`, to their regions."""
 
     regions: dict[str, str] = {}
     leave: NonNegative | None = None
@@ -45,9 +46,9 @@
     ramp_ms: NonNegative | None = None
 
     def to_locality(self, regions: tuple[int, ...]) -> Locality:
-        """With the regions' numbers, and the module's defaults for what is not said."""
-        times = {"window_us": self.window_ms, "away_us": self.away_ms, "ramp_us": self.ramp_ms}
-        values: dict[str, Any] = {key: int(ms * 1000) for key, ms in times.items() if ms is not None}
+        """Return the settings with region numbers in place of names; absent keys keep their defaults."""
+        times_ms = {"window_us": self.window_ms, "away_us": self.away_ms, "ramp_us": self.ramp_ms}
+        values: dict[str, Any] = {key: int(ms * 1000) for key, ms in times_ms.items() if ms is not None}
         shares = {"leave": self.leave, "panic": self.panic}
         values.update({key: share for key, share in shares.items() if share is not None})
         return Locality(regions, **values)
@@ -55,79 +56,85 @@
 
 @dataclass(frozen=True)
 class Config:
+    """The checked configuration of a process, from its file and the environment."""
+
     path: str
     raw: dict[str, Any]
     listen: tuple[str, int]
-    accept_fd: int | None  # a listening socket that the platform holds
-    console: tuple[str, int] | None
+    accept_fd: int | None  # descriptor of a listening socket that the platform owns
+    console: tuple[str, int] | None  # address of the admin listener
     discovery: str
     seed: int
     max_sockets: int
     settings: Settings
     known_list: dict[str, Any] | None
-    state_file: Path | None  # what outlives this process; nothing where none is kept
+    state_file: Path | None  # state kept over restarts; None if none is kept
     log_level: str = "info"
     locality: Locality | None = None
     shared: SharedSettings | None = None
     record: RecordSettings | None = None
     audit: AuditSettings | None = None
-    max_list_shrink: float = 1.0  # share of the list that may be lost at once and be believed
+    max_list_shrink: float = 1.0  # share of the list that may be lost at once and is still applied
 
 
 def parse_address(text: Any) -> tuple[str, int]:
+    """Parse `HOST:PORT`; ConfigError if it is none."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise ConfigError(f"no address: {text!r}")
+        raise ConfigError(f"an address must be HOST:PORT, got {text!r}")
     return host, int(port)
 
 
 def parse_addresses(text: Any) -> tuple[str, ...]:
-    """Of discovery: one address, or several replicas' with commas between."""
-    found = tuple(part.strip() for part in str(text).split(","))
-    for one in found:
-        parse_address(one)
-    return found
+    """Split the comma-separated addresses of a service's replicas; ConfigError if one is invalid."""
+    addresses = tuple(part.strip() for part in str(text).split(","))
+    for address in addresses:
+        parse_address(address)
+    return addresses
 
 
 def state_file_path(environ: dict[str, str], raw: dict[str, Any]) -> Path | None:
-    """One file for each sidecar, should several share the folder."""
+    """Return the path of the state file; it has the sidecar's name in it, as several may share the folder."""
     folder, name = environ.get("TMPDIR"), str(environ.get("LB_NAME") or raw.get("name", ""))
     return Path(folder) / f"woadyard-{quote(name, safe='')}.json" if folder else None
 
 
 def read_config(environ: dict[str, str]) -> Config:
+    """Read and check the configuration that `environ` names; ConfigError if any of it is invalid."""
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
         raw = read_config_file(path)
-        known = raw.get("known")
-        if known is not None and not (isinstance(known["instances"], list) and int(known["generation"]) >= 0):
-            raise ConfigError("known is no list of endpoints")
+        known_list = raw.get("known")
+        if known_list is not None and not (
+            isinstance(known_list["instances"], list) and int(known_list["generation"]) >= 0
+        ):
+            raise ConfigError("known must have a list `instances` and a `generation` not below 0")
         discovery = str(environ.get("LB_DISCOVERY") or raw["discovery"])
         parse_addresses(discovery)
-        accept = environ.get("LB_ACCEPT_FD")
+        accept_fd = environ.get("LB_ACCEPT_FD")
         name = str(environ.get("LB_NAME") or raw.get("name") or "")
-        _check_named(raw, name)
-        found = read_shared_settings(raw)
-        if found is not None:
-            _check_shared(found, raw)
+        _require_name(raw, name)
+        shared_settings = read_shared_settings(raw)
+        if shared_settings is not None:
+            _check_share_lease(shared_settings, raw)
         console = environ.get("LB_CONSOLE") or raw.get("console")
         return Config(
             path=path,
             raw=raw,
             listen=parse_address(environ.get("LB_LISTEN") or raw["listen"]),
-            accept_fd=int(accept) if accept else None,
+            accept_fd=int(accept_fd) if accept_fd else None,
             console=parse_address(console) if console else None,
             discovery=discovery,
             seed=int(str(raw.get("seed", "0")), 16),
             max_sockets=int(raw.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
             settings=read_settings(json.dumps(raw["settings"]).encode()),
-            known_list=known,
+            known_list=known_list,
             state_file=state_file_path(environ, raw) if console else None,
             log_level=read_log_level(raw),
             locality=read_locality(raw),
-            shared=found,
+            shared=shared_settings,
             audit=read_audit_settings(raw),
             record=read_record_settings(raw, bool(console)),
             max_list_shrink=read_max_list_shrink(raw),
@@ -139,62 +146,62 @@
 
 
 def read_log_level(raw: dict[str, Any]) -> str:
-    """The lowest level of the lines logged; `info` where the file says none."""
+    """Return the lowest level that is logged, `info` by default."""
     level = raw.get("log-level", "info")
     if level not in LOG_LEVELS:
-        raise ConfigError(f"log-level is none of {', '.join(LOG_LEVELS)}: {level!r}")
+        raise ConfigError(f"log-level must be one of {', '.join(LOG_LEVELS)}, got {level!r}")
     return str(level)
 
 
 def read_locality(raw: dict[str, Any]) -> Locality | None:
-    """How zones are chosen, from the file's `locality`; None where it says nothing."""
-    told = read_section(raw.get("locality"), LocalitySection, "locality")
-    if told is None:
+    """Return the section `locality`, how zones are chosen; None if it is absent."""
+    section = read_section(raw.get("locality"), LocalitySection, "locality")
+    if section is None:
         return None
     zones = raw["settings"].get("zones", [])
-    if unknown := sorted(told.regions.keys() - set(zones)):
-        raise ConfigError(f"locality.regions has no zone {unknown[0]!r}")
-    names = sorted(set(told.regions.values()))
+    if unknown := sorted(section.regions.keys() - set(zones)):
+        raise ConfigError(f"locality.regions has a zone that settings.zones lacks: {unknown[0]!r}")
+    names = sorted(set(section.regions.values()))
     # A zone without a region is a region of its own.
     numbers = tuple(
-        names.index(told.regions[zone]) if zone in told.regions else len(names) + n
+        names.index(section.regions[zone]) if zone in section.regions else len(names) + n
         for n, zone in enumerate(zones)
     )
-    return told.to_locality(numbers)
+    return section.to_locality(numbers)
 
 
 def read_shared_settings(raw: dict[str, Any]) -> SharedSettings | None:
-    """What is shared with other sidecars, and where; None where the file says nothing."""
-    found = read_shared(raw.get("shared"))
-    if found is not None:
-        for one in (found.listen, found.advertise or found.listen):
-            parse_address(one)
-        parse_addresses(found.peers)
-    return found
-
-
-def _check_named(raw: dict[str, Any], name: str) -> None:
-    """Others tell a sidecar by its name."""
-    for part in ("shared", "audit"):
-        if raw.get(part) and not name:
+    """Return the section `shared`, the state exchanged with other sidecars; None if it is absent."""
+    settings = read_shared(raw.get("shared"))
+    if settings is not None:
+        for address in (settings.listen, settings.advertise or settings.listen):
+            parse_address(address)
+        parse_addresses(settings.peers)
+    return settings
+
+
+def _require_name(raw: dict[str, Any], name: str) -> None:
+    """ConfigError if other processes must tell this sidecar from others and it has no name."""
+    for section in ("shared", "audit"):
+        if raw.get(section) and not name:
             remedy = "set `name` in the file, or LB_NAME"
-            raise ConfigError(f"{part} needs a name of this sidecar's own", remedy)
+            raise ConfigError(f"{section} requires a name that no other sidecar has", remedy)
 
 
-def _check_shared(found: SharedSettings, raw: dict[str, Any]) -> None:
-    longest_us = max(float(entry["deadline-us"]) for entry in raw["settings"]["classes"])
-    if found.limit and found.lease_s * 1e6 <= longest_us:
-        # A share's last requests end before it is another's.
-        raise ConfigError("shared.limit-lease-ms is no longer than the longest deadline")
+def _check_share_lease(settings: SharedSettings, raw: dict[str, Any]) -> None:
+    longest_deadline_us = max(float(entry["deadline-us"]) for entry in raw["settings"]["classes"])
+    if settings.limit and settings.lease_s * 1e6 <= longest_deadline_us:
+        # The last requests under a share must end before another sidecar gets it.
+        raise ConfigError("shared.limit-lease-ms must be longer than the longest deadline of a class")
 
 
-def read_record_settings(raw: dict[str, Any], door: bool) -> RecordSettings | None:
-    """What is recorded for what-if replays; None where the file says nothing."""
+def read_record_settings(raw: dict[str, Any], has_console: bool) -> RecordSettings | None:
+    """Return the section `record`, what is recorded for what-if replays; None if it is absent."""
     if raw.get("record") is None:
         return None
-    if not door:
-        raise ConfigError("record needs a console: recordings are fetched at the door")
-    from woadyard.net.recorder import read_record  # a sidecar that records nothing loads nothing of it
+    if not has_console:
+        raise ConfigError("record requires a console: recordings are fetched from the admin listener")
+    from woadyard.net.recorder import read_record  # imported only by a sidecar that records
 
     try:
         return read_record(raw["record"])
@@ -203,41 +210,46 @@
 
 
 def read_audit_settings(raw: dict[str, Any]) -> AuditSettings | None:
-    """Where what this sidecar acts on is reported; None where the file says nothing."""
+    """Return the section `audit`, where this sidecar reports its position; None if it is absent."""
     if raw.get("audit") is None:
         return None
-    from woadyard.audit.messages import read_settings as read_audit  # loaded only where it is on
+    from woadyard.audit.messages import read_settings as read_audit  # imported only where audit is on
 
-    found = read_audit(raw["audit"])
-    parse_addresses(found.service)
-    return found
+    settings = read_audit(raw["audit"])
+    parse_addresses(settings.service)
+    return settings
 
 
 def read_max_list_shrink(raw: dict[str, Any]) -> float:
-    """The share of the endpoints, above 0 and up to 1, that lists may lose at once
-    before they are held back; 1 (nothing is held) where the file says none."""
+    """Return the share of the endpoints, above 0 and up to 1, that lists may lose at once.
+
+    Above it losses are held back; 1, the default, holds nothing back.
+    """
     share = raw.get("list-shrink-most", 1.0)
     if isinstance(share, bool) or not isinstance(share, (int, float)) or not 0 < share <= 1:
-        raise ConfigError(f"list-shrink-most is no share above 0 and up to 1: {share!r}")
+        raise ConfigError(f"list-shrink-most must be a number above 0 and up to 1, got {share!r}")
     return float(share)
 
 
 def read_config_file(path: str) -> dict[str, Any]:
+    """Read a JSON file; ConfigError if it holds no object, OSError or ValueError if it can't be read."""
     with open(path, "rb") as file:
         raw = json.load(file)
     if not isinstance(raw, dict):
-        raise ConfigError("the file is no object")
+        raise ConfigError("the file must hold a JSON object")
     return raw
 
 
-def reread_config(path: str, force: dict[str, Any]) -> tuple[dict[str, Any], Settings]:
-    """The file as it is now, checked whole before any of it is used. It has to
-    say all that the one in force says: a default in place of a key that was
-    lost would loosen a rule without a word. What the environment said at the
-    start of discovery's address is the older word."""
+def reread_config(path: str, raw_in_force: dict[str, Any]) -> tuple[dict[str, Any], Settings]:
+    """Read the file again for a reload; check all of it before any of it is used.
+
+    It must have every key of the configuration in force: a default in place of a lost key
+    would silently loosen a rule. Discovery's address is the file's, also if the environment
+    gave another one at the start: the file is newer.
+    """
     try:
         raw = read_config_file(path)
-        _has_all(raw, force, "", START_ONLY_KEYS)
+        _require_keys(raw, raw_in_force, "", START_ONLY_KEYS)
         parse_addresses(raw["discovery"])
         read_log_level(raw)
         read_max_list_shrink(raw)
@@ -245,15 +257,15 @@
         read_audit_settings(raw)
         read_locality(raw)
         settings = raw["settings"]
-        _has_all(settings, force["settings"], "settings.")
+        _require_keys(settings, raw_in_force["settings"], "settings.")
         for part in ("ceilings", "invariants"):
-            _has_all(settings.get(part, {}), force["settings"].get(part, {}), f"settings.{part}.")
+            _require_keys(settings.get(part, {}), raw_in_force["settings"].get(part, {}), f"settings.{part}.")
         if "max-attempts" in settings.get("ceilings", {}):
-            _above_zero(settings["ceilings"], "max-attempts")
+            _require_positive(settings["ceilings"], "max-attempts")
         for entry in settings["classes"]:
             _check_class(entry)
         if len({entry["name"] for entry in settings["classes"]}) < len(settings["classes"]):
-            raise ConfigError("a class is there twice")
+            raise ConfigError("two request classes have the same name")
         return raw, read_settings(json.dumps(settings).encode())
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}", error.remedy) from None
@@ -261,24 +273,26 @@
         raise ConfigError(f"{path}: {type(error).__name__}: {error}") from None
 
 
-def _has_all(new: dict[str, Any], old: dict[str, Any], where: str, but: frozenset[str] = frozenset()) -> None:
+def _require_keys(
+    new: dict[str, Any], old: dict[str, Any], prefix: str, optional: frozenset[str] = frozenset()
+) -> None:
     if not isinstance(new, dict):
-        raise ConfigError(f"{where or 'the file'} is no object")
-    if lost := sorted(old.keys() - new.keys() - but):
-        raise ConfigError(f"{where}{lost[0]} is missing")
+        raise ConfigError(f"{prefix or 'the file'} must be an object")
+    if lost := sorted(old.keys() - new.keys() - optional):
+        raise ConfigError(f"{prefix}{lost[0]} is missing")
 
 
 def _check_class(entry: dict[str, Any]) -> None:
     for key in CLASS_KEYS + (KEYED_CLASS_KEYS if entry["repeat"] == "dedup" else ()):
         if key not in entry:
-            raise ConfigError(f"a class lacks {key}")
+            raise ConfigError(f"a request class has no {key}")
     if not isinstance(entry["name"], str) or not entry["name"]:
-        raise ConfigError("a class has no name")
-    _above_zero(entry, "aim-us")
-    _above_zero(entry, "deadline-us")
+        raise ConfigError("a request class has no name")
+    _require_positive(entry, "aim-us")
+    _require_positive(entry, "deadline-us")
 
 
-def _above_zero(of: dict[str, Any], key: str) -> None:
-    value = of[key]
+def _require_positive(section: dict[str, Any], key: str) -> None:
+    value = section[key]
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < inf:
-        raise ConfigError(f"{key} is no number above 0: {value!r}")
+        raise ConfigError(f"{key} must be a number above 0, got {value!r}")
--- a/woadyard/net/state.py
+++ b/woadyard/net/state.py
@@ -1,8 +1,9 @@
-"""What operators took out, and which ids were ever listed.
+"""State of a sidecar that outlives its processes.
 
-It is shared by the processes of one sidecar and outlives each of them, through
-one small file in `$TMPDIR`: written aside and renamed, so that no reader sees
-half of it, and read, changed and written under a lock.
+`Bans` keeps the endpoints that operators detached and the instance ids that were ever
+listed, in one small file in `$TMPDIR` that the processes of a sidecar share. The file is
+replaced by a rename, so that no reader sees half of it, and read, changed and written
+under a lock. `ProcessSlots` detects a second process of the same sidecar.
 """
 
 from __future__ import annotations
@@ -17,42 +18,48 @@
 from pathlib import Path
 from typing import IO
 
-# Names that are remembered, the latest: guards memory where endpoints come and go.
+# Latest ids that are remembered: bounds memory where endpoints come and go.
 MAX_LISTED_NAMES = 50_000
 LOG = logging.getLogger(__name__)
-# How often the file is looked at: well within the grace of a drain.
+# Interval between checks of the file: well within the grace of a drain.
 SYNC_INTERVAL_S = 0.05
 
 
 def endpoint_number(instance: str) -> int:
-    """From the name alone, so that all sidecars sort and group alike, and do
-    so after a restart; 64 bits, so that two hardly ever meet."""
+    """Return the endpoint's number, a 64-bit hash of its instance id.
+
+    It depends on the id alone, so that all sidecars sort and group endpoints alike, also
+    after a restart; with 64 bits a collision is very unlikely.
+    """
     return int.from_bytes(blake2b(instance.encode(), digest_size=8).digest(), "big")
 
 
-def _texts(raw: object) -> dict[str, None]:
-    if not isinstance(raw, list) or not all(isinstance(one, str) for one in raw):
-        raise ValueError("no list of names")
+def _parse_names(raw: object) -> dict[str, None]:
+    if not isinstance(raw, list) or not all(isinstance(name, str) for name in raw):
+        raise ValueError("expected a list of names")
     return dict.fromkeys(raw)
 
 
 class Bans:
-    """Safe to use from any thread. What it holds in memory binds at once; the
-    file follows. `changed` is told each endpoint that went out or came back."""
+    """The endpoints that operators detached; safe to use from any thread.
+
+    A change takes effect in memory at once, and the file follows. `on_change` is called
+    with an endpoint's number and True when it is detached, False when it is attached.
+    """
 
-    def __init__(self, path: Path | None, changed: Callable[[int, bool], None]) -> None:
-        self.path, self.on_change = path, changed
+    def __init__(self, path: Path | None, on_change: Callable[[int, bool], None]) -> None:
+        self.path, self.on_change = path, on_change
         self.lock = threading.Lock()
-        self.listed: dict[str, None] = {}  # the oldest first
+        self.listed: dict[str, None] = {}  # oldest first
         self.banned: dict[str, None] = {}
-        self.banned_numbers: set[int] = set()  # numbers of those banned
+        self.banned_numbers: set[int] = set()
         self.has_unsaved = False
-        self.last_signature: tuple[int, int, int] | None = None  # the file as it was last read
-        self.last_error = ""  # the last error that was logged
+        self.last_signature: tuple[int, int, int] | None = None  # of the file when it was last read
+        self.last_error = ""  # the last write error that was logged
         self.sync()
 
     def add_listed(self, instances: Iterable[str]) -> None:
-        """These were listed: the next look saves it."""
+        """Remember that these instances were listed; the next `sync` saves them."""
         with self.lock:
             for instance in instances:
                 if instance not in self.listed:
@@ -62,31 +69,32 @@
                 del self.listed[next(iter(self.listed))]
 
     def detach(self, instance: str) -> bool:
-        """Take it out; False where no list ever named it."""
-        return self._set(instance, True)
+        """Ban an endpoint; False if no list ever contained it."""
+        return self._set_banned(instance, True)
 
     def attach(self, instance: str) -> bool:
-        return self._set(instance, False)
+        """Lift an endpoint's ban; False if no list ever contained it."""
+        return self._set_banned(instance, False)
 
-    def _set(self, instance: str, out: bool) -> bool:
-        self.sync()  # the other process may have heard of it first
+    def _set_banned(self, instance: str, is_banned: bool) -> bool:
+        self.sync()  # another process may have received a list that names it first
         with self.lock:
             if instance not in self.listed:
                 return False
-            self._apply({**self.banned, instance: None} if out else self._without(instance))
+            self._apply({**self.banned, instance: None} if is_banned else self._without(instance))
             if self.path is not None:
-                self._locked(self._write)
+                self._with_file_lock(self._write)
         return True
 
     def _without(self, instance: str) -> dict[str, None]:
         return {name: None for name in self.banned if name != instance}
 
     def sync(self) -> None:
-        """Take over what another process wrote, and save what is new here."""
+        """Apply what another process wrote, and save what is new in this one."""
         with self.lock:
             if self.path is None or (self._signature() == self.last_signature and not self.has_unsaved):
                 return
-            self._locked(self._exchange)
+            self._with_file_lock(self._read_and_write)
 
     def _signature(self) -> tuple[int, int, int] | None:
         assert self.path is not None
@@ -96,30 +104,30 @@
             return None
         return stat.st_ino, stat.st_mtime_ns, stat.st_size
 
-    def _locked(self, act: Callable[[], None]) -> None:
-        """A state that can't be kept stops nothing: what is in memory holds."""
+    def _with_file_lock(self, action: Callable[[], None]) -> None:
+        """Run `action` under the file lock; on an OSError the state in memory stays in effect."""
         assert self.path is not None
         try:
-            with open(self.path.with_suffix(".lock"), "w") as lock:
-                fcntl.flock(lock, fcntl.LOCK_EX)
-                act()
+            with open(self.path.with_suffix(".lock"), "w") as lock_file:
+                fcntl.flock(lock_file, fcntl.LOCK_EX)
+                action()
         except OSError as error:
-            if str(error) != self.last_error:  # once for each cause
+            if str(error) != self.last_error:  # logged once for each cause
                 self.last_error = str(error)
                 LOG.warning("state is not kept", extra={"error": str(error)})
 
-    def _exchange(self) -> None:
+    def _read_and_write(self) -> None:
         self._read()
         if self.has_unsaved:
             self._write()
 
     def _read(self) -> None:
-        """A file that can't be read says nothing; the next change writes it anew."""
+        """Apply the file; one that can't be read is ignored, and the next change replaces it."""
         assert self.path is not None
         self.last_signature = self._signature()
         try:
             raw = json.loads(self.path.read_bytes())
-            listed, banned = _texts(raw["listed"]), _texts(raw["banned"])
+            listed, banned = _parse_names(raw["listed"]), _parse_names(raw["banned"])
         except FileNotFoundError:
             return
         except (OSError, ValueError, KeyError, TypeError) as error:
@@ -142,50 +150,54 @@
 
     def _write(self) -> None:
         assert self.path is not None
-        aside = self.path.with_suffix(".new")
-        aside.write_text(json.dumps({"banned": list(self.banned), "listed": list(self.listed)}))
-        os.replace(aside, self.path)
+        new_path = self.path.with_suffix(".new")
+        new_path.write_text(json.dumps({"banned": list(self.banned), "listed": list(self.listed)}))
+        os.replace(new_path, self.path)
         self.last_signature, self.has_unsaved = self._signature(), False
 
 
 class ProcessSlots:
-    """Tells whether a second process of this sidecar runs. Each holds a lock for
-    as long as it lives, which the system takes back however it ends."""
+    """Detects whether a second process of this sidecar runs, as during an upgrade.
+
+    Each process holds a lock on one of two files for as long as it lives; the system
+    releases it however the process ends.
+    """
 
-    def __init__(self, path: Path, changed: Callable[[bool], None]) -> None:
+    def __init__(self, path: Path, on_change: Callable[[bool], None]) -> None:
         self.paths = [path.with_suffix(f".seat{n}") for n in (0, 1)]
-        self.on_change = changed
+        self.on_change = on_change
         self.is_alone = True
         self.lock_file: IO[str] | None = None
         self.other_path: Path | None = None
 
     def poll(self) -> None:
+        """Claim a slot if none is held, and call `on_change` if the other process came or went."""
         try:
             if self.lock_file is None:
-                self._sit()
-            alone = self.other_path is None or not self._taken(self.other_path)
+                self._claim()
+            is_alone = self.other_path is None or not self._is_locked(self.other_path)
         except OSError:
-            return  # no folder to meet in
-        if alone != self.is_alone:
-            self.is_alone = alone
-            self.on_change(alone)
-
-    def _sit(self) -> None:
-        for path, other in (self.paths, self.paths[::-1]):
-            seat = open(path, "w")  # noqa: SIM115 - held until the process ends
+            return  # no folder for the lock files
+        if is_alone != self.is_alone:
+            self.is_alone = is_alone
+            self.on_change(is_alone)
+
+    def _claim(self) -> None:
+        for path, other_path in (self.paths, self.paths[::-1]):
+            file = open(path, "w")  # noqa: SIM115 - held until the process ends
             try:
-                fcntl.flock(seat, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
-                seat.close()
+                file.close()
                 continue
-            self.lock_file, self.other_path = seat, other
+            self.lock_file, self.other_path = file, other_path
             return
 
     @staticmethod
-    def _taken(path: Path) -> bool:
-        with open(path, "w") as seat:
+    def _is_locked(path: Path) -> bool:
+        with open(path, "w") as file:
             try:
-                fcntl.flock(seat, fcntl.LOCK_SH | fcntl.LOCK_NB)
+                fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
             except BlockingIOError:
                 return True
         return False
--- a/woadyard/net/threaded_http.py
+++ b/woadyard/net/threaded_http.py
@@ -1,8 +1,8 @@
-"""The operators' door: a second listener, for calls about this process.
+"""A small HTTP server on a thread of its own, for the admin listener and for calls of peers.
 
-It runs on a loop and a thread of its own, so that an answer waits for no
-balancing work, and holds few connections, so that callers who hold on to
-theirs cost the balancing nothing.
+Its event loop runs on that thread, so that a response does not wait for balancing work, and
+it accepts few connections, so that clients that hold theirs open take no resources from the
+balancing. A connection carries one request.
 """
 
 from __future__ import annotations
@@ -20,29 +20,32 @@
 
 from woadyard.errors import WoadyardError
 
-# Descriptors set aside: the listener, the loop's own, and the callers'.
 MAX_CONNECTIONS = 24
+# File descriptors to reserve: the connections, the listener and those of the event loop.
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 8
-# How long a connection may take to bring its call, and to read the answer.
+# Time limits for receiving a request whole, and for the client to read the response.
 REQUEST_TIMEOUT_S, LINGER_TIMEOUT_S = 3.0, 1.0
 MAX_BODY_BYTES, MAX_HEAD_BYTES = 1024, 8 * 1024
 BACKLOG = 128
 
 
 class HttpError(WoadyardError):
-    """A call that gets no for an answer; the text says why."""
+    """A request fails with `status`; the text says why."""
 
-    remedy = "see docs/on-call.md for the door's calls"
+    remedy = "see docs/on-call.md for the calls of the admin API"
 
-    def __init__(self, status: HTTPStatus, text: str, remedy: str | None = None) -> None:
-        super().__init__(text, remedy)
+    def __init__(self, status: HTTPStatus, message: str, remedy: str | None = None) -> None:
+        super().__init__(message, remedy)
         self.status = status
 
 
 @dataclass(frozen=True)
 class Route:
-    """One call: its method, and what it does with the body, or (`query`) with what stands behind
-    the `?`; `HttpError` says no. Bytes are answered as they are."""
+    """A method and its handler.
+
+    The handler gets the body, or the query string if `takes_query`, and returns the response
+    body: a text, or bytes that are sent unchanged. It raises HttpError to reject the request.
+    """
 
     method: bytes
     handler: Callable[[str], str | bytes]
@@ -53,55 +56,55 @@
 
 
 class ThreadedHttpConnection(asyncio.Protocol):
-    """One connection of an operator; it carries one call."""
+    """One client connection; it carries one request."""
 
-    def __init__(self, console: ThreadedHttpServer) -> None:
-        self.server = console
+    def __init__(self, server: ThreadedHttpServer) -> None:
+        self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.target = self.body = b""
-        self.fed = 0
-        self.expects = self.in_body = False
-        self.whole = self.over = False
+        self.received_bytes = 0
+        self.expects_continue = self.is_head_complete = False
+        self.is_complete = self.is_finished = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.patience = self.server.loop.call_later(REQUEST_TIMEOUT_S, self._out_of_patience)
+        self.timeout = self.server.loop.call_later(REQUEST_TIMEOUT_S, self._timed_out)
         self.server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.over = True
-        self.patience.cancel()
+        self.is_finished = True
+        self.timeout.cancel()
         self.server.connections.pop(self, None)
-        del self.parser  # it holds the visitor in turn
+        del self.parser  # it refers back to this connection
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        if self.is_finished:
             return
-        self.fed += len(data)
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
-            if self.whole:
-                self._answer(HTTPStatus.OK, self._act())
-            elif not self.in_body and self.fed > MAX_HEAD_BYTES:
+            if self.is_complete:
+                self._respond(HTTPStatus.OK, self._call_handler())
+            elif not self.is_head_complete and self.received_bytes > MAX_HEAD_BYTES:
                 raise HttpError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            self._refuse(cause if isinstance(cause, HttpError) else MALFORMED)
+            self._reject(cause if isinstance(cause, HttpError) else MALFORMED)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._refuse(MALFORMED)
+            self._reject(MALFORMED)
         except HttpError as error:
-            self._refuse(error)
+            self._reject(error)
 
     def on_url(self, url: bytes) -> None:
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.expects |= name.lower() == b"expect" and value.lower() == b"100-continue"
+        self.expects_continue |= name.lower() == b"expect" and value.lower() == b"100-continue"
 
     def on_headers_complete(self) -> None:
-        self.in_body = True
-        if self.expects and self.transport is not None:
+        self.is_head_complete = True
+        if self.expects_continue and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
@@ -110,86 +113,91 @@
             raise HttpError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.is_complete = True
 
-    def _act(self) -> str | bytes:
+    def _call_handler(self) -> str | bytes:
         path, _, query = self.target.partition(b"?")
         route = self.server.routes.get(path)
         if route is None:
             raise HttpError(HTTPStatus.NOT_FOUND, "unknown path")
         if self.parser.get_method() != route.method:
-            raise HttpError(HTTPStatus.METHOD_NOT_ALLOWED, f"this call is a {route.method.decode()}")
+            raise HttpError(HTTPStatus.METHOD_NOT_ALLOWED, f"this path requires {route.method.decode()}")
         try:
             return route.handler(query.decode() if route.takes_query else self.body.decode().strip())
         except UnicodeDecodeError:
-            raise HttpError(HTTPStatus.BAD_REQUEST, "the body is no text") from None
+            raise HttpError(HTTPStatus.BAD_REQUEST, "the request must be UTF-8 text") from None
+
+    def _reject(self, error: HttpError) -> None:
+        self._respond(error.status, f"{error}; {error.remedy}")
 
-    def _refuse(self, error: HttpError) -> None:
-        self._answer(error.status, f"{error}; {error.remedy}")
+    def _respond(self, status: HTTPStatus, content: str | bytes) -> None:
+        """Send the response, then close the connection.
 
-    def _answer(self, status: HTTPStatus, told: str | bytes) -> None:
-        """The answer, then the end; what still comes is dropped for a moment,
-        as closing on unread bytes would reset the answer away."""
-        self.over = True
+        If the request was not received whole, what still arrives is discarded for a moment:
+        closing with unread bytes would reset the connection and lose the response.
+        """
+        self.is_finished = True
         if self.transport is None or self.transport.is_closing():
             return
-        kind, body = b"application/octet-stream", told
+        content_type, body = b"application/octet-stream", content
         if isinstance(body, str):
-            kind, body = b"text/plain; charset=utf-8", f"{body}\n".encode()
+            content_type, body = b"text/plain; charset=utf-8", f"{body}\n".encode()
         self.transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%b" % (status, status.phrase.encode(), kind, len(body), body)
+            b"Connection: close\r\n\r\n%b" % (status, status.phrase.encode(), content_type, len(body), body)
         )
-        if self.whole:
+        if self.is_complete:
             self.transport.close()
         else:
             self.transport.write_eof()
-        self.patience.cancel()
-        self.patience = self.server.loop.call_later(LINGER_TIMEOUT_S, self.transport.abort)
+        self.timeout.cancel()
+        self.timeout = self.server.loop.call_later(LINGER_TIMEOUT_S, self.transport.abort)
 
-    def _out_of_patience(self) -> None:
-        if self.fed:
-            self._refuse(HttpError(HTTPStatus.REQUEST_TIMEOUT, "the call did not come whole in time"))
+    def _timed_out(self) -> None:
+        if self.received_bytes:
+            self._reject(HttpError(HTTPStatus.REQUEST_TIMEOUT, "the request was not received whole in time"))
         else:
-            self.drop()
+            self.abort_connection()
 
-    def drop(self) -> None:
-        self.over = True
+    def abort_connection(self) -> None:
+        """Close the connection without a response."""
+        self.is_finished = True
         if self.transport is not None:
             self.transport.abort()
 
 
-MALFORMED = HttpError(HTTPStatus.BAD_REQUEST, "malformed")
+MALFORMED = HttpError(HTTPStatus.BAD_REQUEST, "malformed request")
 
 
 class ThreadedHttpServer:
-    """The listener, and the thread that serves it; the looks are taken there every so often."""
+    """The listener and its thread, which also runs `periodic_tasks` every `period_s`."""
 
     def __init__(
         self,
         routes: Routes,
-        looks: Sequence[Callable[[], None]] = (),
-        every_s: float = 1.0,
-        body_max: int = MAX_BODY_BYTES,
+        periodic_tasks: Sequence[Callable[[], None]] = (),
+        period_s: float = 1.0,
+        max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
         self.routes, self.periodic_tasks, self.period_s, self.max_body_bytes = (
             routes,
-            looks,
-            every_s,
-            body_max,
+            periodic_tasks,
+            period_s,
+            max_body_bytes,
         )
-        self.connections: dict[ThreadedHttpConnection, None] = {}  # the longest here first
+        self.connections: dict[ThreadedHttpConnection, None] = {}  # oldest first
         self.loop = uvloop.new_event_loop()
         self.thread = threading.Thread(target=self._run, name="console", daemon=True)
         self.listening_socket: socket.socket | None = None
 
     def open(self, host: str, port: int) -> int:
-        """Listen, and serve from now on; OSError where the address can't be used."""
+        """Listen and start the thread; return the port. Raises OSError if the address can't be used."""
         self.listening_socket = socket.create_server((host, port), backlog=BACKLOG)
         self.thread.start()
         return int(self.listening_socket.getsockname()[1])
 
     def close(self) -> None:
+        """Stop the thread and close its event loop."""
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join()
         self.loop.close()
@@ -201,18 +209,18 @@
                 lambda: ThreadedHttpConnection(self), sock=self.listening_socket, backlog=BACKLOG
             )
         )
-        self._look()
+        self._run_periodic_tasks()
         self.loop.run_forever()
 
-    def _look(self) -> None:
-        for look in self.periodic_tasks:
-            look()
-        self.loop.call_later(self.period_s, self._look)
+    def _run_periodic_tasks(self) -> None:
+        for task in self.periodic_tasks:
+            task()
+        self.loop.call_later(self.period_s, self._run_periodic_tasks)
 
-    def add_connection(self, visitor: ThreadedHttpConnection) -> None:
-        """One more; where that is too many, the one longest here gives way."""
-        self.connections[visitor] = None
+    def add_connection(self, connection: ThreadedHttpConnection) -> None:
+        """Register a new connection; if there are too many, abort the oldest."""
+        self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
             del self.connections[oldest]
-            oldest.drop()
+            oldest.abort_connection()
--- a/woadyard/ops/__init__.py
+++ b/woadyard/ops/__init__.py
@@ -1,1 +1,1 @@
-"""What operators read of a process: structured logs and metrics."""
+"""Structured logs and metrics of a process, for its operators."""
--- a/woadyard/ops/logs.py
+++ b/woadyard/ops/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: one JSON object a line on stderr, rate-limited per event.
+"""Structured logs: one JSON object per line on stderr, rate-limited per event.
 
 Each line has `time` (ISO 8601, UTC), `level`, `logger`, `event` and the fields
-the caller passed as `extra`. An event repeated faster than its budget is
-suppressed; the number suppressed rides on its next line that passes, and
-`RateLimitFilter.log_suppressed` says it where that line never comes.
+that were passed as `extra`. An event that is logged faster than its budget is
+suppressed; its next line that passes carries the number suppressed, and
+`RateLimitFilter.log_suppressed` logs it where no such line follows.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from pythonjsonlogger.json import JsonFormatter
 
 LEVELS = ("debug", "info", "warning", "error")
-# Per event: this many lines in a window of this many seconds, the rest counted.
+# Lines of one event that pass in a window of this many seconds; the rest are counted.
 BURST, WINDOW_S = 5, 10.0
 ROOT = "woadyard"
 
 
 @dataclass
 class EventBudget:
-    """What one event has spent in its window, and what it held back."""
+    """The lines of one event that passed in its window, and those suppressed."""
 
     window_start_s: float
     passed: int = 0
@@ -31,14 +31,14 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets `burst` records of each event through per `window_s` seconds.
+    """Passes `burst` records of each event per `window_s` seconds.
 
-    It holds back what peers bring about, from the loggers below `woadyard`;
-    the lines of `woadyard` itself follow an operator's act and pass whole.
+    It limits the loggers below `woadyard`, whose lines peers can cause; the lines
+    of `woadyard` itself follow an operator's action and always pass.
 
-    An event is the pair (logger, message template), so lines that differ
-    only in their fields share a budget. Time is the record's own `created`:
-    the filter reads no clock, and tests make records at the times they want.
+    An event is the pair (logger, message template), so lines that differ only in
+    their fields share a budget. Time is the record's own `created`: the filter
+    reads no clock, and tests create records at the times they need.
     """
 
     def __init__(self, burst: int = BURST, window_s: float = WINDOW_S) -> None:
@@ -48,12 +48,12 @@
 
     def filter(self, record: logging.LogRecord) -> bool:
         if record.name == ROOT or record.__dict__.get("summary"):
-            return True  # the wiring's own: a start, a reload, an operator's act
+            return True  # a start, a reload, an operator's action, or a summary of this filter
         key = (record.name, str(record.msg))
         budget = self.budgets.get(key)
         if budget is None or record.created - budget.window_start_s >= self.window_s:
-            held = budget.suppressed if budget is not None else 0
-            budget = self.budgets[key] = EventBudget(record.created, suppressed=held)
+            carried_over = budget.suppressed if budget is not None else 0
+            budget = self.budgets[key] = EventBudget(record.created, suppressed=carried_over)
         if budget.passed >= self.burst:
             budget.suppressed += 1
             return False
@@ -63,7 +63,7 @@
         return True
 
     def log_suppressed(self, log: logging.Logger) -> int:
-        """Say what was held back and has not been said; returns that count."""
+        """Log the counts of suppressed lines that no line has carried yet; return their sum."""
         total = 0
         for (name, event), budget in self.budgets.items():
             if budget.suppressed:
@@ -77,6 +77,7 @@
 
 
 def build_formatter() -> logging.Formatter:
+    """Return the formatter that writes a record as one JSON object."""
     return JsonFormatter(
         "%(asctime)s %(levelname)s %(name)s %(message)s",
         rename_fields={"asctime": "time", "levelname": "level", "name": "logger", "message": "event"},
@@ -85,6 +86,7 @@
     )
 
 
+# Attributes of a record that are not fields of the line.
 RESERVED_ATTRIBUTES = (
     "args", "created", "exc_info", "exc_text", "filename", "funcName", "levelno", "lineno", "module", "msecs",
     "msg", "pathname", "process", "processName", "relativeCreated", "stack_info", "thread",
@@ -93,19 +95,19 @@
 
 
 def setup(level: str = "info", stream: TextIO | None = None) -> RateLimitFilter:
-    """Send the `woadyard` loggers' lines to `stream` (stderr), from `level` up.
+    """Send the lines of the `woadyard` loggers from `level` up to `stream` (stderr).
 
-    Returns the filter, whose `log_suppressed` the caller runs now and then. Called
-    again, as at a reload, it replaces what an earlier call set.
+    Returns the filter; the caller runs its `log_suppressed` periodically. A repeated
+    call replaces what an earlier one set up.
     """
     log = logging.getLogger(ROOT)
-    for old in list(log.handlers):
-        log.removeHandler(old)
+    for old_handler in list(log.handlers):
+        log.removeHandler(old_handler)
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(build_formatter())
-    limit = RateLimitFilter()
-    handler.addFilter(limit)
+    rate_limit = RateLimitFilter()
+    handler.addFilter(rate_limit)
     log.addHandler(handler)
     log.setLevel(level.upper())
     log.propagate = False
-    return limit
+    return rate_limit
--- a/woadyard/ops/metrics.py
+++ b/woadyard/ops/metrics.py
@@ -1,10 +1,10 @@
-"""Counters and histograms of one sidecar, for `GET /_metrics` on the door.
+"""Counters, gauges and histograms of one sidecar, served by the admin listener at `GET /_metrics`.
 
-`Metrics` keeps them with `prometheus_client` in a registry of its own, so
-that several sidecars in one process (as in tests) count apart; `render` gives
-the Prometheus text format 0.0.4. `NullMetrics` takes the same calls and keeps
-nothing, for a process without a door, where nobody could read them.
-Times are in microseconds in the calls, seconds in the output.
+`Metrics` keeps them in a `prometheus_client` registry of its own, so that several sidecars
+in one process (as in tests) count separately; `render` returns the Prometheus text format
+0.0.4. `NullMetrics` has the same methods and keeps nothing, for a process without an admin
+listener, where nobody could read them. The methods take times in microseconds; the output
+has seconds.
 """
 
 from __future__ import annotations
@@ -17,76 +17,77 @@
 
 OUTCOMES = ("ok", "error", "full", "timeout", "no_connect", "reset", "cancelled", "moot")
 LISTS = {LIST_FULL: "full", LIST_FAILED: "failed", LIST_DELTA: "delta", LIST_CACHED: "cached"}
-# From a fast answer on loopback to the longest deadline of a class, in seconds.
+# In seconds, from a fast response on loopback to the longest deadline of a class.
 BUCKETS = (0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-US = 1e-6
+SECONDS_PER_US = 1e-6
 
 
 class NullMetrics:
-    """Takes every count and keeps none."""
+    """Has the methods of `Metrics` and keeps nothing."""
 
     def request_received(self) -> None:
-        """A request taken from a caller."""
+        """Count a request received from a client."""
 
     def response_sent(self, status: int, took_us: int) -> None:
-        """Its final answer, `took_us` after it was taken."""
+        """Count a request's final response, `took_us` after the request was received."""
 
-    def attempt_sent(self, copy: int) -> None:
-        """An attempt sent on; `copy` counts from 0, so above it is a retry."""
+    def attempt_sent(self, attempt_index: int) -> None:
+        """Count an attempt sent to an endpoint; indexes count from 0, so one above 0 is a retry."""
 
     def attempt_ended(self, outcome: int, took_us: int) -> None:
-        """An attempt's outcome (`woadyard.interface.OK` and the others)."""
+        """Count an attempt's outcome, `woadyard.interface.OK` or another."""
 
     def request_rejected(self) -> None:
-        """A request refused by admission, with no attempt."""
+        """Count a request that admission rejected without an attempt."""
 
     def request_malformed(self, status: int) -> None:
-        """A request turned down before it was taken, with a 4xx."""
+        """Count a request answered with this 4xx status before it was accepted."""
 
-    def ban_changed(self, out: bool) -> None:
-        """An endpoint taken out (True) or put back by an operator."""
+    def ban_changed(self, is_banned: bool) -> None:
+        """Count an endpoint that an operator detached (True) or attached again."""
 
     def list_received(self, mode: int, version: int) -> None:
-        """A list, or its failure, and the version it brings."""
+        """Count a list from discovery, or its failure, and set the version in force."""
 
     def set_held_endpoints(self, count: int) -> None:
-        """Endpoints that lists lost and that are still used (the panic threshold)."""
+        """Set the number of endpoints that lists lost and the panic threshold holds back."""
 
     def set_peers(self, count: int) -> None:
-        """Sidecars that share state with this one."""
+        """Set the number of sidecars that share state with this one."""
 
-    def exchange_ended(self, result: str, sent: int, got: int) -> None:
-        """An exchange with a peer (done, refused or failed) and its bodies' bytes."""
+    def exchange_ended(self, result: str, sent_bytes: int, received_bytes: int) -> None:
+        """Count an exchange with a peer (done, refused or failed) and the bytes of its bodies."""
 
     def set_lowered_endpoints(self, count: int) -> None:
-        """Endpoints whose weight others' verdicts lower."""
+        """Set the number of endpoints whose weight the verdicts of other sidecars lower."""
 
     def zone_attempt_sent(self, name: str) -> None:
-        """An attempt sent to an endpoint of this zone, where zones are chosen."""
+        """Count an attempt sent to an endpoint of this zone, where zones are chosen."""
 
     def set_shares(self, count: int) -> None:
-        """Attempts that may be out from here by the shares held, over all endpoints."""
+        """Set the number of attempts in flight that the shares held allow, over all endpoints."""
 
     def invariant_violated(self, rule: str) -> None:
-        """A rule that was broken all the same (`woadyard.net.invariants`)."""
+        """Count a violation of an invariant (`woadyard.net.invariants`)."""
 
     def render(self) -> str:
+        """Return all metrics in the Prometheus text format."""
         return ""
 
 
 class Metrics(NullMetrics):
-    """The counts of one sidecar; every call takes a lock or two, no I/O."""
+    """The metrics of one sidecar; a method takes a lock or two and does no I/O."""
 
     def __init__(self) -> None:
         self.registry = registry = CollectorRegistry()
-        self.requests = Counter("woadyard_requests", "Requests taken from callers", registry=registry)
-        answers = Counter(
-            "woadyard_answers", "Final answers to callers, by status", ["status"], registry=registry
+        self.requests = Counter("woadyard_requests", "Requests received from clients", registry=registry)
+        responses = Counter(
+            "woadyard_answers", "Final responses to clients, by status", ["status"], registry=registry
         )
-        self.answers = answers.labels
-        self.by_status: dict[int, Any] = {}  # the children, as `labels` takes a lock to find them
+        self.responses = responses.labels
+        self.by_status: dict[int, Any] = {}  # the children: looking one up by `labels` takes a lock
         self.request_seconds = Histogram(
-            "woadyard_request_seconds", "From a request taken to its final answer", buckets=BUCKETS,
+            "woadyard_request_seconds", "From a request received to its final response", buckets=BUCKETS,
             registry=registry,
         )  # fmt: skip
         self.attempts = Counter("woadyard_attempts", "Attempts sent to endpoints", registry=registry)
@@ -99,86 +100,88 @@
             "woadyard_attempt_seconds", "From an attempt sent to its outcome", buckets=BUCKETS,
             registry=registry,
         )  # fmt: skip
-        self.refusals = Counter("woadyard_refusals", "Requests refused by admission", registry=registry)
+        self.rejections = Counter("woadyard_refusals", "Requests rejected by admission", registry=registry)
         malformed = Counter(
-            "woadyard_malformed", "Requests turned down before they were taken", ["status"], registry=registry
+            "woadyard_malformed", "Requests rejected before they were accepted", ["status"], registry=registry
         )
-        self.malformed_by = malformed.labels
-        bans = Counter("woadyard_bans", "Endpoints taken out or put back", ["act"], registry=registry)
+        self.malformed_by_status = malformed.labels
+        bans = Counter("woadyard_bans", "Endpoints detached or attached", ["act"], registry=registry)
         self.bans = bans.labels("detach"), bans.labels("attach")
         lists = Counter("woadyard_lists", "Lists from discovery, by kind", ["kind"], registry=registry)
         self.lists = {mode: lists.labels(name) for mode, name in LISTS.items()}
-        self.version = Gauge("woadyard_list_version", "Version of the list in force", registry=registry)
+        self.list_version = Gauge("woadyard_list_version", "Version of the list in force", registry=registry)
 
-        self.held = Gauge(
-            "woadyard_list_held", "Endpoints lost by the list and held on to", registry=registry
+        self.held_endpoints = Gauge(
+            "woadyard_list_held", "Endpoints lost by the list and held back", registry=registry
         )
-        self.peer_count = Gauge("woadyard_peers", "Sidecars that share state", registry=registry)
+        self.peers = Gauge("woadyard_peers", "Sidecars that share state", registry=registry)
         exchanges = Counter("woadyard_exchanges", "Exchanges with peers", ["result"], registry=registry)
         self.exchanges = {name: exchanges.labels(name) for name in ("done", "refused", "failed")}
-        told = Counter("woadyard_exchange_bytes", "Bodies of exchanges", ["way"], registry=registry)
-        self.told = told.labels("out"), told.labels("in")
-        self.lowered_count = Gauge(
+        exchange_bytes = Counter(
+            "woadyard_exchange_bytes", "Bytes of the bodies of exchanges", ["way"], registry=registry
+        )
+        self.exchange_bytes = exchange_bytes.labels("out"), exchange_bytes.labels("in")
+        self.lowered_endpoints = Gauge(
             "woadyard_endpoints_lowered", "Endpoints that others' verdicts lower", registry=registry
         )
         zones = Counter("woadyard_zone_attempts", "Attempts by zone", ["zone"], registry=registry)
         self.zones = zones.labels
         self.violations = Counter(
-            "woadyard_invariant_violations", "Rules found broken, by rule", ["rule"], registry=registry
+            "woadyard_invariant_violations", "Violations of invariants, by rule", ["rule"], registry=registry
         )
-        self.share_count = Gauge("woadyard_shares", "Shares of limits held", registry=registry)
+        self.shares = Gauge("woadyard_shares", "Shares of limits held", registry=registry)
 
     def request_received(self) -> None:
         self.requests.inc()
 
     def response_sent(self, status: int, took_us: int) -> None:
         if (child := self.by_status.get(status)) is None:
-            child = self.by_status[status] = self.answers(str(status))
+            child = self.by_status[status] = self.responses(str(status))
         child.inc()
-        self.request_seconds.observe(took_us * US)
+        self.request_seconds.observe(took_us * SECONDS_PER_US)
 
-    def attempt_sent(self, copy: int) -> None:
+    def attempt_sent(self, attempt_index: int) -> None:
         self.attempts.inc()
-        if copy:
+        if attempt_index:
             self.retries.inc()
 
     def attempt_ended(self, outcome: int, took_us: int) -> None:
         self.outcomes[outcome].inc()
-        self.attempt_seconds.observe(took_us * US)
+        self.attempt_seconds.observe(took_us * SECONDS_PER_US)
 
     def request_rejected(self) -> None:
-        self.refusals.inc()
+        self.rejections.inc()
 
     def request_malformed(self, status: int) -> None:
-        self.malformed_by(str(status)).inc()
+        self.malformed_by_status(str(status)).inc()
 
-    def ban_changed(self, out: bool) -> None:
-        self.bans[0 if out else 1].inc()
+    def ban_changed(self, is_banned: bool) -> None:
+        self.bans[0 if is_banned else 1].inc()
 
     def list_received(self, mode: int, version: int) -> None:
         self.lists[mode].inc()
         if mode != LIST_FAILED:
-            self.version.set(version)
+            self.list_version.set(version)
 
     def set_held_endpoints(self, count: int) -> None:
-        self.held.set(count)
+        self.held_endpoints.set(count)
 
     def set_peers(self, count: int) -> None:
-        self.peer_count.set(count)
+        self.peers.set(count)
 
-    def exchange_ended(self, result: str, sent: int, got: int) -> None:
+    def exchange_ended(self, result: str, sent_bytes: int, received_bytes: int) -> None:
         self.exchanges[result].inc()
-        self.told[0].inc(sent)
-        self.told[1].inc(got)
+        self.exchange_bytes[0].inc(sent_bytes)
+        self.exchange_bytes[1].inc(received_bytes)
 
     def set_lowered_endpoints(self, count: int) -> None:
-        self.lowered_count.set(count)
+        self.lowered_endpoints.set(count)
 
     def zone_attempt_sent(self, name: str) -> None:
         self.zones(name).inc()
 
     def set_shares(self, count: int) -> None:
-        self.share_count.set(count)
+        self.shares.set(count)
 
     def invariant_violated(self, rule: str) -> None:
         self.violations.labels(rule).inc()
