--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,8 @@
-"""The fixture of tests that run processes. Such tests are coroutines, on asyncio's own loop:
-unlike uvloop's, it lets a test's time limit break into a wait."""
+"""The fixture of tests that run processes.
+
+Such tests are coroutines on asyncio's own event loop: unlike uvloop's, it lets the time limit
+of a test interrupt a wait.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @pytest.fixture
 def lab(tmp_path: Path) -> Iterator[Lab]:
-    """Ends what the test started, however the test ends."""
+    """A `Lab` that stops the processes of the test, however the test ends."""
     lab = Lab(tmp_path)
     try:
         yield lab
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""The fault proxy, under the name that older tests know."""
+"""The fault proxy of `woadyard.standins`, under the module name that some tests import."""
 
 from woadyard.standins import CUT, DROP, PASS, RESET, FaultProxy
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The tests that may fail for now: KNOWN-RED.txt at the root names each with its cause and its issue.
+"""Tests that are known to fail: KNOWN-RED.txt at the root lists each with its cause and its issue.
 
-`./check` runs this file, which refuses a list that does not hold, and then the tests with it as a
-plugin: what is listed runs, is printed with its outcome and does not decide the verdict.
+`./check` runs this file, which rejects an invalid list, and then the tests with it as a pytest
+plugin: listed tests run, are printed with their outcome, and do not decide the verdict.
 """
 
 from __future__ import annotations
@@ -20,11 +20,13 @@
 
 
 class InvalidListError(Exception):
-    """The list does not hold; the message says why."""
+    """The list is invalid; the message says why."""
 
 
 @dataclass
 class KnownFailure:
+    """A listed test, and its outcome in this run."""
+
     test: str
     cause: str
     issue: str
@@ -37,19 +39,17 @@
 
 
 def read_list(root: Path) -> list[KnownFailure]:
-    """What is listed there; nothing where there is no list."""
+    """Return the listed tests; none if there is no list."""
     path = root / FILE
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_LISTED:
-        raise InvalidListError(
-            f"{FILE} lists {len(lines)} tests; {MAX_LISTED} at most: mend the others first"
-        )
-    return [_known(line) for line in lines]
+        raise InvalidListError(f"{FILE} lists {len(lines)} tests; {MAX_LISTED} at most: fix the others first")
+    return [_parse_line(line) for line in lines]
 
 
-def _known(line: str) -> KnownFailure:
+def _parse_line(line: str) -> KnownFailure:
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 3 or not all(parts):
         raise InvalidListError(f"{FILE}: {line!r} is not of the form: test-node-id | cause | issue")
@@ -58,7 +58,7 @@
 
 
 class CollectedTests:
-    """The ids of what pytest collects."""
+    """A pytest plugin that keeps the node ids of the collected tests."""
 
     def __init__(self) -> None:
         self.ids: set[str] = set()
@@ -68,26 +68,31 @@
 
 
 def verify(root: Path) -> None:
-    """Refuses a list that is not as it has to be, or that names a test that does not exist."""
+    """Raise InvalidListError if the list has an invalid line or names a test that does not exist."""
     listed = read_list(root)
     if not listed:
         return
-    names, said = CollectedTests(), io.StringIO()
-    with contextlib.redirect_stdout(said), contextlib.redirect_stderr(said):
-        code = pytest.main(["--collect-only", f"--rootdir={root}"], plugins=[names])
+    collected, output = CollectedTests(), io.StringIO()
+    with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
+        code = pytest.main(["--collect-only", f"--rootdir={root}"], plugins=[collected])
     if code != pytest.ExitCode.OK:
-        raise InvalidListError(f"{said.getvalue()}\n{FILE}: the tests it is compared with are not collected")
-    for one in listed:
-        if one.test not in names.ids:
-            raise InvalidListError(f"{FILE}: there is no test {one.test}")
+        raise InvalidListError(
+            f"{output.getvalue()}\n{FILE}: the tests that it is compared with can't be collected"
+        )
+    for known in listed:
+        if known.test not in collected.ids:
+            raise InvalidListError(f"{FILE}: there is no test {known.test}")
 
 
 class KnownFailuresPlugin:
-    """Keeps what is listed out of the verdict, in the process that counts and prints. It takes reports
-    rather than tests, so an error around a test or a worker's crash in it counts as its failure."""
+    """A pytest plugin that keeps listed tests out of the verdict, in the process that counts and prints.
+
+    It handles reports rather than tests, so an error in a fixture or a crash of a worker during a
+    test counts as a failure of that test.
+    """
 
     def __init__(self, listed: list[KnownFailure]) -> None:
-        self.listed = {one.test: one for one in listed}
+        self.listed = {known.test: known for known in listed}
 
     @pytest.hookimpl(wrapper=True)
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> Generator[None, object, object]:
@@ -105,8 +110,8 @@
         terminalreporter.section(FILE)
         for known in self.listed.values():
             terminalreporter.write_line(known.summary())
-            for fault in known.failures:
-                terminalreporter.write_line(fault)
+            for failure in known.failures:
+                terminalreporter.write_line(failure)
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -114,8 +119,8 @@
         return
     try:
         listed = read_list(config.rootpath)
-    except InvalidListError as refused:
-        raise pytest.UsageError(str(refused)) from None
+    except InvalidListError as error:
+        raise pytest.UsageError(str(error)) from None
     if listed:
         config.pluginmanager.register(KnownFailuresPlugin(listed))
 
@@ -123,5 +128,5 @@
 if __name__ == "__main__":
     try:
         verify(Path.cwd())
-    except InvalidListError as refused:
-        sys.exit(str(refused))
+    except InvalidListError as error:
+        sys.exit(str(error))
--- a/tests/process.py
+++ b/tests/process.py
@@ -1,4 +1,4 @@
-"""The real program as a process of its own, and what it is told."""
+"""Starts sidecars as processes of their own, and calls them."""
 
 from __future__ import annotations
 
@@ -15,6 +15,8 @@
 
 
 class HasPort(Protocol):
+    """A server, by its port."""
+
     @property
     def port(self) -> int: ...
 
@@ -22,10 +24,11 @@
 def sidecar_environ(
     tmp_path: Path, registry: HasPort, *endpoints: Endpoint, **changes: Any
 ) -> dict[str, str]:
+    """Write a configuration file with these changes; return the environment that names it."""
     raw = {
         "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{registry.port}", "seed": "8c1f",
         "limits": {"sockets": 1024}, "settings": SETTINGS,
-        "known": {"generation": 1, "reset": True, "instances": [one.entry() for one in endpoints]},
+        "known": {"generation": 1, "reset": True, "instances": [endpoint.entry() for endpoint in endpoints]},
         **changes,
     }  # fmt: skip
     path = tmp_path / "config.json"
@@ -37,6 +40,7 @@
 
 
 async def start_sidecar(environ: dict[str, str], *inherited: int) -> Process:
+    """Start a sidecar that inherits these descriptors."""
     pipe = asyncio.subprocess.PIPE
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "woadyard", env=environ, stdout=pipe, stderr=pipe, pass_fds=inherited
@@ -44,16 +48,18 @@
 
 
 def free_port() -> int:
-    """A port that the system gives nobody else for a minute: a connection of it is
-    still in TIME_WAIT, and who binds it by its number may."""
-    with socket.create_server(("127.0.0.1", 0)) as found:
-        port: int = found.getsockname()[1]
-        with socket.create_connection(("127.0.0.1", port)), found.accept()[0]:
+    """Return a port that the system assigns to nobody else for a minute.
+
+    A connection of it is still in TIME_WAIT; binding the port by its number is possible.
+    """
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port: int = listener.getsockname()[1]
+        with socket.create_connection(("127.0.0.1", port)), listener.accept()[0]:
             return port
 
 
 async def connect_when_open(port: int) -> tuple[Reader, Writer]:
-    """A connection there, as soon as somebody listens."""
+    """Connect as soon as something listens on the port."""
     while True:
         with contextlib.suppress(ConnectionError):
             return await asyncio.open_connection("127.0.0.1", port)
@@ -61,15 +67,16 @@
 
 
 async def http_call(port: int, method: str, path: str, body: str = "") -> Message:
-    """One call at the operators' door, as soon as there is one."""
+    """Send one request, to the admin listener for instance, as soon as it listens."""
     reader, writer = await connect_when_open(port)
     writer.write(f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-    back = await read_message(reader)
+    response = await read_message(reader)
     writer.close()
-    return back
+    return response
 
 
 async def wait_until_ready(port: int) -> None:
+    """Wait until the admin listener at this port reports the sidecar ready."""
     while not (await http_call(port, "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
         await asyncio.sleep(0.01)
 
@@ -77,12 +84,12 @@
 async def start_ready_sidecar(
     folder: Path, registry: Registry, *endpoints: Endpoint
 ) -> tuple[Process, int, int]:
-    """A sidecar process with its door, ready; and the ports of both."""
-    port, door = free_port(), free_port()
+    """Start a sidecar and wait until it is ready; return it, its port and its admin port."""
+    port, admin_port = free_port(), free_port()
     environ = {
         **sidecar_environ(folder, registry, *endpoints),
-        "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}",
+        "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{admin_port}",
     }  # fmt: skip
     process = await start_sidecar(environ)
-    await wait_until_ready(door)
-    return process, port, door
+    await wait_until_ready(admin_port)
+    return process, port, admin_port
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, and no flood from bad peers."""
+"""Structured logs: one JSON object per line, and a rate limit on what peers can cause."""
 
 from __future__ import annotations
 
@@ -15,32 +15,34 @@
 FLOOD = 1_000
 
 
-def record(at: float, message: str = "request refused") -> logging.LogRecord:
-    made = logging.LogRecord("woadyard.net.server", logging.INFO, __file__, 1, message, None, None)
-    made.created = at
-    return made
+def record_at(created_s: float, message: str = "request refused") -> logging.LogRecord:
+    log_record = logging.LogRecord("woadyard.net.server", logging.INFO, __file__, 1, message, None, None)
+    log_record.created = created_s
+    return log_record
 
 
-def test_an_event_gets_its_budget_in_a_window_and_the_rest_is_counted() -> None:
-    limit = RateLimitFilter()
-    passed = [limit.filter(record(n / FLOOD)) for n in range(FLOOD)]
+def test_lines_above_an_events_budget_in_a_window_are_counted() -> None:
+    rate_limit = RateLimitFilter()
+    passed = [rate_limit.filter(record_at(n / FLOOD)) for n in range(FLOOD)]
     assert passed.count(True) == BURST and passed[:BURST] == [True] * BURST
-    assert limit.filter(record(0.5, "other event")), "each event has its own budget"
-    later = record(WINDOW_S + 0.5)
-    assert limit.filter(later) and vars(later)["suppressed"] == FLOOD - BURST
-    assert limit.log_suppressed(logging.getLogger("woadyard.test")) == 0, "said once, with the line"
+    assert rate_limit.filter(record_at(0.5, "other event")), "each event has its own budget"
+    later = record_at(WINDOW_S + 0.5)
+    assert rate_limit.filter(later) and vars(later)["suppressed"] == FLOOD - BURST
+    assert rate_limit.log_suppressed(logging.getLogger("woadyard.test")) == 0, (
+        "the next line that passed carried the count"
+    )
 
 
-def test_what_is_held_back_is_said_by_a_flush() -> None:
-    limit = RateLimitFilter()
+def test_log_suppressed_logs_the_counts_once() -> None:
+    rate_limit = RateLimitFilter()
     for n in range(BURST + 3):
-        limit.filter(record(n * 0.01))
-    assert limit.log_suppressed(logging.getLogger("woadyard.test")) == 3
-    assert limit.log_suppressed(logging.getLogger("woadyard.test")) == 0
+        rate_limit.filter(record_at(n * 0.01))
+    assert rate_limit.log_suppressed(logging.getLogger("woadyard.test")) == 3
+    assert rate_limit.log_suppressed(logging.getLogger("woadyard.test")) == 0
 
 
 async def flood(port: int) -> None:
-    """Garbage, each on a connection of its own, as fast as the sidecar takes it."""
+    """Send garbage, each time on a new connection, as fast as the sidecar accepts it."""
     for _ in range(FLOOD):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"NOT HTTP AT ALL\r\n\r\n")
@@ -48,7 +50,7 @@
         writer.close()
 
 
-def test_a_flood_of_garbage_gives_few_lines_and_counts_the_rest(tmp_path: Path) -> None:
+def test_a_flood_of_invalid_requests_is_logged_in_few_lines_and_counted(tmp_path: Path) -> None:
     async def main() -> None:
         registry = Registry()
         async with await registry.start():
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The door's `/_metrics`: Prometheus text that agrees with what was sent."""
+"""`GET /_metrics` of the admin listener: Prometheus text that agrees with what was sent."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 from tests.process import http_call, start_ready_sidecar
 from tests.sockets import Endpoint, Registry, read_message, request, run
 
-REQUESTS, AT_ONCE, IDLE = 300, 30, 40
+REQUESTS, CONNECTIONS, IDLE_CONNECTIONS = 300, 30, 40
 
 
 def samples(text: str) -> dict[str, float]:
-    """Each sample by its name and labels, as `name{label=value}`."""
-    found = {}
+    """Return the samples by name and labels, as `name{label=value}`."""
+    values = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
             labels = ",".join(f"{key}={value}" for key, value in sorted(sample.labels.items()))
-            found[f"{sample.name}{{{labels}}}" if labels else sample.name] = sample.value
-    return found
+            values[f"{sample.name}{{{labels}}}" if labels else sample.name] = sample.value
+    return values
 
 
-async def caller(port: int, todo: list[int], done: list[bytes]) -> None:
+async def send_requests(port: int, pending: list[int], bodies: list[bytes]) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    while todo:
-        writer.write(request(rid=f"r{todo.pop()}"))
-        done.append((await read_message(reader)).body)
+    while pending:
+        writer.write(request(rid=f"r{pending.pop()}"))
+        bodies.append((await read_message(reader)).body)
     writer.close()
 
 
-def test_the_counts_agree_with_what_was_sent_under_load_and_idle_callers(tmp_path: Path) -> None:
+def test_the_counts_agree_with_what_was_sent_under_load_and_idle_connections(tmp_path: Path) -> None:
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
         async with await endpoint.start(), await registry.start():
-            process, port, door = await start_ready_sidecar(tmp_path, registry, endpoint)
-            idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(IDLE)]
-            todo, done = list(range(REQUESTS)), list[bytes]()
-            load = asyncio.gather(*(caller(port, todo, done) for _ in range(AT_ONCE)))
-            while not load.done():  # read while the load runs: each answer is whole and in order
-                during = samples((await http_call(door, "GET", "/_metrics")).body.decode())
+            process, port, admin_port = await start_ready_sidecar(tmp_path, registry, endpoint)
+            idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(IDLE_CONNECTIONS)]
+            pending, bodies = list(range(REQUESTS)), list[bytes]()
+            load = asyncio.gather(*(send_requests(port, pending, bodies) for _ in range(CONNECTIONS)))
+            while not load.done():  # under load too each response must be whole and in order
+                during = samples((await http_call(admin_port, "GET", "/_metrics")).body.decode())
                 assert during["woadyard_requests_total"] <= REQUESTS
             await load
-            after = samples((await http_call(door, "GET", "/_metrics")).body.decode())
+            after = samples((await http_call(admin_port, "GET", "/_metrics")).body.decode())
             for _, writer in idle:
                 writer.close()
             process.send_signal(signal.SIGTERM)
             await process.wait()
-        assert done == [b"ok"] * REQUESTS and len(endpoint.got) == REQUESTS
+        assert bodies == [b"ok"] * REQUESTS and len(endpoint.got) == REQUESTS
         assert after["woadyard_requests_total"] == REQUESTS
         assert after["woadyard_answers_total{status=200}"] == REQUESTS
         assert after["woadyard_attempts_total"] == REQUESTS and after["woadyard_retries_total"] == 0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""What operators do with a running sidecar: real processes on loopback."""
+"""What operators do with a running sidecar: upgrades, detaching endpoints and reloads, over loopback."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from woadyard.net.state import endpoint_number
 
 
-def test_a_second_process_takes_over_on_the_platforms_socket(tmp_path: Path) -> None:
+def test_a_second_process_takes_over_the_platforms_listening_socket(tmp_path: Path) -> None:
     async def main() -> None:
         release = asyncio.Event()
 
@@ -48,50 +48,56 @@
             writer.write(answer())
 
         endpoint, registry = Endpoint(slow), Registry(beat_s=1.0)
-        listening = socket.create_server(("127.0.0.1", 0))
-        port = listening.getsockname()[1]
+        listener = socket.create_server(("127.0.0.1", 0))
+        port = listener.getsockname()[1]
         async with await endpoint.start(), await registry.start():
             environ = {
                 **sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"),
-                "LB_ACCEPT_FD": str(listening.fileno()),
+                "LB_ACCEPT_FD": str(listener.fileno()),
             }
-            doors = [free_port(), free_port()]
-            old = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
-            await wait_until_ready(doors[0])
+            admin_ports = [free_port(), free_port()]
+            old = await start_sidecar(
+                {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[0]}"}, listener.fileno()
+            )
+            await wait_until_ready(admin_ports[0])
             await registry.asked.get()
-            kept, kept_writer = await asyncio.open_connection("127.0.0.1", port)
-            kept_writer.write(request(rid="first"))
-            assert "connection" not in (await read_message(kept)).headers
-            taken, taken_writer = await asyncio.open_connection("127.0.0.1", port)
-            taken_writer.write(request(rid="slow"))
+            idle, idle_writer = await asyncio.open_connection("127.0.0.1", port)
+            idle_writer.write(request(rid="first"))
+            assert "connection" not in (await read_message(idle)).headers
+            busy, busy_writer = await asyncio.open_connection("127.0.0.1", port)
+            busy_writer.write(request(rid="slow"))
             await endpoint.arrived.acquire()
             await endpoint.arrived.acquire()
-            new = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
+            new = await start_sidecar(
+                {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[1]}"}, listener.fileno()
+            )
             _, watch = await registry.asked.get()
-            assert (await http_call(doors[1], "GET", "/_ready")).start.startswith("HTTP/1.1 503"), (
+            assert (await http_call(admin_ports[1], "GET", "/_ready")).start.startswith("HTTP/1.1 503"), (
                 "no list yet"
             )
             push(watch, 2, True, endpoint.entry())
-            await wait_until_ready(doors[1])
+            await wait_until_ready(admin_ports[1])
             old.send_signal(signal.SIGTERM)
-            while (await http_call(doors[0], "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
+            while (await http_call(admin_ports[0], "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
                 await asyncio.sleep(0.01)
-            for n in range(20):  # all come to the new process, or some would see it end
+            for n in range(20):  # all must reach the new process: the old one would send `Connection: close`
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(request(rid=f"new{n}"))
                 assert "connection" not in (await read_message(reader)).headers
                 writer.close()
-            kept_writer.write(request(rid="kept"))
-            back = await read_message(kept)
-            assert back.body == b"ok" and back.headers["connection"] == "close"
+            idle_writer.write(request(rid="kept"))
+            response = await read_message(idle)
+            assert response.body == b"ok" and response.headers["connection"] == "close"
             release.set()
-            back = await read_message(taken)
-            assert back.body == b"ok" and back.headers["connection"] == "close"
+            response = await read_message(busy)
+            assert response.body == b"ok" and response.headers["connection"] == "close"
             _, errors = await old.communicate()
             assert (old.returncode, errors) == (0, b"")
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(request(rid="after"))
-            assert (await read_message(reader)).body == b"ok", "the socket outlives the old process"
+            assert (await read_message(reader)).body == b"ok", (
+                "the socket stays open after the old process ends"
+            )
             writer.close()
             new.send_signal(signal.SIGTERM)
             _, errors = await new.communicate()
@@ -101,7 +107,9 @@
 
 
 @pytest.mark.parametrize("descriptor", ["x", "-1", "0", "99999999999999999999"])
-def test_a_descriptor_that_is_no_listener_is_one_line_and_an_exit(tmp_path: Path, descriptor: str) -> None:
+def test_a_descriptor_that_is_no_listener_stops_the_start_with_one_log_line(
+    tmp_path: Path, descriptor: str
+) -> None:
     async def main() -> None:
         registry = Registry(beat_s=1.0)
         async with await registry.start():
@@ -114,7 +122,9 @@
 
 
 @pytest.mark.parametrize("console", ["nowhere", "127.0.0.1:99999", "192.0.2.1:80", 5])
-def test_a_console_that_cannot_be_used_is_one_line_and_an_exit(tmp_path: Path, console: object) -> None:
+def test_a_console_that_cannot_be_used_stops_the_start_with_one_log_line(
+    tmp_path: Path, console: object
+) -> None:
     async def main() -> None:
         registry = Registry(beat_s=1.0)
         async with await registry.start():
@@ -126,49 +136,53 @@
     run(main())
 
 
-def test_a_ban_holds_over_an_upgrade_and_one_call_ends_it(tmp_path: Path) -> None:
+def test_a_ban_outlives_an_upgrade_and_one_call_lifts_it(tmp_path: Path) -> None:
     async def main() -> None:
         first, second, registry = Endpoint(), Endpoint(), Registry(beat_s=1.0)
-        listening = socket.create_server(("127.0.0.1", 0))
-        port = listening.getsockname()[1]
+        listener = socket.create_server(("127.0.0.1", 0))
+        port = listener.getsockname()[1]
         async with await first.start(), await second.start(), await registry.start():
             known = {"generation": 1, "reset": True, "instances": [first.entry("s-1"), second.entry("s-2")]}
             environ = {
                 **sidecar_environ(tmp_path, registry, listen=f"127.0.0.1:{port}", known=known),
-                "LB_ACCEPT_FD": str(listening.fileno()),
+                "LB_ACCEPT_FD": str(listener.fileno()),
             }
             ids = count()
 
-            async def ask(times: int) -> None:
-                for n in islice(ids, times):
+            async def send_requests(request_count: int) -> None:
+                for n in islice(ids, request_count):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
                     writer.write(request(rid=f"r{n}"))
                     assert (await read_message(reader)).body == b"ok"
                     writer.close()
 
-            async def said(door: int, what: str, body: str) -> str:
-                return (await http_call(door, "POST", f"/_endpoints/{what}", body)).start.split()[1]
+            async def change_ban(admin_port: int, action: str, body: str) -> str:
+                return (await http_call(admin_port, "POST", f"/_endpoints/{action}", body)).start.split()[1]
 
-            doors = [free_port(), free_port()]
-            old = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
-            await wait_until_ready(doors[0])
+            admin_ports = [free_port(), free_port()]
+            old = await start_sidecar(
+                {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[0]}"}, listener.fileno()
+            )
+            await wait_until_ready(admin_ports[0])
             await registry.asked.get()
-            assert await said(doors[0], "detach", "s-9") == "404"
-            assert await said(doors[0], "detach", "") == "400"
+            assert await change_ban(admin_ports[0], "detach", "s-9") == "404"
+            assert await change_ban(admin_ports[0], "detach", "") == "400"
             for _ in range(2):
-                assert await said(doors[0], "detach", "s-1") == "200"
-            await ask(20)
-            new = await start_sidecar({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
+                assert await change_ban(admin_ports[0], "detach", "s-1") == "200"
+            await send_requests(20)
+            new = await start_sidecar(
+                {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[1]}"}, listener.fileno()
+            )
             _, watch = await registry.asked.get()
             push(watch, 2, True, first.entry("s-1"), second.entry("s-2"))
-            await wait_until_ready(doors[1])
+            await wait_until_ready(admin_ports[1])
             old.send_signal(signal.SIGTERM)
             await old.wait()
-            await ask(20)
-            assert not first.got, "no process sends it anything"
-            assert await said(doors[1], "attach", "s-1") == "200"
+            await send_requests(20)
+            assert not first.got, "neither process sends requests to a detached endpoint"
+            assert await change_ban(admin_ports[1], "attach", "s-1") == "200"
             while not first.got:
-                await ask(1)
+                await send_requests(1)
             new.send_signal(signal.SIGTERM)
             _, errors = await new.communicate()
             assert (new.returncode, errors) == (0, b"")
@@ -176,38 +190,41 @@
     run(main())
 
 
-def changed(part: str, **changes: Any) -> dict[str, Any]:
-    """The settings with one part of them changed; None takes a key away."""
-    of = SETTINGS["classes"][0] if part == "classes" else SETTINGS[part]
-    new = {key: value for key, value in {**of, **changes}.items() if value is not None}
+def changed_settings(part: str, **changes: Any) -> dict[str, Any]:
+    """Return the settings with one part of them changed; None removes a key."""
+    section = SETTINGS["classes"][0] if part == "classes" else SETTINGS[part]
+    new = {key: value for key, value in {**section, **changes}.items() if value is not None}
     return {**SETTINGS, part: [new, *SETTINGS["classes"][1:]] if part == "classes" else new}
 
 
 @dataclass
-class Tuned:
-    """A sidecar that reloads its file."""
+class ReloadableSidecar:
+    """A sidecar, its configuration file and the handler of SIGHUP."""
 
-    one: Sidecar
+    sidecar: Sidecar
     path: Path
     discovery: Discovery
     reload: ConfigReloader
 
-    def read(self, raw: dict[str, Any] | bytes) -> None:
+    def reload_with(self, raw: dict[str, Any] | bytes) -> None:
         self.path.write_bytes(raw if isinstance(raw, bytes) else json.dumps(raw).encode())
         self.reload()
 
 
 @contextlib.asynccontextmanager
-async def tuned(tmp_path: Path, *endpoints: Endpoint) -> AsyncIterator[Tuned]:
+async def reloadable_sidecar(tmp_path: Path, *endpoints: Endpoint) -> AsyncIterator[ReloadableSidecar]:
     registry = Registry(beat_s=1.0)
-    async with sidecar(*endpoints, registry=registry) as one:
+    async with sidecar(*endpoints, registry=registry) as running:
         environ = sidecar_environ(tmp_path, registry)
-        discovery = one.driver.discovery
+        discovery = running.driver.discovery
         assert discovery is not None
-        read = read_config(environ)
-        guard = ShrinkGuard(read.max_list_shrink, one.driver.listed, one.driver.loop.time)
-        yield Tuned(
-            one, Path(environ["LB_CONFIG"]), discovery, ConfigReloader(read, one.driver, discovery, guard)
+        loaded = read_config(environ)
+        guard = ShrinkGuard(loaded.max_list_shrink, running.driver.listed, running.driver.loop.time)
+        yield ReloadableSidecar(
+            running,
+            Path(environ["LB_CONFIG"]),
+            discovery,
+            ConfigReloader(loaded, running.driver, discovery, guard),
         )
 
 
@@ -223,10 +240,13 @@
     b"",
     b"[]",
     json.dumps({**GOOD_FILE, "settings": SETTINGS}).encode()[:-40],
-    *({**GOOD_FILE, "settings": changed("classes", **{"deadline-us": bad})} for bad in BAD_NUMBERS),
-    *({**GOOD_FILE, "settings": changed("ceilings", **{"max-attempts": bad})} for bad in BAD_NUMBERS),
-    {**GOOD_FILE, "settings": changed("classes", repeat="whatever")},
-    {**GOOD_FILE, "settings": changed("classes", name="put")},
+    *({**GOOD_FILE, "settings": changed_settings("classes", **{"deadline-us": bad})} for bad in BAD_NUMBERS),
+    *(
+        {**GOOD_FILE, "settings": changed_settings("ceilings", **{"max-attempts": bad})}
+        for bad in BAD_NUMBERS
+    ),
+    {**GOOD_FILE, "settings": changed_settings("classes", repeat="whatever")},
+    {**GOOD_FILE, "settings": changed_settings("classes", name="put")},
     {**GOOD_FILE, "settings": {**SETTINGS, "classes": []}},
     {**GOOD_FILE, "settings": {key: SETTINGS[key] for key in SETTINGS if key != "invariants"}},
     {**GOOD_FILE, "settings": SETTINGS, "discovery": "nowhere"},
@@ -236,80 +256,89 @@
 
 
 @pytest.mark.parametrize("raw", BAD_FILES)
-def test_a_bad_file_is_turned_down_whole_with_one_line(
+def test_an_invalid_file_is_rejected_as_a_whole_with_one_log_line(
     tmp_path: Path, raw: dict[str, Any] | bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        async with tuned(tmp_path, Endpoint()) as now:
-            before, address = now.one.driver.settings, now.discovery.address
-            now.read(raw)
-            assert now.one.driver.settings is before and now.discovery.address == address
-            assert (await now.one.ask(request())).body == b"ok"
+        async with reloadable_sidecar(tmp_path, Endpoint()) as running:
+            before, address = running.sidecar.driver.settings, running.discovery.address
+            running.reload_with(raw)
+            assert running.sidecar.driver.settings is before and running.discovery.address == address
+            assert (await running.sidecar.ask(request())).body == b"ok"
         assert [record.getMessage() for record in caplog.records] == ["not reloaded"]
 
     run(main())
 
 
-def test_classes_appear_vanish_and_change_and_calls_under_way_keep_theirs(tmp_path: Path) -> None:
+def test_classes_are_added_removed_and_changed_and_requests_in_flight_keep_theirs(tmp_path: Path) -> None:
     async def main() -> None:
-        broken = asyncio.Event()
+        may_reset = asyncio.Event()
 
         async def reset(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             if len(endpoint.got) == 1:
-                await broken.wait()
+                await may_reset.wait()
                 writer.transport.abort()
             else:
                 writer.write(answer())
 
-        async with tuned(tmp_path, Endpoint(reset), Endpoint(serve_ok)) as now:
-            pick = now.one.driver.balancer.endpoints
-            first = pick[endpoint_number("s-0")]
-            vars(now.one.driver.balancer.membership)["due"] = (
-                lambda at, call: None if call.attempts else first
+        async with reloadable_sidecar(tmp_path, Endpoint(reset), Endpoint(serve_ok)) as running:
+            by_number = running.sidecar.driver.balancer.endpoints
+            first_endpoint = by_number[endpoint_number("s-0")]
+            vars(running.sidecar.driver.balancer.membership)["due"] = (
+                lambda at, call: None if call.attempts else first_endpoint
             )
-            under_way = asyncio.create_task(now.one.ask(request("page")))
-            while not now.one.driver.calls or not first.inflight:
+            in_flight = asyncio.create_task(running.sidecar.ask(request("page")))
+            while not running.sidecar.driver.calls or not first_endpoint.inflight:
                 await asyncio.sleep(0)
-            vars(now.one.driver.balancer.membership)["due"] = lambda at, call: None
+            vars(running.sidecar.driver.balancer.membership)["due"] = lambda at, call: None
             page, put, _ = SETTINGS["classes"]
-            stricter = {**page, "repeat": "fragile"}
-            fresh = {**page, "name": "fresh"}
-            now.read({**GOOD_FILE, "settings": {**SETTINGS, "classes": [fresh, stricter, put]}})
-            assert (await now.one.ask(request("pay"))).start.split()[1] == "404"
-            assert (await now.one.ask(request("page", rid="get"))).start.split()[1] == "405"
+            without_retries = {**page, "repeat": "fragile"}
+            added = {**page, "name": "fresh"}
+            running.reload_with(
+                {**GOOD_FILE, "settings": {**SETTINGS, "classes": [added, without_retries, put]}}
+            )
+            assert (await running.sidecar.ask(request("pay"))).start.split()[1] == "404"
+            assert (await running.sidecar.ask(request("page", rid="get"))).start.split()[1] == "405"
             post = request("page", rid="post").replace(b"GET ", b"POST ")
-            assert (await now.one.ask(post)).body == b"ok"
-            again = request("page", rid="fresh").replace(b"page", b"fresh")
-            assert (await now.one.ask(again)).body == b"ok"
-            broken.set()
-            assert (await under_way).body == b"ok", "repeated, as its class then allowed"
-            now.read({**GOOD_FILE, "settings": SETTINGS})
-            assert (await now.one.ask(request("pay", rid="back"))).body == b"ok"
-            assert len(now.one.driver.settings.classes) == 5, "what came back has its old number"
+            assert (await running.sidecar.ask(post)).body == b"ok"
+            added_request = request("page", rid="fresh").replace(b"page", b"fresh")
+            assert (await running.sidecar.ask(added_request)).body == b"ok"
+            may_reset.set()
+            assert (await in_flight).body == b"ok", "retried, as its class allowed when it came"
+            running.reload_with({**GOOD_FILE, "settings": SETTINGS})
+            assert (await running.sidecar.ask(request("pay", rid="back"))).body == b"ok"
+            assert len(running.sidecar.driver.settings.classes) == 5, (
+                "a class that is added again keeps its number"
+            )
 
     run(main())
 
 
-def test_fewer_attempts_hold_at_once(tmp_path: Path) -> None:
+def test_a_lower_attempt_limit_applies_at_once(tmp_path: Path) -> None:
     async def main() -> None:
         async def fail(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             writer.write(answer(500))
 
-        ends = [Endpoint(fail) for _ in range(4)]
-        async with tuned(tmp_path, *ends) as now:
-            now.read({**GOOD_FILE, "settings": changed("ceilings", **{"max-attempts": 1})})
-            await now.one.ask(request())
-            assert sum(len(one.got) for one in ends) == 1
+        endpoints = [Endpoint(fail) for _ in range(4)]
+        async with reloadable_sidecar(tmp_path, *endpoints) as running:
+            running.reload_with(
+                {**GOOD_FILE, "settings": changed_settings("ceilings", **{"max-attempts": 1})}
+            )
+            await running.sidecar.ask(request())
+            assert sum(len(target.got) for target in endpoints) == 1
 
     run(main())
 
 
-def test_a_good_file_moves_discovery_with_its_settings(tmp_path: Path) -> None:
+def test_a_valid_file_changes_discovery_and_settings_together(tmp_path: Path) -> None:
     async def main() -> None:
-        async with tuned(tmp_path, Endpoint()) as now:
-            now.read({**GOOD_FILE, "settings": {**SETTINGS, "invariants": {"drain-grace-us": 7}}})
-            assert now.discovery.address == "127.0.0.1:9" and now.one.driver.force.drain_grace_us == 7
-            now.read(b"{")
-            assert now.discovery.address == "127.0.0.1:9", "the last good file stays in force"
+        async with reloadable_sidecar(tmp_path, Endpoint()) as running:
+            running.reload_with({**GOOD_FILE, "settings": {**SETTINGS, "invariants": {"drain-grace-us": 7}}})
+            assert (
+                running.discovery.address == "127.0.0.1:9"
+                and running.sidecar.driver.force.drain_grace_us == 7
+            )
+            running.reload_with(b"{")
+            assert running.discovery.address == "127.0.0.1:9", "the last valid file stays in force"
 
     run(main())
