--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -35,14 +35,16 @@
 )
 
 
-def fleet(size: int, boot: int = 0) -> list[Entry]:
+def ready_entries(size: int, boot: int = 0) -> list[Entry]:
     return [Entry(100 + n, READY, boot, 1.0, n // 4, n % 2, 0) for n in range(size)]
 
 
-def started(size: int = 8, seed: int = 1, settings: Settings = SETTINGS, **changes: object) -> Balancer:
+def started_balancer(
+    size: int = 8, seed: int = 1, settings: Settings = SETTINGS, **changes: object
+) -> Balancer:
     balancer = Balancer(seed, replace(settings, **changes))  # type: ignore[arg-type]
     balancer.start(0)
-    balancer.members(0, LIST_FULL, fleet(size))
+    balancer.members(0, LIST_FULL, ready_entries(size))
     return balancer
 
 
@@ -50,21 +52,21 @@
     return [action for action in actions if isinstance(action, Send)]
 
 
-class Driver:
+class Client:
     """Numbers the requests of one balancer and remembers what it sent."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
-        self.next = 0
+        self.last_id = 0
 
-    def ask(self, now: int, cls: int = 0, tenant: int = 0, key: int = 0) -> tuple[int, list[Action]]:
-        self.next += 1
-        expires = now + self.balancer.s.classes[cls].deadline_us
-        return self.next, self.balancer.request(now, Arrival(self.next, cls, expires, tenant, key))
+    def submit(self, now: int, cls: int = 0, tenant: int = 0, key: int = 0) -> tuple[int, list[Action]]:
+        self.last_id += 1
+        expires = now + self.balancer.settings.classes[cls].deadline_us
+        return self.last_id, self.balancer.request(now, Arrival(self.last_id, cls, expires, tenant, key))
 
     def serve(self, now: int, delay: int, cls: int = 0) -> bool:
         """One request answered after the delay; False if it was not sent."""
-        rid, actions = self.ask(now, cls)
+        rid, actions = self.submit(now, cls)
         if not (sent := sends(actions)):
             return False
         done = Outcome(rid, 0, sent[0].endpoint, OK, delay, over=True)
@@ -72,6 +74,6 @@
         return True
 
 
-def left(driver: Driver) -> int:
+def left_endpoint(driver: Client) -> int:
     """An endpoint of the left group: ties go there, so one request at a time draws it."""
     return driver.balancer.ring.groups[0][0][0].id
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -266,8 +266,8 @@
             *one.server.callers,
             *one.driver.calls.values(),
             *balancer.requests.values(),
-            *balancer.ended.values(),
-            *(known for known in balancer.endpoints.values() if known.inflight or known.moving),
+            *balancer.finished.values(),
+            *(known for known in balancer.endpoints.values() if known.inflight or known.transferring),
             *(upstream.links - resting),
         ]
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -62,7 +62,7 @@
             assert back.body == (b"ok" if FORMS[form].endswith(b"ok") else LARGE)
             assert "link" not in back.headers and "x-t" not in back.headers
         assert not one.driver.calls and not one.driver.balancer.requests
-        assert all(not one.moving for one in one.driver.balancer.endpoints.values())
+        assert all(not one.transferring for one in one.driver.balancer.endpoints.values())
 
 
 @on_loop
--- a/tests/test_arms.py
+++ b/tests/test_arms.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, fleet, sends, started
+from tests.helpers import MS, PAGE, SECOND, SETTINGS, Client, ready_entries, sends, started_balancer
 from woadyard.errors import PlanError
 from woadyard.interface import (
     ERROR,
@@ -23,43 +23,43 @@
     Outcome,
     Split,
 )
-from woadyard.policy import Balancer, arm_of
+from woadyard.policy import Balancer, assign_arm
 
 TWO = Split(1, salt=7, shares=(0.75, 0.25), control=0, arm_of={n: 1 for n in (104, 105, 106)})
 
 
 def test_shares_come_out_and_a_changed_one_moves_no_more_keys_than_it_must() -> None:
     keys = [Random(3).getrandbits(64) + n for n in range(10_000)]
-    drawn = [arm_of(TWO, key, 1) for key in keys]
+    drawn = [assign_arm(TWO, key, 1) for key in keys]
     assert sum(drawn) == pytest.approx(2_500, abs=4 * (10_000 * 0.25 * 0.75) ** 0.5)
-    assert drawn == [arm_of(TWO, key, request) for request, key in enumerate(keys)], "a key sticks"
-    wider = [arm_of(replace(TWO, shares=(0.65, 0.35)), key, 1) for key in keys]
+    assert drawn == [assign_arm(TWO, key, request) for request, key in enumerate(keys)], "a key sticks"
+    wider = [assign_arm(replace(TWO, shares=(0.65, 0.35)), key, 1) for key in keys]
     assert all(b >= a for a, b in zip(drawn, wider, strict=True)), "none leaves the arm that grows"
     assert sum(wider) - sum(drawn) == pytest.approx(1_000, abs=150)
-    others = [arm_of(replace(TWO, salt=8), key, 1) for key in keys]
+    others = [assign_arm(replace(TWO, salt=8), key, 1) for key in keys]
     assert sum(a != b for a, b in zip(drawn, others, strict=True)) > 3_000, "another experiment draws others"
-    requests = Counter(arm_of(TWO, 0, n) for n in range(10_000))
+    requests = Counter(assign_arm(TWO, 0, n) for n in range(10_000))
     assert requests[1] == pytest.approx(2_500, abs=200), "without a key each request is drawn"
 
 
 def playing(size: int = 8, split: Split = TWO, **changes: Any) -> Balancer:
-    balancer = started(size, **changes)
+    balancer = started_balancer(size, **changes)
     balancer.split(0, split)
     return balancer
 
 
 def key_of(arm: int) -> int:
-    return next(key for key in range(1, 99) if arm_of(TWO, key, 1) == arm)
+    return next(key for key in range(1, 99) if assign_arm(TWO, key, 1) == arm)
 
 
-def ask(driver: Driver, now: int, arm: int) -> Arrival:
-    driver.next += 1
-    return Arrival(driver.next, 0, now + SECOND, affinity=key_of(arm))
+def ask(driver: Client, now: int, arm: int) -> Arrival:
+    driver.last_id += 1
+    return Arrival(driver.last_id, 0, now + SECOND, affinity=key_of(arm))
 
 
 @pytest.mark.parametrize("changes", [{}, {"instances": 3}, {"zones": 2, "cross_zone_price": 0.01}])
 def test_choices_and_repeats_stay_in_the_arm(changes: dict[str, Any]) -> None:
-    driver = Driver(balancer := playing(**changes))
+    driver = Client(balancer := playing(**changes))
     went: dict[int, Counter[int]] = {0: Counter(), 1: Counter()}
     for k in range(400):
         event = ask(driver, now := k * 10 * MS, arm=k % 2)
@@ -77,8 +77,8 @@
 
 @pytest.mark.parametrize("why", ["gone", "unreachable", "at their limit"])
 def test_an_arm_with_nothing_usable_falls_to_the_control_and_is_taken_back(why: str) -> None:
-    driver = Driver(balancer := playing(max_attempts=4))
-    arm = [entry for entry in fleet(8) if entry.endpoint in TWO.arm_of]
+    driver = Client(balancer := playing(max_attempts=4))
+    arm = [entry for entry in ready_entries(8) if entry.endpoint in TWO.arm_of]
     if why == "gone":
         balancer.members(0, LIST_DELTA, [replace(entry, phase=GONE) for entry in arm])
     elif why == "at their limit":
@@ -104,7 +104,7 @@
 
 def test_a_repeat_bound_to_a_cell_goes_over_only_inside_it() -> None:
     keyed = replace(PAGE, effect=KEYED, scope=SCOPE_CELL, window_us=SECOND, aim_us=500 * MS)
-    driver = Driver(balancer := playing(settings=replace(SETTINGS, classes=(keyed,))))
+    driver = Client(balancer := playing(settings=replace(SETTINGS, classes=(keyed,))))
     event = ask(driver, 0, arm=1)
     (sent,) = sends(balancer.request(0, event))
     for copy in range(2):
@@ -115,7 +115,7 @@
 
 
 def test_without_a_split_again_all_endpoints_serve_all() -> None:
-    driver = Driver(balancer := playing())
+    driver = Client(balancer := playing())
     balancer.split(SECOND, None)
     sent = []
     for now in range(SECOND, 2 * SECOND, 10 * MS):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -47,7 +47,7 @@
         assert [one.body for one in endpoint.got] == [body, body] and endpoint.opened == 1
         assert all(0 < int(one.headers["x-deadline-ms"]) <= 4000 for one in endpoint.got)
         assert not one.driver.calls and not one.driver.balancer.requests
-        assert all(not one.moving for one in one.driver.balancer.endpoints.values())
+        assert all(not one.transferring for one in one.driver.balancer.endpoints.values())
 
 
 @on_loop
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -82,7 +82,7 @@
         await read_message(resting)
         await one.ask(request())
         one.told(first.entry("s-0"), second.entry("s-1"))
-        vars(one.driver.balancer.choice)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
+        vars(one.driver.balancer.picker)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
         one.upstream.others, one.upstream.give_way = lambda: len(one.server.callers), one.server.give_way
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -135,7 +135,7 @@
 
             def told(version: int, whole: bool, *entries: dict[str, Any]) -> set[str]:
                 one.driver.listed(version, whole, list(entries))
-                ready = {numbers[endpoint.id] for _, endpoint in one.driver.balancer.ring.order}
+                ready = {numbers[endpoint.id] for _, endpoint in one.driver.balancer.ring.ready_order}
                 assert ready == {numbers[number] for number in one.upstream.pools}
                 return ready
 
@@ -158,12 +158,12 @@
         async with sidecar(endpoint, registry=registry) as one:
             _, watch = await registry.asked.get()
             push(watch, 42, True)
-            while one.driver.balancer.ring.order:
+            while one.driver.balancer.ring.ready_order:
                 await asyncio.sleep(0)
             refused = await one.ask(request(deadline_ms=60))
             assert refused.start.split()[1] == "503" and not endpoint.got
             push(watch, 43, True, endpoint.entry("s-0"))
-            while not one.driver.balancer.ring.order:
+            while not one.driver.balancer.ring.ready_order:
                 await asyncio.sleep(0)
             assert (await one.ask(request(rid="r2"))).body == b"ok"
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -96,10 +96,10 @@
 
     def block(self) -> None:
         """No endpoint is free to take anything, until `found`."""
-        vars(self.one.driver.balancer.choice)["pick"] = lambda *_: None
+        vars(self.one.driver.balancer.picker)["pick"] = lambda *_: None
 
     def found(self) -> None:
-        vars(self.one.driver.balancer.choice).pop("pick", None)
+        vars(self.one.driver.balancer.picker).pop("pick", None)
         self.fire()
 
     def answered(self, raw: bytes) -> None:
@@ -126,8 +126,8 @@
         async with asyncio.timeout(SOON_S):
             await until(lambda: not self.one.driver.calls and not self.one.server.callers)
         balancer = self.one.driver.balancer
-        assert not balancer.requests and not balancer.ended
-        assert all(one.inflight == one.moving == 0 for one in balancer.endpoints.values())
+        assert not balancer.requests and not balancer.finished
+        assert all(one.inflight == one.transferring == 0 for one in balancer.endpoints.values())
         assert all(link.attempt is None for link in self.one.upstream.links)
         assert not self.one.server.unread.clients
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import MS, SECOND, SETTINGS, Driver, fleet, sends
+from tests.helpers import MS, SECOND, SETTINGS, Client, ready_entries, sends
 from tests.process import free_port
 from tests.test_discovery_chains import Chain, busy, hanging, reset, unanswered
 from woadyard.interface import LIST_CACHED, LIST_FAILED, LIST_FULL, MOOT, OK, Arrival, Outcome, Refuse
@@ -18,10 +18,10 @@
 from woadyard.net.stream import CallEnd, Stream
 from woadyard.policy import Balancer
 from woadyard.policy.lease import (
-    ANSWER_LEASE_US,
+    ADDRESS_CHANGE_BINDING_US,
     BINDING_US,
     LEASE_US,
-    MOVE_BINDING_US,
+    RESPONSE_LEASE_US,
     MembershipLease,
 )
 
@@ -38,7 +38,7 @@
 def balancer_of(size: int = 8, stage: int = 0) -> Balancer:
     balancer = Balancer(1, replace(SETTINGS, asks_discovery=True, stage=stage))
     balancer.start(0, True, True)
-    balancer.members(0, LIST_FULL, fleet(size))
+    balancer.members(0, LIST_FULL, ready_entries(size))
     return balancer
 
 
@@ -53,41 +53,41 @@
 def test_an_answer_stands_in_for_the_list_for_a_while_but_not_after_silence_or_a_move() -> None:
     lease = leased()
     late = LEASE_US + SECOND
-    assert lease.allows(late, late - ANSWER_LEASE_US + 1)
-    assert not lease.allows(late, late - ANSWER_LEASE_US)
+    assert lease.allows(late, late - RESPONSE_LEASE_US + 1)
+    assert not lease.allows(late, late - RESPONSE_LEASE_US)
     lease.silent()
     assert not lease.allows(late, late - 1)
     lease.confirm(late)
     lease.moved(late)
-    assert not lease.allows(late + MOVE_BINDING_US, late + MOVE_BINDING_US - 1)
+    assert not lease.allows(late + ADDRESS_CHANGE_BINDING_US, late + ADDRESS_CHANGE_BINDING_US - 1)
 
 
 def test_a_new_address_shortens_the_lease_and_only_a_list_of_it_lifts_that() -> None:
     lease = leased()
     lease.moved(SECOND)
-    assert not lease.allows(SECOND + MOVE_BINDING_US - 150 * MS, 0)
+    assert not lease.allows(SECOND + ADDRESS_CHANGE_BINDING_US - 150 * MS, 0)
     lease.unreachable(SECOND)
-    assert lease.expires < SECOND + MOVE_BINDING_US
+    assert lease.expires_us < SECOND + ADDRESS_CHANGE_BINDING_US
     lease.confirm(2 * SECOND)
-    assert lease.expires == 2 * SECOND + LEASE_US
+    assert lease.expires_us == 2 * SECOND + LEASE_US
 
 
 def test_a_discovery_that_nobody_serves_binds_nothing_while_it_is_away() -> None:
     balancer = balancer_of()
-    driver = Driver(balancer)
+    driver = Client(balancer)
     for second in range(1, 60):
         balancer.unreachable(second * SECOND, second * SECOND)
         assert driver.serve(second * SECOND + 500 * MS, 5 * MS)
-    _, actions = driver.ask(59 * SECOND + LEASE_US)
+    _, actions = driver.submit(59 * SECOND + LEASE_US)
     assert [type(one) for one in actions] == [Refuse]
 
 
 def test_behind_the_entry_a_request_waits_for_the_lease() -> None:
     balancer = balancer_of(stage=1)
-    rid, actions = Driver(balancer).ask(10 * SECOND)
+    rid, actions = Client(balancer).submit(10 * SECOND)
     assert not sends(actions) and rid in balancer.requests
     (timer,) = actions
-    balancer.members(10 * SECOND + MS, LIST_FULL, fleet(8))
+    balancer.members(10 * SECOND + MS, LIST_FULL, ready_entries(8))
     assert sends(balancer.timer(10 * SECOND + 5 * MS, timer.token))  # type: ignore[union-attr]
 
 
@@ -107,11 +107,11 @@
 
 def test_an_endpoint_put_back_gets_its_first_request_only_under_a_lease() -> None:
     balancer = balancer_of(2)
-    driver = Driver(balancer)
+    driver = Client(balancer)
     balancer.detach(SECOND, 100)
     balancer.attach(SECOND, 100)
-    balancer.membership.trials[100] = 0
-    _, actions = driver.ask(LEASE_US)
+    balancer.membership.trial_due_us[100] = 0
+    _, actions = driver.submit(LEASE_US)
     assert not sends(actions)
 
 
@@ -126,8 +126,8 @@
     away, or the endpoint had answered."""
     balancer = Balancer(1, replace(SETTINGS, asks_discovery=True))
     balancer.start(0, True, True)
-    balancer.members(0, LIST_CACHED if known else LIST_FULL, fleet(6))
-    driver, now = Driver(balancer), 1
+    balancer.members(0, LIST_CACHED if known else LIST_FULL, ready_entries(6))
+    driver, now = Client(balancer), 1
     confirmed, away, moved = (None if known else 0), None, None
     answered: dict[int, int] = {}
     for step, wait in steps:
@@ -135,7 +135,7 @@
         if step in ("beat", "list"):
             confirmed, away, moved = now, None, None
             answered.clear()
-            balancer.confirmed(now) if step == "beat" else balancer.members(now, LIST_FULL, fleet(6))
+            balancer.confirmed(now) if step == "beat" else balancer.members(now, LIST_FULL, ready_entries(6))
         elif step == "failed":
             balancer.members(now, LIST_FAILED, [])
         elif step == "refused":
@@ -147,22 +147,22 @@
             balancer.moved(now)
             moved = now
         else:
-            rid, actions = driver.ask(now)
+            rid, actions = driver.submit(now)
             for sent in sends(actions)[:1]:
                 assert confirmed is not None or away is not None, "by a list from before the start"
                 since = max(answered.get(sent.endpoint, 0), confirmed or 0, away or 0)
                 assert now < since + BINDING_US
                 if moved is not None:
-                    assert now < max(moved, away or 0) + MOVE_BINDING_US
+                    assert now < max(moved, away or 0) + ADDRESS_CHANGE_BINDING_US
                 if now >= max(confirmed or 0, away or 0) + BINDING_US:
-                    assert now < answered[sent.endpoint] + ANSWER_LEASE_US
+                    assert now < answered[sent.endpoint] + RESPONSE_LEASE_US
                 answered[sent.endpoint] = now
                 balancer.outcome(now + MS, Outcome(rid, 0, sent.endpoint, OK, MS, over=True))
                 now += MS
 
 
 def expires_s(chain: Chain) -> float:
-    return chain.driver.balancer.ctx.lease.expires / 1e6
+    return chain.driver.balancer.ctx.lease.expires_us / 1e6
 
 
 def beating(chain: Chain) -> Stream:
@@ -234,9 +234,9 @@
         case "stopped":
             chain.discovery.watch(False)
     chain.go_to(lost + 20.0)
-    bound = (MOVE_BINDING_US if path == "moved" else BINDING_US) / 1e6
+    bound = (ADDRESS_CHANGE_BINDING_US if path == "moved" else BINDING_US) / 1e6
     assert expires_s(chain) < lost + bound
-    assert chain.driver.balancer.ctx.lease.answers_count is (path not in ("silent", "moved"))
+    assert chain.driver.balancer.ctx.lease.responses_extend is (path not in ("silent", "moved"))
 
 
 @pytest.mark.parametrize("replicas", [1, 2])
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -119,7 +119,7 @@
         one.told(first.entry("s-0"), second.entry("s-1"))
         assert one.upstream.pools[endpoint_number("s-0")].idle
         one.told(second.entry("s-1", lifecycle="ready"), whole=False)
-        vars(one.driver.balancer.choice)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
+        vars(one.driver.balancer.picker)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
         assert (await one.ask(request(rid="r2"))).body == b"ok"
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -66,11 +66,11 @@
         before = Driver.now()
         one.told(started)
         (known,) = one.driver.balancer.endpoints.values()
-        boot = known.boot
+        boot = known.boot_us
         assert before - 4_000_000 <= boot <= Driver.now() - 4_000_000
         wall += 3_600_000_000  # the wall clock is set: no restart
         one.told(started)
-        assert known.boot == boot
+        assert known.boot_us == boot
 
 
 @pytest.mark.parametrize("change", [{"startedAtMs": 5}, {"lifecycle": "draining"}, {"lifecycle": "gone"}])
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -93,10 +93,10 @@
         async with sidecar(light, heavy) as one:
             one.driver.weigh({"s-0": 0.1, "s-1": 1.0, "unknown": 0.5})
             one.told(light.entry("s-0"), heavy.entry("s-1"))
-            assert one.driver.balancer.endpoints[endpoint_number("s-0")].trust == 0.1
-            assert one.driver.balancer.endpoints[endpoint_number("s-1")].trust == 1.0
+            assert one.driver.balancer.endpoints[endpoint_number("s-0")].verdict_factor == 0.1
+            assert one.driver.balancer.endpoints[endpoint_number("s-1")].verdict_factor == 1.0
             one.driver.weigh({})
-            assert one.driver.balancer.endpoints[endpoint_number("s-0")].trust == 1.0
+            assert one.driver.balancer.endpoints[endpoint_number("s-0")].verdict_factor == 1.0
 
     run(main())
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -260,13 +260,13 @@
         async with tuned(tmp_path, Endpoint(reset), Endpoint(serve_ok)) as now:
             pick = now.one.driver.balancer.endpoints
             first = pick[endpoint_number("s-0")]
-            vars(now.one.driver.balancer.membership)["due"] = (
+            vars(now.one.driver.balancer.membership)["pick_trial"] = (
                 lambda at, call: None if call.attempts else first
             )
             under_way = asyncio.create_task(now.one.ask(request("page")))
             while not now.one.driver.calls or not first.inflight:
                 await asyncio.sleep(0)
-            vars(now.one.driver.balancer.membership)["due"] = lambda at, call: None
+            vars(now.one.driver.balancer.membership)["pick_trial"] = lambda at, call: None
             page, put, _ = SETTINGS["classes"]
             stricter = {**page, "repeat": "fragile"}
             fresh = {**page, "name": "fresh"}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -46,9 +46,9 @@
     Timer,
 )
 from woadyard.policy import Balancer
-from woadyard.policy.order import Order
 from woadyard.policy.request import Request
 from woadyard.policy.ring import Ring
+from woadyard.policy.sequencer import KeySequencer
 
 MS = 1_000
 SECOND = 1_000_000
@@ -295,7 +295,9 @@
     unanswered = [rid for rid, one in ledger.asked.items() if not one.over]
     assert not unanswered, "every request is answered in the end"
     assert not ledger.balancer.requests
-    assert not any(turn.line or turn.out for turn in ledger.balancer.order.turns.values())
+    assert not any(
+        turn.requests or turn.attempts_in_flight for turn in ledger.balancer.sequencer.queues.values()
+    )
 
 
 def run_twice(seed: int, steps: list[tuple[str, *tuple[object, ...]]]) -> list[list[tuple[int, int]]]:
@@ -321,8 +323,8 @@
 @pytest.mark.parametrize(
     ("part", "guard", "broken", "cls", "why"),
     [
-        (Order, "has_turn", True, 5, "one of a key at a time"),
-        (Request, "may_repeat", True, 1, "no effect twice"),
+        (KeySequencer, "may_send", True, 5, "one of a key at a time"),
+        (Request, "may_attempt", True, 1, "no effect twice"),
         (Ring, "remove", False, 0, "only to endpoints that are ready"),
     ],
 )
--- a/tests/test_scale_path.py
+++ b/tests/test_scale_path.py
@@ -20,7 +20,7 @@
 from benchmarks.scale.points import Point
 from tests.lab import _end_with_parent
 from woadyard.errors import ConfigError
-from woadyard.policy.balancer import RETRY_CAP, RETRY_EARN
+from woadyard.policy.balancer import MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST
 
 SECOND = 1_000_000
 
@@ -88,7 +88,7 @@
     # What is turned away for good costs no token: there the number of attempts is the bound.
     budgeted = asked[:-1] if phase == "full" else asked
     for above, below in pairwise(budgeted):
-        assert below <= above * (1 + RETRY_EARN) + wide * RETRY_CAP
+        assert below <= above * (1 + RETRY_TOKENS_PER_REQUEST) + wide * MAX_RETRY_TOKENS
     assert counts.last.total() <= first * retries.ATTEMPTS**depth
     if phase == "hang":
         assert len(set(asked[1:])) == 1, "no time is left for another attempt, at any tier"
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from woadyard.interface import COLD, DEGRADED, EJECTED
-from woadyard.policy import mix
+from woadyard.policy import splitmix64
 from woadyard.shared.affinity import Affinity
 from woadyard.shared.store import KINDS, VERDICT, Entry, SharedStore, TellingError, read_vector
 from woadyard.shared.verdicts import TRUST_EJECTED, TRUST_ONE, trusts
@@ -181,7 +181,7 @@
 
 
 def test_a_keys_home_is_the_same_everywhere_and_only_a_leavers_keys_move() -> None:
-    keys, numbers = [b"k%d" % n for n in range(3_000)], [mix(n) for n in range(20)]
+    keys, numbers = [b"k%d" % n for n in range(3_000)], [splitmix64(n) for n in range(20)]
     here, there = Affinity(), Affinity()
     assert here.home(b"k") is None
     here.settle(numbers)
--- a/tests/test_cold.py
+++ b/tests/test_slow_start_budget.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, SETTINGS, Driver, fleet, sends
+from tests.helpers import MS, SECOND, SETTINGS, Client, ready_entries, sends
 from woadyard.interface import LIST_DELTA, LIST_FULL, OK, Outcome
 from woadyard.policy import Balancer
 
@@ -23,13 +23,13 @@
     """When the `fresh` endpoints that start cold at `START` are sent anything; each copy
     takes `rate_hz` requests a second at random, each served in 20 ms."""
     rng, due, sent = Random(seed), list[tuple[int, int, int, int]](), dict[int, list[int]]()
-    cold = [replace(entry, boot=START) for entry in fleet(fresh)]
+    cold = [replace(entry, boot=START) for entry in ready_entries(fresh)]
     copies = []
     for n in range(COPIES):
         balancer = Balancer(seed * 1000 + n, replace(SITE, me=n))
         balancer.start(0)
-        balancer.members(0, LIST_FULL, fleet(SIZE))
-        copies.append(Driver(balancer))
+        balancer.members(0, LIST_FULL, ready_entries(SIZE))
+        copies.append(Client(balancer))
         heapq.heappush(due, (int(rng.expovariate(rate_hz) * SECOND), n, 0, 0))
     told = False
     while due and (event := heapq.heappop(due))[0] < END:
@@ -41,7 +41,7 @@
         if rid:
             copies[n].balancer.outcome(now, Outcome(rid, 0, endpoint, OK, 20 * MS, over=True))
             continue
-        rid, actions = copies[n].ask(now)
+        rid, actions = copies[n].submit(now)
         for send in sends(actions):
             heapq.heappush(due, (now + 20 * MS, n, rid, send.endpoint))
             if told and send.endpoint < 100 + fresh:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.cold_fleet import CHECKS, STANDINGS, Case, Fleet, Site
 from tests.helpers import SECOND
+from tests.slow_start_fleet import CHECKS, STANDINGS, Case, Fleet, Site
 
 ONE = Case()
 FEW = replace(ONE, copies=30, endpoints=3)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -70,7 +70,7 @@
     first, raw = init(3)
     shift = struct.pack(">I", len(raw)).hex()
     manifest = record(f"0a 0000 {shift} 00000002")
-    host.batch(body(first, manifest, record(CACHED), tail=raw + ENTRIES, now=now))
+    host.handle_batch(body(first, manifest, record(CACHED), tail=raw + ENTRIES, now=now))
     return host
 
 
@@ -129,11 +129,11 @@
 
 def test_request_is_sent_and_ends_with_its_first_ok() -> None:
     host = started_host(now=NOW + 20_000_000)
-    sent = replies(host.batch(body(record(REQ), now=NOW)))
+    sent = replies(host.handle_batch(body(record(REQ), now=NOW)))
     assert [r[0] for r in sent] == [64]
     assert sent[0][5:13] == RID.to_bytes(8, "big")
     assert RID in host.instances[3].requests
-    host.batch(body(record(RETURNED_OK)))
+    host.handle_batch(body(record(RETURNED_OK)))
     assert not host.instances[3].requests
 
 
@@ -141,7 +141,7 @@
     host = started_host()
     gone = record("05 00000003 000000000000004d")
     fired = record("06 00000003 000000000000004d")
-    assert replies(host.batch(body(record(RETURNED_OK), gone, fired))) == []
+    assert replies(host.handle_batch(body(record(RETURNED_OK), gone, fired))) == []
 
 
 def test_list_numbers_are_reused_within_a_batch() -> None:
@@ -153,16 +153,16 @@
     cached = [struct.pack(">BIIBH", 1, i, 1, 3, 0) for i in (1, 2)]
     padded = [part + bytes(48 - len(part)) for part in (*lists, *cached)]
     records = (one, padded[0], padded[2], two, padded[1], padded[3])
-    host.batch(body(*records, tail=raw + ENTRIES))
+    host.handle_batch(body(*records, tail=raw + ENTRIES))
     assert list(host.instances[1].endpoints) == [0x03124A07]
     assert list(host.instances[2].endpoints) == [0x2C9011F2]
 
 
 def test_stop_and_start_in_one_batch_leaves_nothing_behind() -> None:
     host = started_host()
-    host.batch(body(record(REQ)))
+    host.handle_batch(body(record(REQ)))
     again, raw = init(3)
-    host.batch(body(record("09 00000003"), again, tail=raw))
+    host.handle_batch(body(record("09 00000003"), again, tail=raw))
     assert not host.instances[3].requests
     assert not host.instances[3].endpoints
 
@@ -176,7 +176,7 @@
         raise RuntimeError("no such luck")
 
     monkeypatch.setattr(host.instances[3], "request", broken)
-    raw = host.batch(body(record(REQ)))
+    raw = host.handle_batch(body(record(REQ)))
     assert replies(raw)[0][0] == 69
     assert raw.endswith(b"RuntimeError: no such luck")
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Driver, fleet, sends, started
+from tests.helpers import MS, SECOND, Client, ready_entries, sends, started_balancer
 from tests.lab import Lab
 from tests.sockets import SETTINGS, Endpoint
 from woadyard.interface import ERROR, LIST_FULL, NO_CONNECT, OK, Locality, Outcome
-from woadyard.policy.zones import Zones
+from woadyard.policy.zones import ZoneRouter
 from woadyard.standins import CUT, DROP, PASS
 
 # Zones 0 and 1 are of one region, 2 of another.
@@ -38,24 +38,28 @@
 def test_what_the_zone_can_bear_stays_and_the_rest_goes_where_there_is_room(
     healthy: list[float], shares: list[float]
 ) -> None:
-    found = Zones(replace(LOCAL, regions=(0, 1, 1)), 0, 3).share(0, EVEN, healthy)
+    found = ZoneRouter(replace(LOCAL, regions=(0, 1, 1)), 0, 3).refresh_shares(0, EVEN, healthy)
     assert found == pytest.approx(shares)
 
 
 def test_the_own_region_takes_what_spills_first() -> None:
-    assert Zones(LOCAL, 0, 3).share(0, EVEN, [3.0, 4.0, 5.0]) == pytest.approx([0.75, 0.0, 0.25])
-    assert Zones(LOCAL, 0, 3).share(0, EVEN, [3.0, 5.0, 4.0]) == pytest.approx([0.75, 0.25, 0.0])
-    assert Zones(LOCAL, 0, 3).share(0, [4.0, 6.0, 6.0], [2.0, 6.0, 6.0]) == pytest.approx(
+    assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, EVEN, [3.0, 4.0, 5.0]) == pytest.approx(
+        [0.75, 0.0, 0.25]
+    )
+    assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, EVEN, [3.0, 5.0, 4.0]) == pytest.approx(
+        [0.75, 0.25, 0.0]
+    )
+    assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, [4.0, 6.0, 6.0], [2.0, 6.0, 6.0]) == pytest.approx(
         [3 / 7, 2 / 7 * 1.0, 2 / 7]
     )
 
 
 def test_a_zone_that_fails_is_left_and_comes_back_on_a_ramp() -> None:
-    zones = Zones(LOCAL, 0, 3)
-    left = [zones.note(k * MS, 0, True) for k in range(20)]
+    zones = ZoneRouter(LOCAL, 0, 3)
+    left = [zones.record_outcome(k * MS, 0, True) for k in range(20)]
     assert left.count(True) == 1 and left.index(True) == 6, "seven in a row tell it from chance"
     back = 6 * MS + LOCAL.away_us
-    shares = [zones.share(back + k * SECOND, EVEN, EVEN)[0] for k in range(-1, 12)]
+    shares = [zones.refresh_shares(back + k * SECOND, EVEN, EVEN)[0] for k in range(-1, 12)]
     assert shares[0] == 0.0 and 0.0 < shares[1] < 0.1 and shares[-1] == 1.0
     steps = [b - a for a, b in pairwise(shares)]
     assert all(0.0 <= step < 0.2 for step in steps), "a ramp, no step"
@@ -63,19 +67,19 @@
 
 def test_a_zone_that_flaps_does_not_swing_the_traffic_each_time() -> None:
     """Failing for 2 s, well for 2 s, for two minutes."""
-    zones, left = Zones(LOCAL, 0, 3), 0
+    zones, left = ZoneRouter(LOCAL, 0, 3), 0
     for now in range(0, 120 * SECOND, 20 * MS):
-        if zones.trust(now, 0) > 0.0:
-            left += zones.note(now, 0, now // (2 * SECOND) % 2 == 0)
+        if zones.ramp_share(now, 0) > 0.0:
+            left += zones.record_outcome(now, 0, now // (2 * SECOND) % 2 == 0)
     assert 2 <= left <= 6, "30 turns of the zone, and it is left a few times, longer each time"
 
 
-def play(driver: Driver, since: int, span: int, fate: Callable[[int, int], int]) -> Counter[int]:
+def play(driver: Client, since: int, span: int, fate: Callable[[int, int], int]) -> Counter[int]:
     """One request in 10 ms, each outcome by zone and time; attempts by zone."""
     found = Counter[int]()
     zone_of = {entry.endpoint: entry.zone for entry in FLEET}
     for now in range(since, since + span, 10 * MS):
-        rid, actions = driver.ask(now)
+        rid, actions = driver.submit(now)
         todo = sends(actions)
         copy = 0
         while todo:
@@ -88,11 +92,11 @@
     return found
 
 
-FLEET = [replace(entry, zone=n % 3) for n, entry in enumerate(fleet(12))]
+FLEET = [replace(entry, zone=n % 3) for n, entry in enumerate(ready_entries(12))]
 
 
-def local(**changes: Any) -> Driver:
-    driver = Driver(started(0, zones=3, locality=LOCAL, instances=3, **changes))
+def local(**changes: Any) -> Client:
+    driver = Client(started_balancer(0, zones=3, locality=LOCAL, instances=3, **changes))
     driver.balancer.members(0, LIST_FULL, FLEET)
     return driver
 
@@ -118,9 +122,9 @@
 
 def test_off_the_zones_change_nothing() -> None:
     def drawn(**changes: Any) -> list[int]:
-        driver = Driver(started(0, zones=3, **changes))
+        driver = Client(started_balancer(0, zones=3, **changes))
         driver.balancer.members(0, LIST_FULL, FLEET)
-        return [sends(driver.ask(k * MS)[1])[0].endpoint for k in range(12)]
+        return [sends(driver.submit(k * MS)[1])[0].endpoint for k in range(12)]
 
     assert drawn() != drawn(locality=LOCAL)
     assert {one.zone for one in FLEET if one.endpoint in drawn(locality=LOCAL)} == {0}
--- a/woadyard/adapter.py
+++ b/woadyard/adapter.py
@@ -24,26 +24,28 @@
         self.instances: dict[int, Balancer] = {}
         self.lists: Lists = {}
 
-    def batch(self, body: memoryview) -> bytes:
-        now, count, tail = wire.frame_head(body)
+    def handle_batch(self, body: memoryview) -> bytes:
+        now, count, tail = wire.read_batch_head(body)
         reply = wire.Reply()
         offset = wire.BATCH_HEAD.size
         for _ in range(count):
             instance = -1
             try:
-                instance, actions = self.event(now, body, offset, tail)
+                instance, actions = self.handle_event(now, body, offset, tail)
             except wire.WireError:
                 raise
             except Exception as error:  # whatever the module raises is reported
                 (instance,) = wire.KILL.unpack_from(body, offset + 1)
-                reply.fault(instance, f"{type(error).__name__}: {error}")
+                reply.add_fault(instance, f"{type(error).__name__}: {error}")
                 actions = []
             if actions:
                 reply.add(instance, actions)
             offset += wire.EVENT_SIZE
         return reply.encode()
 
-    def event(self, now: int, body: memoryview, offset: int, tail: memoryview) -> tuple[int, list[Action]]:
+    def handle_event(
+        self, now: int, body: memoryview, offset: int, tail: memoryview
+    ) -> tuple[int, list[Action]]:
         code = body[offset]
         at = offset + 1
         if code == wire.EV_REQ:
@@ -68,9 +70,9 @@
             i, token = wire.ID_VALUE.unpack_from(body, at)
             one = self.instances.get(i)
             return i, one.timer(now, token) if one else []
-        return self.rare_event(code, now, body, at, tail)
+        return self.handle_uncommon_event(code, now, body, at, tail)
 
-    def rare_event(
+    def handle_uncommon_event(
         self, code: int, now: int, body: memoryview, at: int, tail: memoryview
     ) -> tuple[int, list[Action]]:
         if code == wire.EV_MANIFEST:
@@ -89,19 +91,19 @@
         if not wire.EV_INIT < code < wire.EV_MANIFEST:
             raise wire.WireError(f"unknown event code {code}")
         found = self.instances.get(i)
-        return i, self.told(found, code, now, body, at, tail) if found else []
+        return i, self.deliver(found, code, now, body, at, tail) if found else []
 
-    def told(
+    def deliver(
         self, one: Balancer, code: int, now: int, body: memoryview, at: int, tail: memoryview
     ) -> list[Action]:
         if code == wire.EV_BACKENDS:
             _, _, raw, number = wire.BACKENDS.unpack_from(body, at)
-            if raw not in wire.MODES:
+            if raw not in wire.LIST_MODES:
                 raise wire.WireError(f"unknown list mode {raw}")
-            failed = wire.MODES[raw] == LIST_FAILED
+            failed = wire.LIST_MODES[raw] == LIST_FAILED
             if not failed and number not in self.lists:
                 raise wire.WireError(f"list {number} was never sent")
-            return one.members(now, wire.MODES[raw], () if failed else self.lists[number])
+            return one.members(now, wire.LIST_MODES[raw], () if failed else self.lists[number])
         if code == wire.EV_HEAD:
             _, rid, copy, endpoint, delay = wire.HEAD.unpack_from(body, at)
             return one.head(now, Outcome(rid, copy, endpoint, OK, delay))
@@ -122,7 +124,7 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     host = Host()
     while (body := wire.read_frame(source)) is not None:
-        sink.write(host.batch(body))
+        sink.write(host.handle_batch(body))
         sink.flush()
 
 
--- a/woadyard/net/arms.py
+++ b/woadyard/net/arms.py
@@ -10,7 +10,7 @@
 from woadyard.experiment.messages import Directive
 from woadyard.interface import LIST_DELTA, LIST_FAILED, Arrival, Split
 from woadyard.net.state import endpoint_number
-from woadyard.policy import arm_of
+from woadyard.policy import assign_arm
 
 
 class Arms:
@@ -27,7 +27,7 @@
         self._apply()
 
     def assigned(self, event: Arrival) -> int | None:
-        return None if self.split is None else arm_of(self.split, event.affinity, event.request)
+        return None if self.split is None else assign_arm(self.split, event.affinity, event.request)
 
     def listed(self, mode: int, raw: list[dict[str, Any]]) -> None:
         """A list was put to use."""
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -198,7 +198,7 @@
 
     def wanted(self) -> list[int]:
         """The endpoints that the module sends to from here."""
-        return [one.id for one in self.balancer.endpoints.values() if one.own and one.ready]
+        return [one.id for one in self.balancer.endpoints.values() if one.in_subset and one.is_ready]
 
     def used(self) -> dict[int, int]:
         return {one.id: one.inflight for one in self.balancer.endpoints.values() if one.inflight}
--- a/woadyard/net/recorder.py
+++ b/woadyard/net/recorder.py
@@ -16,7 +16,7 @@
 
 from woadyard.errors import ConfigError
 from woadyard.interface import Arrival, Outcome, Send, Settings
-from woadyard.policy import mix
+from woadyard.policy import splitmix64
 from woadyard.whatif.ring import Ring
 from woadyard.whatif.trace import OUT, Asked, Listed, Record, Retuned, Started, State, Tried, Weighed
 
@@ -70,7 +70,7 @@
 
     def taken(self, now: int, event: Arrival) -> None:
         rid = event.request
-        if self.below < WHOLE and mix(rid) >= self.below:
+        if self.below < WHOLE and splitmix64(rid) >= self.below:
             return
         if len(self.open) >= self.open_most:
             self.skipped += 1
--- a/woadyard/net/turns.py
+++ b/woadyard/net/turns.py
@@ -83,6 +83,6 @@
         except Exception:
             # Guards the process and its callers against a fault of the module.
             LOG.exception("fault in the module")
-            self.balancer.out.clear()
+            self.balancer.actions.clear()
             if call is not None and call.open:
                 self.failed(call)
--- a/woadyard/whatif/replay.py
+++ b/woadyard/whatif/replay.py
@@ -22,7 +22,7 @@
     Send,
     Timer,
 )
-from woadyard.policy import Balancer, mix
+from woadyard.policy import Balancer, splitmix64
 from woadyard.whatif.facts import Attempts, Facts, Requests, columns
 from woadyard.whatif.model import Model
 from woadyard.whatif.scene import Scene, Side
@@ -57,7 +57,7 @@
         self.side, self.number, self.weights = side, number, weights
         start = side.trace.started
         settings = replace(side.settings, shares_verdicts=False)
-        self.balancer = Balancer(mix(start.seed ^ seed), settings)
+        self.balancer = Balancer(splitmix64(start.seed ^ seed), settings)
         self.calls: dict[int, Live] = {}
         self.next = 0
         self.idle: dict[int, list[int]] = {}  # by endpoint, since when each connection is idle
@@ -77,7 +77,7 @@
 
     def connection(self, now: int, endpoint: int) -> bool:
         """Take a connection; True where it is a new one."""
-        idle, keeps = self.idle.get(endpoint), self.balancer.s.idle_us
+        idle, keeps = self.idle.get(endpoint), self.balancer.settings.idle_us
         if not idle:
             return True
         return keeps > 0 and now - idle.pop() > keeps
@@ -140,7 +140,7 @@
         sidecar.next += 1
         rid = sidecar.next
         scale = self.world.scale(asked.cls, asked.work_us)
-        key = mix(self.seed * 31 + sidecar.number) ^ mix(asked.request * 64 + order)
+        key = splitmix64(self.seed * 31 + sidecar.number) ^ splitmix64(asked.request * 64 + order)
         live = sidecar.calls[rid] = Live(asked, now, sidecar.side.aim(asked), key, scale)
         event = Arrival(
             rid, asked.cls, live.expires, asked.tenant, asked.key, asked.work_us, asked.repeated, asked.home
--- a/woadyard/whatif/world.py
+++ b/woadyard/whatif/world.py
@@ -9,7 +9,7 @@
 from heapq import heapify, heappop, heappush, heapreplace
 
 from woadyard.interface import FULL, OK, TIMEOUT
-from woadyard.policy import mix
+from woadyard.policy import splitmix64
 from woadyard.whatif.model import QUANTILES, Burst, Endpoint, Model
 
 UNIT = 1.0 / (1 << 64)
@@ -20,7 +20,7 @@
 
 def luck(seed: int, request: int, what: int) -> float:
     """One number in [0, 1), fixed by its key."""
-    return mix(mix(seed ^ request) + what) * UNIT
+    return splitmix64(splitmix64(seed ^ request) + what) * UNIT
 
 
 class Server:
@@ -28,7 +28,7 @@
 
     def __init__(self, model: Endpoint, place: int, seed: int, span: tuple[int, int]) -> None:
         self.model, self.place = model, place
-        self.seed = mix(seed * 1_000_003 + place)
+        self.seed = splitmix64(seed * 1_000_003 + place)
         self.free = [0] * model.slots  # when each slot is free again
         heapify(self.free)
         self.under_way: list[int] = []  # when each attempt here ends
--- a/woadyard/wire.py
+++ b/woadyard/wire.py
@@ -71,7 +71,12 @@
     125: interface.CANCELLED,
     114: interface.MOOT,
 }
-MODES = {0: interface.LIST_FULL, 1: interface.LIST_FAILED, 2: interface.LIST_DELTA, 3: interface.LIST_CACHED}
+LIST_MODES = {
+    0: interface.LIST_FULL,
+    1: interface.LIST_FAILED,
+    2: interface.LIST_DELTA,
+    3: interface.LIST_CACHED,
+}
 PHASES = {0: interface.GONE, 1: interface.READY, 2: interface.DRAINING}
 EFFECTS = {"retryable": interface.SAFE, "dedup": interface.KEYED, "fragile": interface.UNSAFE}
 REPORT_FIELDS = {
@@ -114,7 +119,7 @@
     return memoryview(body)
 
 
-def frame_head(body: memoryview) -> tuple[int, int, memoryview]:
+def read_batch_head(body: memoryview) -> tuple[int, int, memoryview]:
     """Clock, number of records and tail of a batch."""
     if len(body) < BATCH_HEAD.size:
         raise WireError("batch shorter than its header")
@@ -263,9 +268,9 @@
                 delay = min(action.delay_us, MAX_U32)
                 records.append(ACT_TIMER.pack(67, instance, action.token, delay))
             else:
-                records.append(self._rare(instance, action))
+                records.append(self._pack_uncommon(instance, action))
 
-    def _rare(self, instance: int, action: interface.Action) -> bytes:
+    def _pack_uncommon(self, instance: int, action: interface.Action) -> bytes:
         match action:
             case interface.Refuse(request, after):
                 return ACT_REFUSE.pack(72, instance, request, after)
@@ -283,17 +288,17 @@
                 return ACT_PLAIN.pack(68, instance)
             case interface.Tell(target, payload):
                 to = MAX_U32 if target is None else target
-                offset, size = self._store(payload)
+                offset, size = self._append_to_tail(payload)
                 return ACT_TELL.pack(73, instance, to, offset, size)
             case interface.Log(text):
-                return ACT_TEXT.pack(66, instance, *self._store(text.encode()))
+                return ACT_TEXT.pack(66, instance, *self._append_to_tail(text.encode()))
         raise TypeError(f"no record for {action!r}")
 
-    def fault(self, instance: int, text: str) -> None:
+    def add_fault(self, instance: int, text: str) -> None:
         """The wire's internal error: the decision code is broken."""
-        self._records.append(ACT_TEXT.pack(69, instance, *self._store(text.encode())))
+        self._records.append(ACT_TEXT.pack(69, instance, *self._append_to_tail(text.encode())))
 
-    def _store(self, data: bytes) -> tuple[int, int]:
+    def _append_to_tail(self, data: bytes) -> tuple[int, int]:
         offset = self._tail_size
         self._tail.append(data)
         self._tail_size += len(data)
