--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -255,7 +255,7 @@
 
 async def nothing_owed(one: Sidecar) -> None:
     """Once all clients have left: each attempt has ended, and each connection rests or is closed."""
-    for caller in list(one.server.callers):
+    for caller in list(one.server.connections):
         if caller.transport is not None:
             caller.transport.abort()
     balancer, upstream = one.driver.balancer, one.upstream
@@ -263,7 +263,7 @@
     def owed() -> list[object]:
         resting = {link for pool in upstream.pools.values() for link in pool.idle}
         return [
-            *one.server.callers,
+            *one.server.connections,
             *one.driver.calls.values(),
             *balancer.requests.values(),
             *balancer.ended.values(),
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -24,8 +24,8 @@
     sidecar,
     until,
 )
-from woadyard.net.caller import Caller
-from woadyard.net.message import HOLD_MAX, READ_SIZE
+from woadyard.net.client_connection import ClientConnection
+from woadyard.net.message import MAX_BUFFERED_BODY_BYTES, READ_SIZE
 
 
 def head(raw: bytes) -> Callable[[Endpoint, Message, Writer], asyncio.Future[None]]:
@@ -100,7 +100,9 @@
 async def test_an_answer_that_breaks_off_is_seen_not_to_be_whole(form: str) -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(FORMS[form][:100_000])
-        await until(lambda: bool(one.driver.calls) and bool(next(iter(one.driver.calls.values())).relayed))
+        await until(
+            lambda: bool(one.driver.calls) and bool(next(iter(one.driver.calls.values())).streaming_attempt)
+        )
         linger = struct.pack("ii", 1, 0)  # a reset: a clean end would end the last form
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         writer.transport.abort()
@@ -151,24 +153,24 @@
 
     endpoint = Endpoint(reply)
     async with sidecar(endpoint) as one:
-        one.server.waits.relay_s = 0.2
+        one.server.timeouts.stall_s = 0.2
         reader, writer = await one.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(request())
         await until(lambda: bool(one.upstream.links))
         (link,) = one.upstream.links
         await until(lambda: link.transport is not None and not link.transport.is_reading())
-        (caller,) = one.server.callers
+        (caller,) = one.server.connections
         assert caller.transport is not None
         assert caller.transport.get_write_buffer_size() <= 4 * READ_SIZE
-        await until(lambda: not one.server.callers and not one.upstream.links)
+        await until(lambda: not one.server.connections and not one.upstream.links)
         assert not one.driver.calls, "in the end it is cut off"
 
 
 @on_loop
 async def test_a_caller_that_asks_on_and_never_reads_is_served_no_more() -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer(body=LARGE[:HOLD_MAX]))
+        writer.write(answer(body=LARGE[:MAX_BUFFERED_BODY_BYTES]))
 
     endpoint = Endpoint(reply)
     async with sidecar(endpoint) as one:
@@ -177,23 +179,23 @@
         (caller,) = await callers(one)
         for n in range(400):
             writer.write(request(rid=f"r{n}"))
-        await until(lambda: caller.paused and not one.driver.calls)
+        await until(lambda: caller.reading_paused and not one.driver.calls)
         assert caller.transport is not None
         served, size = len(endpoint.got), caller.transport.get_write_buffer_size()
-        assert served < 400 and size <= HOLD_MAX + 4 * READ_SIZE
+        assert served < 400 and size <= MAX_BUFFERED_BODY_BYTES + 4 * READ_SIZE
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(400):
-            assert len((await read_message(reader)).body) == HOLD_MAX
-        one.server.waits.relay_s = 0.05
+            assert len((await read_message(reader)).body) == MAX_BUFFERED_BODY_BYTES
+        one.server.timeouts.stall_s = 0.05
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(400, 800):
             writer.write(request(rid=f"r{n}"))
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
-async def callers(one: Sidecar) -> list[Caller]:
-    await until(lambda: bool(one.server.callers))
-    return list(one.server.callers)
+async def callers(one: Sidecar) -> list[ClientConnection]:
+    await until(lambda: bool(one.server.connections))
+    return list(one.server.connections)
 
 
 @on_loop
@@ -209,9 +211,9 @@
     async with sidecar(endpoint) as one:
         asked = asyncio.create_task(one.ask(request("pay", LARGE * 16)))
         await until(lambda: any(link.upload for link in one.upstream.links))
-        (caller,), (link,) = one.server.callers, one.upstream.links
+        (caller,), (link,) = one.server.connections, one.upstream.links
         assert link.transport is not None
-        await until(lambda: caller.paused)
+        await until(lambda: caller.reading_paused)
         assert link.transport.get_write_buffer_size() <= 4 * READ_SIZE
         release.set()
         assert (await asked).body == b"ok" and endpoint.got[0].body == LARGE * 16
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -217,12 +217,12 @@
         place = one.driver.places[attempt.endpoint]
         now = one.driver.now()
         assert one.driver.attempts.may_start(attempt, now)
-        assert not one.driver.attempts.may_start(attempt, call.expires)
+        assert not one.driver.attempts.may_start(attempt, call.expires_us)
         place.left_at = now - 349_000  # of 500 ms: a process may be held up for the last 150
         assert one.driver.attempts.may_start(attempt, now)
         place.left_at = now - 350_000
         assert not one.driver.attempts.may_start(attempt, now)
-        link = attempt.link
+        link = attempt.connection
         assert isinstance(link, Link)
         link.write()  # as a connect that took so long would
         assert [event.outcome for event in told] == [MOOT] and len(endpoint.got) == 1
--- a/tests/test_bad_bytes.py
+++ b/tests/test_bad_bytes.py
@@ -67,7 +67,7 @@
 ) -> None:
     endpoint = Endpoint()
     async with sidecar(endpoint) as one:
-        one.server.waits.linger_s = TIMEOUT_S
+        one.server.timeouts.linger_s = TIMEOUT_S
         good, good_writer = await one.connect()
         with caplog.at_level(logging.DEBUG):
             reader, writer = await one.connect()
@@ -81,7 +81,7 @@
         assert owes_nothing(one)
         for each in (writer, good_writer):
             each.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @pytest.mark.parametrize("raw", [b"", b"\r\n\r\n", b"GE", b"GET /page HTTP/1.1\r\nHost: x\r\n"])
@@ -89,15 +89,15 @@
 @on_loop
 async def test_half_a_request_ends_in_time_and_leaves_nothing(raw: bytes, goes: bool) -> None:
     async with sidecar(Endpoint()) as one:
-        one.server.waits.request_s = 0.02
+        one.server.timeouts.request_s = 0.02
         reader, writer = await one.connect()
         writer.write(raw)
         if goes:
             writer.write_eof()
         back = await reader.read()
         assert not back or back.startswith(b"HTTP/1.1 408 ")
-        await until(lambda: not one.server.callers)
-        assert owes_nothing(one) and not one.server.resting
+        await until(lambda: not one.server.connections)
+        assert owes_nothing(one) and not one.server.idle_since
 
 
 @pytest.mark.parametrize("ahead", [1, 3])
@@ -113,7 +113,7 @@
 
     endpoint = Endpoint(slow)
     async with sidecar(endpoint) as one:
-        one.server.waits.request_s, one.server.waits.linger_s = 0.05, TIMEOUT_S
+        one.server.timeouts.request_s, one.server.timeouts.linger_s = 0.05, TIMEOUT_S
         reader, writer = await one.connect()
         writer.write(b"".join(request("pay", rid=f"r{n}") for n in range(ahead)) + bad)
         await endpoint.arrived.acquire()
@@ -127,7 +127,7 @@
         assert await reader.read() == b""
         assert len(endpoint.got) == ahead and owes_nothing(one)
         writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @pytest.mark.parametrize("behind", [b"zz\r\n" + GARBAGE, b"0\r\n\r\n" + GARBAGE], ids=["chunk", "whole"])
@@ -135,7 +135,7 @@
 async def test_an_answer_given_early_is_not_reset_away_by_what_follows_the_body(behind: bytes) -> None:
     """The caller looks for its answer once it has written all."""
     async with sidecar(Endpoint(), known=False) as one:
-        one.server.waits.linger_s = TIMEOUT_S
+        one.server.timeouts.linger_s = TIMEOUT_S
         one.driver.balancer.membership.banned[7] = None  # all endpoints are out: refused at once
         reader, writer = await one.connect()
         head = request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
@@ -144,7 +144,7 @@
         assert (await read_message(reader)).start.split()[1] == "503"
         assert await reader.read() == b"" and owes_nothing(one)
         writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @on_loop
@@ -156,15 +156,15 @@
         await endpoint.arrived.acquire()
         assert (await one.ask(request(rid="other"))).body == b"ok"
         assert len(endpoint.got) < 1001, "not behind all of them"
-        (caller,) = (each for each in one.server.callers if each.waiting)
-        assert len(caller.waiting) <= READ_SIZE // len(request(rid="a0")), "what one read holds"
+        (caller,) = (each for each in one.server.connections if each.pipelined)
+        assert len(caller.pipelined) <= READ_SIZE // len(request(rid="a0")), "what one read holds"
         for _ in range(1000):
             assert (await read_message(reader)).body == b"ok"
         order = [message.headers["x-request-id"] for message in endpoint.got]
         assert [rid for rid in order if rid != "other"] == [f"a{n}" for n in range(1000)]
         assert owes_nothing(one)
         writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @on_loop
@@ -182,24 +182,24 @@
         slow.setblocking(False)
         loop = asyncio.get_running_loop()
         await loop.sock_connect(slow, ("127.0.0.1", one.port))
-        await until(lambda: bool(one.server.callers))
-        (caller,) = one.server.callers
+        await until(lambda: bool(one.server.connections))
+        (caller,) = one.server.connections
         assert caller.transport is not None
         ours = caller.transport.get_extra_info("socket")
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         large = request("pay", LARGE, rid="r3")
         await loop.sock_sendall(slow, request(rid="r1") + request(rid="r2") + large[:2000])
-        await until(lambda: caller.clogged and caller.call is None)
+        await until(lambda: caller.writing_paused and caller.call is None)
         for _ in range(5):
             await asyncio.sleep(0)  # its turn, were it the next
-        assert caller.upload is None and len(caller.waiting) == 1
+        assert caller.upload is None and len(caller.pipelined) == 1
         reader, writer = await asyncio.open_connection(sock=slow)
         writer.write(large[2000:])
         assert [len((await read_message(reader)).body) for _ in range(3)] == [60_000, 2, 2]
         assert [message.headers["x-request-id"] for message in endpoint.got] == ["r1", "r2", "r3"]
         assert owes_nothing(one)
         writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @pytest.mark.parametrize("head", [request("pay").replace(b"Length: 0", b"Length: 60000000"), b"\xff\xfe"])
@@ -207,16 +207,18 @@
 async def test_sixty_megabytes_after_a_refusal_are_dropped_and_the_answer_still_comes(head: bytes) -> None:
     endpoint = Endpoint()
     async with sidecar(endpoint) as one:
-        one.server.waits.linger_s = TIMEOUT_S
+        one.server.timeouts.linger_s = TIMEOUT_S
         reader, writer = await one.connect()
         writer.write(head)
-        await until(lambda: any(caller.over for caller in one.server.callers))
-        (caller,) = one.server.callers
+        await until(lambda: any(caller.is_closed for caller in one.server.connections))
+        (caller,) = one.server.connections
         for _ in range(30):
             writer.write(GARBAGE)
             await writer.drain()
-        assert not caller.incoming.body and caller.incoming.fed <= READ_SIZE, "none of it is read"
+        assert not caller.parser.body_parts and caller.parser.bytes_since_request <= READ_SIZE, (
+            "none of it is read"
+        )
         assert (await read_message(reader)).start.split()[1] in ("400", "413")
         assert await reader.read() == b"" and not endpoint.got and owes_nothing(one)
         writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -21,7 +21,7 @@
     until,
 )
 from woadyard.interface import NO_CONNECT
-from woadyard.net.message import HOLD_MAX
+from woadyard.net.message import MAX_BUFFERED_BODY_BYTES
 
 
 def chunked(cls: str, body: bytes, rid: str = "r1") -> bytes:
@@ -32,7 +32,7 @@
 # --- From callers ---------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("size", [10, HOLD_MAX, HOLD_MAX + 1, len(LARGE)])
+@pytest.mark.parametrize("size", [10, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, len(LARGE)])
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @on_loop
 async def test_a_body_reaches_the_endpoint_whole_and_the_connection_is_kept(size: int, form: str) -> None:
@@ -135,18 +135,18 @@
 async def test_a_body_that_gets_on_is_waited_for_and_one_that_does_not_is_refused() -> None:
     endpoint = Endpoint()
     async with sidecar(endpoint) as one:
-        one.server.waits.request_s = 0.05
-        one.server.waits.load_s = 0.05
+        one.server.timeouts.request_s = 0.05
+        one.server.timeouts.body_s = 0.05
         reader, writer = await one.connect()
         raw = request("pay", LARGE)
         writer.write(raw[:70_000])
         await until(lambda: bool(one.upstream.links))
-        (caller,) = one.server.callers
+        (caller,) = one.server.connections
         for at in range(70_000, 70_000 + 5 * 40_000, 40_000):
-            before = caller.patience
-            await until(lambda before=before: caller.patience is not before)  # type: ignore[misc]
+            before = caller.request_timer
+            await until(lambda before=before: caller.request_timer is not before)  # type: ignore[misc]
             writer.write(raw[at : at + 40_000])
-            await until(lambda at=at: caller.incoming.size >= at - 20_000)  # type: ignore[misc]
+            await until(lambda at=at: caller.parser.body_size >= at - 20_000)  # type: ignore[misc]
         assert (await read_message(reader)).start.split()[1] == "408"
         assert not one.driver.calls and not endpoint.got
 
@@ -158,8 +158,8 @@
             reader._transport.pause_reading()  # type: ignore[attr-defined]
 
     async with sidecar(Frozen()) as one:
-        one.server.waits.request_s = 0.05
-        one.server.waits.load_s = 0.05
+        one.server.timeouts.request_s = 0.05
+        one.server.timeouts.body_s = 0.05
         events = outcomes(one)
         reader, writer = await one.connect()
         writer.write(request("pay", LARGE * 40))
@@ -172,7 +172,7 @@
 @on_loop
 async def test_a_body_that_stops_after_its_answer_gets_no_second_one() -> None:
     async with sidecar(Endpoint(), known=False) as one:
-        one.server.waits.request_s = 0.05
+        one.server.timeouts.request_s = 0.05
         one.driver.balancer.membership.banned[7] = None  # all endpoints are out: refused at once
         reader, writer = await one.connect()
         writer.write(request("pay", LARGE)[:70_000])
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -19,10 +19,10 @@
     request,
     sidecar,
 )
-from woadyard.net.asked import key_of
-from woadyard.net.caller import Caller
+from woadyard.net.client_connection import ClientConnection
 from woadyard.net.link import Link
 from woadyard.net.message import Attempt, Call
+from woadyard.net.request_head import parse_key
 from woadyard.net.state import endpoint_number
 
 
@@ -34,7 +34,7 @@
 async def test_at_the_limit_the_longest_at_rest_gives_way_never_a_new_one() -> None:
     """A new connection that was closed to make room lost the request on its way."""
     async with sidecar(Endpoint()) as one:
-        one.server.most = 12  # 9 of them for callers
+        one.server.max_sockets = 12  # 9 of them for callers
         new = [await one.connect() for _ in range(9)]
         for n, (reader, writer) in enumerate(new):
             writer.write(request(rid=f"r{n}"))
@@ -52,22 +52,22 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with sidecar(Endpoint()) as one:
-        one.server.most = 8  # 6 of them for callers
+        one.server.max_sockets = 8  # 6 of them for callers
         crowd = [await one.connect() for _ in range(6)]
         late, late_writer = await one.connect()
         with contextlib.suppress(ConnectionError):
             assert await late.read() == b"", "none may be closed yet"
-        assert len(one.server.callers) == 6
+        assert len(one.server.connections) == 6
         crowd[0][1].write(request(rid="taken"))
         assert (await read_message(crowd[0][0])).body == b"ok"
-        one.server.resting.clear()  # as if it were being served
-        one.server.waits.crowd_s = 0.0
+        one.server.idle_since.clear()  # as if it were being served
+        one.server.timeouts.overload_request_s = 0.0
         good, good_writer = await one.connect()
         good_writer.write(request(rid="good"))
         assert (await read_message(good)).body == b"ok"
         assert await crowd[1][0].read() == b"", "the first that brought nothing"
-        one.server.share(0.5)
-        assert one.upstream.most == one.server.most == 256
+        one.server.set_socket_share(0.5)
+        assert one.upstream.most == one.server.max_sockets == 256
         for _, writer in [*crowd, (None, good_writer), (None, late_writer)]:
             writer.close()
 
@@ -85,13 +85,16 @@
         vars(one.driver.balancer.choice)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
-        one.upstream.others, one.upstream.give_way = lambda: len(one.server.callers), one.server.give_way
-        while len(one.server.callers) > 1:  # the one that asked has closed
+        one.upstream.others, one.upstream.give_way = (
+            lambda: len(one.server.connections),
+            one.server.release_connection,
+        )
+        while len(one.server.connections) > 1:  # the one that asked has closed
             await asyncio.sleep(0)
         _, asker = await one.connect()
-        while len(one.server.callers) < 2:
+        while len(one.server.connections) < 2:
             await asyncio.sleep(0)
-        one.upstream.most = len(one.upstream.links) + len(one.server.callers)
+        one.upstream.most = len(one.upstream.links) + len(one.server.connections)
         asker.write(request(rid="r2"))
         await second.arrived.acquire()
         assert await resting.read() == b""
@@ -101,12 +104,12 @@
 @on_loop
 async def test_a_caller_that_rests_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async with sidecar(Endpoint()) as one:
-        one.server.waits.rest_s = 0.01
+        one.server.timeouts.idle_s = 0.01
         for n in range(2):
             reader, writer = await one.connect()
             writer.write(request(rid=f"r{n}"))
             assert (await reader.read()).startswith(b"HTTP/1.1 200 "), "whole, then the end"
-        assert not one.server.resting
+        assert not one.server.idle_since
 
 
 @on_loop
@@ -130,11 +133,11 @@
         reader, writer = await one.connect()
         writer.write(request())
         await read_message(reader)
-        one.server.waits.request_s = 0.01
+        one.server.timeouts.request_s = 0.01
         silent, _ = await one.connect()
         assert await silent.read() == b""
-        (caller,) = one.server.callers
-        assert not caller.over, "the connection at rest stays"
+        (caller,) = one.server.connections
+        assert not caller.is_closed, "the connection at rest stays"
         writer.write(sent)  # a request begun after a rest is owed as well
         back = await reader.read()
         assert back.startswith(expected) and bool(back) == bool(expected)
@@ -148,9 +151,9 @@
 
 
 def test_keys_are_numbers_of_what_a_request_is_about() -> None:
-    assert key_of(b"a=1&obj=7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
-    assert key_of(b"a=1") == 0
-    assert key_of(b"obj=no-number") == key_of(b"obj=no-number") != 0
+    assert parse_key(b"a=1&obj=7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
+    assert parse_key(b"a=1") == 0
+    assert parse_key(b"obj=no-number") == parse_key(b"obj=no-number") != 0
 
 
 @on_loop
@@ -166,11 +169,11 @@
         async with sidecar(Endpoint(), Endpoint(refuse)) as one:
             for n in range(20):
                 await one.ask(request(rid=f"r{n}"))
-            while one.server.callers:
+            while one.server.connections:
                 await asyncio.sleep(0)
             for _ in range(5):
                 await asyncio.sleep(0)  # what the loop still holds
-            kinds = (Call, Attempt, Caller, Link)
+            kinds = (Call, Attempt, ClientConnection, Link)
             left = Counter(type(one).__name__ for one in gc.get_objects() if isinstance(one, kinds))
             assert set(left) <= {"Link"} and left["Link"] <= len(one.upstream.links)
     finally:
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -29,16 +29,16 @@
     sidecar,
     until,
 )
-from woadyard.net.caller import Caller
+from woadyard.net.client_connection import ClientConnection
 from woadyard.net.console import VISITORS_MOST
 
 
-async def joined(one: Sidecar) -> tuple[asyncio.StreamReader, Writer, Caller]:
+async def joined(one: Sidecar) -> tuple[asyncio.StreamReader, Writer, ClientConnection]:
     """A connection of its own, and the sidecar's side of it."""
-    before = set(one.server.callers)
+    before = set(one.server.connections)
     reader, writer = await one.connect()
-    await until(lambda: bool(one.server.callers.keys() - before))
-    (caller,) = one.server.callers.keys() - before
+    await until(lambda: bool(one.server.connections.keys() - before))
+    (caller,) = one.server.connections.keys() - before
     return reader, writer, caller
 
 
@@ -51,42 +51,42 @@
         writer.write(answer(body=body))
 
     async with sidecar(Endpoint(large)) as one:
-        one.server.most = 2  # one of them for callers
+        one.server.max_sockets = 2  # one of them for callers
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.setblocking(False)
         loop = asyncio.get_running_loop()
         await loop.sock_connect(slow, ("127.0.0.1", one.port))
-        await until(lambda: bool(one.server.callers))
-        (caller,) = one.server.callers
+        await until(lambda: bool(one.server.connections))
+        (caller,) = one.server.connections
         assert caller.transport is not None
         ours = caller.transport.get_extra_info("socket")
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         await loop.sock_sendall(slow, request())
-        await until(lambda: caller in one.server.resting)
+        await until(lambda: caller in one.server.idle_since)
         assert caller.transport.get_write_buffer_size()
         late, _ = await one.connect()
         with contextlib.suppress(ConnectionError):
             assert await late.read() == b"", "nobody can give way"
-        assert list(one.server.callers) == [caller] and not caller.over
+        assert list(one.server.connections) == [caller] and not caller.is_closed
         reader, writer = await asyncio.open_connection(sock=slow)
         assert (await read_message(reader)).body == body
         writer.write(request(rid="r2"))
         assert (await read_message(reader)).body == body
         writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @on_loop
 async def test_refused_peers_that_hold_on_give_way_to_who_asks() -> None:
     async with sidecar(Endpoint()) as one:
-        one.server.most = 8  # 6 of them for callers
-        one.server.waits.linger_s, one.server.waits.answered_s = TIMEOUT_S, 0.0
+        one.server.max_sockets = 8  # 6 of them for callers
+        one.server.timeouts.linger_s, one.server.timeouts.overload_linger_s = TIMEOUT_S, 0.0
         crowd = [await one.connect() for _ in range(6)]
         for reader, writer in crowd:
             writer.write(b"nonsense\r\n\r\n")
             assert (await read_message(reader)).start.split()[1] == "400"
-        assert len(one.server.callers) == 6
+        assert len(one.server.connections) == 6
         resting, resting_writer, _ = await joined(one)
         resting_writer.write(request(rid="rests"))
         assert (await read_message(resting)).body == b"ok"
@@ -95,23 +95,23 @@
         assert (await read_message(resting)).body == b"ok", "who was refused goes before who rests"
         for _, writer in [*crowd, (None, resting_writer)]:
             writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @on_loop
 async def test_a_refused_peer_has_a_moment_to_read_its_answer_whoever_comes() -> None:
     async with sidecar(Endpoint()) as one:
-        one.server.most = 2  # one of them for callers
-        one.server.waits.linger_s = one.server.waits.answered_s = TIMEOUT_S
+        one.server.max_sockets = 2  # one of them for callers
+        one.server.timeouts.linger_s = one.server.timeouts.overload_linger_s = TIMEOUT_S
         reader, writer, caller = await joined(one)
         writer.write(b"nonsense\r\n\r\n")
         assert (await read_message(reader)).start.split()[1] == "400"
         late, _ = await one.connect()
         with contextlib.suppress(ConnectionError):
             assert await late.read() == b""
-        assert list(one.server.callers) == [caller]
+        assert list(one.server.connections) == [caller]
         writer.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /pa"], ids=["silent", "half a request"])
@@ -119,34 +119,34 @@
 async def test_who_owes_a_request_for_long_gives_way_before_who_came_to_rest_just_now(sent: bytes) -> None:
     """The next request of the one at rest may be on its way: that one would be lost."""
     async with sidecar(Endpoint()) as one:
-        one.server.most = 4  # 3 of them for callers
-        one.server.waits.crowd_s = one.server.waits.request_s = TIMEOUT_S
+        one.server.max_sockets = 4  # 3 of them for callers
+        one.server.timeouts.overload_request_s = one.server.timeouts.request_s = TIMEOUT_S
         resting, resting_writer, _ = await joined(one)
         resting_writer.write(request(rid="rests"))
         assert (await read_message(resting)).body == b"ok"
         reader, writer, owing = await joined(one)
         _, fresh_writer, fresh = await joined(one)
         writer.write(sent)
-        await until(lambda: owing.incoming.reading == bool(sent))
-        owing.owed_since -= 2 * TIMEOUT_S
+        await until(lambda: owing.parser.is_reading == bool(sent))
+        owing.awaiting_since_s -= 2 * TIMEOUT_S
         assert (await one.ask(request(rid="good"))).body == b"ok"
-        assert await reader.read() == b"" and fresh in one.server.callers
+        assert await reader.read() == b"" and fresh in one.server.connections
         resting_writer.write(request(rid="again"))
         assert (await read_message(resting)).body == b"ok"
         for each in (writer, fresh_writer, resting_writer):
             each.close()
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
 
 
 @on_loop
 async def test_ids_that_are_remembered_are_bounded_in_number(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("woadyard.net.server.IDS_MOST", 3)
+    monkeypatch.setattr("woadyard.net.server.MAX_REMEMBERED_IDS", 3)
     async with sidecar(Endpoint()) as one:
         for n in range(5):
             assert (await one.ask(request(rid=f"r{n}"))).body == b"ok"
         for bad in (request("none", rid="bad"), request(rid="x" * 129), request(deadline_ms=-1, rid="bad")):
             assert (await one.ask(bad)).start.split()[1][0] == "4"
-        assert list(one.server.ids) == [b"r2", b"r3", b"r4"], "the latest, and none of a bad request"
+        assert list(one.server.request_ids) == [b"r2", b"r3", b"r4"], "the latest, and none of a bad request"
         assert (await one.ask(request(rid="r4"))).start.split()[1] == "409"
 
 
@@ -154,11 +154,11 @@
 async def test_two_processes_together_stay_within_the_limit() -> None:
     """Each has its own listener, watch and door besides the sockets of both sides."""
     async with sidecar(Endpoint()) as one:
-        one.server.whole, one.server.aside = 256 - 64, 64
-        one.server.share(0.5)
-        assert 2 * (one.server.most + 64) == 256 and one.upstream.most == one.server.most
-        one.server.share(1.0)
-        assert one.server.most + 64 == 256
+        one.server.total_sockets, one.server.reserved_fds = 256 - 64, 64
+        one.server.set_socket_share(0.5)
+        assert 2 * (one.server.max_sockets + 64) == 256 and one.upstream.most == one.server.max_sockets
+        one.server.set_socket_share(1.0)
+        assert one.server.max_sockets + 64 == 256
 
 
 @pytest.mark.parametrize("adopted", [False, True], ids=["own", "adopted"])
@@ -171,7 +171,7 @@
             one.server.listener.close()
             listening = socket.create_server(("127.0.0.1", 0))
             one.port = listening.getsockname()[1]
-            await one.server.adopt(listening.detach())
+            await one.server.adopt_socket(listening.detach())
         reader, writer, caller = await joined(one)
         writer.write(request())
         assert (await read_message(reader)).body == b"ok"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -30,9 +30,9 @@
     until,
 )
 from woadyard.interface import CANCELLED, ERROR, MOOT, NO_CONNECT, OK, RESET, TIMEOUT
+from woadyard.net.disconnects import DisconnectDetector
 from woadyard.net.link import Link
 from woadyard.net.message import Attempt
-from woadyard.net.presence import Presence
 from woadyard.wire import read_settings
 
 TURNED_AWAY = b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\n"
@@ -46,14 +46,14 @@
 ) -> None:
     """A client that sends a request and goes: both are read before the connect's first step.
     Where the system tells of the end sooner no connect is begun at all."""
-    monkeypatch.setattr(Presence, "has_left", lambda presence: False)
+    monkeypatch.setattr(DisconnectDetector, "is_disconnected", lambda detector: False)
     async with sidecar(Endpoint()) as one:
         told = outcomes(one)
         with socket.create_connection(("127.0.0.1", one.port)) as client:
             client.sendall(request("pay"))
         await until(lambda: bool(told))
         assert [event.outcome for event in told] == [CANCELLED]
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
         for _ in range(8):
             await asyncio.sleep(0)
         assert not one.upstream.links
@@ -81,7 +81,7 @@
             time.sleep(0.1)
             if lateness == "called off":
                 (call,) = one.driver.calls.values()
-                one.driver.requests.gone(call)
+                one.driver.requests.client_disconnected(call)
 
         loop.add_reader(near, busy)
         one.driver.attempts.upstream.send = send  # type: ignore[method-assign]
@@ -139,7 +139,7 @@
             asked = asyncio.create_task(one.ask(request("put")))
             await connecting.wait()
             (call,) = one.driver.calls.values()
-            await until(lambda: not past or one.driver.now() >= call.attempts[0].sent + window)
+            await until(lambda: not past or one.driver.now() >= call.attempts[0].sent_us + window)
             up.set()
             back = await asked
         assert len(got) == (1 if past else 2)
@@ -271,8 +271,8 @@
             asked = asyncio.create_task(one.ask(request("pay", LARGE)))
             await began.wait()
             (call,) = one.driver.calls.values()
-            one.driver.requests.stuck(call)
+            one.driver.requests.upload_stalled(call)
             assert [event.outcome for event in told] == [NO_CONNECT]
-            assert [attempt.out for attempt in call.attempts] == [False, True]
+            assert [attempt.in_flight for attempt in call.attempts] == [False, True]
             up.set()
             assert (await asked).body == b"ok"
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -28,8 +28,8 @@
     until,
 )
 from tests.sockets import request as short_request
+from woadyard.net import disconnects
 from woadyard.net import link as link_module
-from woadyard.net import presence
 from woadyard.net.link import Link
 from woadyard.net.message import Attempt
 
@@ -113,23 +113,23 @@
             come_up(*args)
 
     def caller(self) -> Any:
-        (caller,) = self.one.server.callers
+        (caller,) = self.one.server.connections
         return caller
 
     async def given_up(self) -> None:
         """No request is open; attempts may still be out, where they can't be cancelled."""
         async with asyncio.timeout(SOON_S):
-            await until(lambda: not any(call.open for call in self.one.driver.calls.values()))
+            await until(lambda: not any(call.is_open for call in self.one.driver.calls.values()))
 
     async def settled(self) -> None:
         """Nothing is owed any more to anyone."""
         async with asyncio.timeout(SOON_S):
-            await until(lambda: not self.one.driver.calls and not self.one.server.callers)
+            await until(lambda: not self.one.driver.calls and not self.one.server.connections)
         balancer = self.one.driver.balancer
         assert not balancer.requests and not balancer.ended
         assert all(one.inflight == one.moving == 0 for one in balancer.endpoints.values())
         assert all(link.attempt is None for link in self.one.upstream.links)
-        assert not self.one.server.unread.clients
+        assert not self.one.server.paused_clients.clients
 
 
 @contextlib.asynccontextmanager
@@ -141,9 +141,9 @@
         if warm:
             await one.ask(request(rid="warm"))
             await endpoint.arrived.acquire()
-            await until(lambda: not one.server.callers)
+            await until(lambda: not one.server.connections)
         it = Scene(one, endpoint, Client(one.port))
-        await until(lambda: bool(one.server.callers))
+        await until(lambda: bool(one.server.connections))
         real = link_module.request_bytes
 
         def request_bytes(attempt: Attempt, now: int) -> bytes:
@@ -194,14 +194,14 @@
     """More than is read ahead."""
     it.client.send(b"".join(request(rid=f"r{n}") for n in range(400)))
     await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().paused))
+    await until(lambda: bool(it.caller().reading_paused))
     return lambda: it.answered(answer())
 
 
 async def large_body_sent_ahead_of_an_answer(it: Scene) -> Act:
     it.client.send(request(rid="r0") + request("pay", LARGE, rid="r1")[:70_000])
     await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().incoming.large))
+    await until(lambda: bool(it.caller().parser.has_large_body))
     return lambda: it.answered(answer())
 
 
@@ -268,8 +268,8 @@
         first, late = it.caller(), Client(it.one.port)
         late.send(request())
         late.leave(how)
-        it.one.server.last_joined = 0.0
-        await until(lambda: it.one.server.last_joined > 0)
+        it.one.server.last_accept_s = 0.0
+        await until(lambda: it.one.server.last_accept_s > 0)
         first.transport.abort()
         await it.settled()
         late.socket.close()
@@ -282,7 +282,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What little is sent ahead is read, and behind it the client's end."""
-    monkeypatch.setattr(presence, "LEFT", 0)
+    monkeypatch.setattr(disconnects, "DISCONNECT_EVENTS", 0)
     async with scene(monkeypatch) as it:
         await sent_ahead_of_an_answer(it)
         it.client.leave(how)
@@ -320,7 +320,7 @@
         it.client.send(request("pay", LARGE * 40)[:70_000])
         await until(lambda: bool(it.sent))
         if frozen:
-            await it.client.fill(lambda: bool(it.caller().paused))
+            await it.client.fill(lambda: bool(it.caller().reading_paused))
         it.client.leave(how)
         await it.settled()
 
@@ -332,9 +332,9 @@
     cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with scene(monkeypatch, cancel, endpoint=Endpoint(stream)) as it:
-        it.one.server.waits.relay_s = 1000.0
+        it.one.server.timeouts.stall_s = 1000.0
         it.client.send(request())
-        await until(lambda: it.caller().clogged)
+        await until(lambda: it.caller().writing_paused)
         it.client.leave(how)
         await it.settled()
 
@@ -349,12 +349,12 @@
             await stream(endpoint, message, writer)
 
     async with scene(monkeypatch, endpoint=Endpoint(stream_first)) as it:
-        it.one.server.waits.relay_s = 1000.0
+        it.one.server.timeouts.stall_s = 1000.0
         it.caller().transport.set_write_buffer_limits(high=1 << 30)  # served on all the same
         it.client.send(request(rid="r0") + request(rid="r1"))
         await until(lambda: len(it.endpoint.got) == 2)
         assert it.caller().transport.get_write_buffer_size()
-        it.one.server.waits.relay_s = 0.05
+        it.one.server.timeouts.stall_s = 0.05
         it.client.leave(how)
         await it.given_up()
         await it.settled()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -19,13 +19,13 @@
 def call_of(one: Sidecar, cls: str, **parts: Any) -> Call:
     now = one.driver.now()
     number = one.driver.names.classes[cls]
-    parts = {"expires": now + 4_000 * MS, "wait_us": 4_000 * MS, **parts}
-    return Call(relay=Mock(), start=b"POST /", head=b"", body=b"", cls=number, **parts)
+    parts = {"expires_us": now + 4_000 * MS, "timeout_us": 4_000 * MS, **parts}
+    return Call(client=Mock(), method_and_target=b"POST /", header_lines=b"", body=b"", cls=number, **parts)
 
 
 def attempt_of(one: Sidecar, call: Call, **changes: Any) -> Attempt:
     endpoint = next(iter(one.driver.places))
-    attempt = Attempt(call, len(call.attempts), endpoint, one.driver.now(), call.expires)
+    attempt = Attempt(call, len(call.attempts), endpoint, one.driver.now(), call.expires_us)
     for name, value in changes.items():
         setattr(attempt, name, value)
     call.attempts.append(attempt)
@@ -52,7 +52,7 @@
         attempt = attempt_of(one, call_of(one, "page"))
         checks.written(attempt, now)
         assert not checks.counts
-        checks.written(attempt_of(one, call_of(one, "page"), start_by=now), now + SLACK_US + 1)
+        checks.written(attempt_of(one, call_of(one, "page"), start_by_us=now), now + SLACK_US + 1)
         assert checks.counts == {Rule.SEND: 1}
         place = one.driver.places[attempt.endpoint]
         place.left_at = now
@@ -79,8 +79,8 @@
     cls: str, outcome: int, wrote: bool, late_ms: int, violated: bool
 ) -> None:
     async with sidecar(Endpoint()) as one:
-        checks, call = one.driver.attempts.invariants, call_of(one, cls, expires=10**18)
-        attempt_of(one, call, out=False, outcome=outcome, wrote=wrote)
+        checks, call = one.driver.attempts.invariants, call_of(one, cls, expires_us=10**18)
+        attempt_of(one, call, in_flight=False, outcome=outcome, was_written=wrote)
         second = attempt_of(one, call)
         checks.written(second, one.driver.now() + late_ms * MS)
         assert checks.counts == ({Rule.REPEAT: 1} if violated else {})
@@ -90,14 +90,14 @@
 async def test_more_time_than_is_left_and_an_answered_request_are_counted() -> None:
     async with sidecar(Endpoint()) as one:
         checks, call = one.driver.attempts.invariants, call_of(one, "page")
-        checks.written(attempt_of(one, call, until=call.expires + 151 * MS), one.driver.now())
+        checks.written(attempt_of(one, call, timeout_at_us=call.expires_us + 151 * MS), one.driver.now())
         assert checks.counts == {Rule.START: 1}
-        call.open = False
+        call.is_open = False
         checks.written(attempt_of(one, call), one.driver.now())
         assert checks.counts == {Rule.START: 2}
 
 
-@pytest.mark.parametrize("how", ["close", "cut"])
+@pytest.mark.parametrize("how", ["close_connection", "abort_connection"])
 @on_loop
 async def test_an_end_before_the_answer_is_counted_where_the_client_is_there(how: str) -> None:
     async def never(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -108,7 +108,7 @@
         _, writer = await one.connect()
         writer.write(request())
         await endpoint.arrived.acquire()
-        (caller,) = one.server.callers
+        (caller,) = one.server.connections
         getattr(one.server, how)(caller)
         assert one.driver.attempts.invariants.counts == {Rule.CLOSE: 1}
         writer.close()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -57,7 +57,7 @@
         for n in range(5):
             writer.write(request(cls, rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        assert endpoint.opened == 1 and len(one.server.callers) == 1
+        assert endpoint.opened == 1 and len(one.server.connections) == 1
         assert not one.driver.calls and not one.driver.balancer.requests
 
 
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -105,7 +105,7 @@
 def test_a_sidecar_shut_out_turns_new_requests_away_and_finishes_the_others(body: bytes) -> None:
     async def main() -> None:
         async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            one.server.shut_out = True
+            one.server.is_shut_out = True
             writer.write(answer())
 
         endpoint = Endpoint(reply)
@@ -115,7 +115,7 @@
             assert (back.start.split()[1], back.headers["retry-after"]) == ("503", "1")
             back = await one.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")
             assert back.start.split()[1] == "503"
-            one.server.shut_out = False
+            one.server.is_shut_out = False
             assert (await one.ask(request("pay", rid="r3"))).body == b"ok"
             assert len(endpoint.got) == 2
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -97,7 +97,7 @@
         ((_, call),) = one.driver.calls.items()
         await until(lambda: asked.done() or len(call.attempts) == 2)
         if late:
-            sent = call.attempts[0].sent if call.attempts else 0
+            sent = call.attempts[0].sent_us if call.attempts else 0
             await asyncio.sleep(max(0.0, (sent + window - one.driver.now()) / 1e6) + 0.001)
         gate.set()
         back = await asked
@@ -235,7 +235,7 @@
 async def test_an_id_is_remembered_for_as_long_as_its_request_may_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "IDS_S", 0.05)
+    monkeypatch.setattr(server, "REQUEST_ID_RETENTION_S", 0.05)
     endpoint = Endpoint(hold)
     async with sidecar(endpoint) as one:
         retuned(one, a_class("fragile", **{"deadline-us": 60_000_000}))
@@ -253,12 +253,12 @@
 
 @on_loop
 async def test_ids_of_requests_past_their_time_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "IDS_S", 0.05)
+    monkeypatch.setattr(server, "REQUEST_ID_RETENTION_S", 0.05)
     endpoint = Endpoint()
     async with sidecar(endpoint) as one:
         for n in range(40):
             await one.ask(request("pay", deadline_ms=30 if n else 60_000, rid=f"r{n}"))
         await asyncio.sleep(0.2)
         await one.ask(request("pay", rid="last"))
-        assert set(one.server.ids) == {b"r0", b"last"}
+        assert set(one.server.request_ids) == {b"r0", b"last"}
         await settled(one)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -72,9 +72,9 @@
         for again in (request("pay", b"sum"), request(), request("pay", headers="X-Retry: 1\r\n")):
             assert (await one.ask(again)).start.split()[1] == "409"
         assert len(endpoint.got) == 1
-        one.server.ids[b"r1"] = one.driver.now() - 60_000_000, one.driver.now()
+        one.server.request_ids[b"r1"] = one.driver.now() - 60_000_000, one.driver.now()
         assert (await one.ask(request("pay", rid="r2"))).body == b"ok"
-        assert list(one.server.ids) == [b"r2"], "forgotten after its time"
+        assert list(one.server.request_ids) == [b"r2"], "forgotten after its time"
 
 
 @on_loop
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -83,8 +83,8 @@
     async with sidecar(endpoint) as one:
         now = one.driver.now()
         one.server.stop(lambda: None)
-        assert now + 3_000_000 < one.server.answered_by < one.driver.now() + 3_700_000
-        one.server.answered_by = one.driver.now() + 50_000
+        assert now + 3_000_000 < one.server.responses_due_us < one.driver.now() + 3_700_000
+        one.server.responses_due_us = one.driver.now() + 50_000
         back = await one.ask(request("pay", deadline_ms=30_000))
         assert back.start.split()[1] == "504"
 
@@ -101,7 +101,7 @@
         for n in range(3):
             writer.write(request(rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        one.server.closing = True  # as when the connections at rest have been closed
+        one.server.is_draining = True  # as when the connections at rest have been closed
         writer.write(request(rid="last") + request(rid="ahead") + request(rid="further"))
         for n in range(3):
             back = await read_message(reader)
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -182,18 +182,18 @@
 async def test_who_asks_as_it_comes_is_heard_in_a_crowd_that_says_nothing() -> None:
     """Places are all taken, and nobody has owed a request for long yet."""
     async with sidecar(Endpoint()) as one:
-        one.server.most = 64  # 48 of them for callers
+        one.server.max_sockets = 64  # 48 of them for callers
         first, first_writer = await one.connect()
         first_writer.write(request(rid="first")[:1])  # it has said something
         crowd = [await one.connect() for _ in range(47)]
-        await until(lambda: len(one.server.callers) == 48)
+        await until(lambda: len(one.server.connections) == 48)
         for n in range(20):  # each is followed by another that says nothing
             asker = await one.connect()
             crowd.append(await one.connect())
             asker[1].write(request(rid=f"r{n}"))
             assert (await read_message(asker[0])).body == b"ok"
             asker[1].close()
-            await until(lambda: len(one.server.callers) <= 48)
+            await until(lambda: len(one.server.connections) <= 48)
         first_writer.write(request(rid="first")[1:])
         assert (await read_message(first)).body == b"ok"
         for _, writer in crowd:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -27,7 +27,7 @@
     sidecar,
     until,
 )
-from woadyard.net.server import stop_times
+from woadyard.net.server import shutdown_times
 from woadyard.wire import read_settings
 
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("deadline_s", [0.05, 0.1, 0.3, 1.0, 3.0, 30.0])
 def test_what_comes_last_has_time_for_its_answer_and_that_for_its_way(deadline_s: float) -> None:
-    kept_s, answered_s = stop_times(deadline_s)
+    kept_s, answered_s = shutdown_times(deadline_s)
     assert kept_s > 0.4, "new connections come until then"
     assert answered_s - kept_s > min(0.1, deadline_s) - 1e-9
     assert answered_s < min(3.0, deadline_s) + 0.7 - 0.1 + 1e-9, "SIGKILL"
@@ -56,7 +56,7 @@
     async with sidecar(Endpoint()) as one:
         retune(one, 300_000)
         one.server.stop(lambda: None)
-        assert one.server.answered_by < one.driver.now() + 1_000_000, "SIGKILL may come then"
+        assert one.server.responses_due_us < one.driver.now() + 1_000_000, "SIGKILL may come then"
 
 
 @on_loop
@@ -122,9 +122,11 @@
         reader, writer = await one.connect()
         if before:
             writer.write(sent)
-            await until(lambda: any(caller.call or caller.incoming.reading for caller in one.server.callers))
+            await until(
+                lambda: any(caller.call or caller.parser.is_reading for caller in one.server.connections)
+            )
         one.server.stop(ended.set)
-        by = one.server.answered_by
+        by = one.server.responses_due_us
         if not before:
             writer.write(sent)
         back = await read_message(reader)
@@ -148,14 +150,14 @@
         with writer.get_extra_info("socket").dup() as raw:
             raw.send(request(rid="last"))  # with the system at once
         if read:
-            one.server._stop_keeping()
+            one.server._begin_draining()
             back = await read_message(reader)
             assert back.body == b"ok" and back.headers["connection"] == "close"
         else:
-            one.server._close_resting()
+            one.server._close_idle()
             with suppress(ConnectionError):
                 assert await reader.read() == b""
-        await until(lambda: not one.server.callers)
+        await until(lambda: not one.server.connections)
         assert [one.headers["x-request-id"] for one in endpoint.got] == ["before", "last"][: 1 + read]
         assert settled(one)
         writer.close()
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -97,7 +97,7 @@
         return f"done, out are: {' '.join(bans.banned) or 'none'}"
 
     def ready(body: str) -> str:
-        if not server.accepting or server.shut_out or not may_serve():
+        if not server.is_accepting or server.is_shut_out or not may_serve():
             raise CallError(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", "wait; the log says why")
         return "ready"
 
@@ -255,7 +255,7 @@
     server = Server(driver, most, aside)
     reporter = open_reporter(config, driver, name, discovery, server)
     open_plans(driver, reporter, recorder)
-    seats = take_seat(config, loop, server.share)
+    seats = take_seat(config, loop, server.set_socket_share)
     try:
         driver.start(config.known, seats is None or seats.alone)
     except PeerError as error:
@@ -265,12 +265,12 @@
         alone = seats is None or seats.alone  # one that takes over has a lease, and is owed a yes soon
         if config.known["instances"] and (alone or discovery.pushed):
             await discovery.first()  # that list may be old, and newer ones bind from the start
-    upstream.others, upstream.give_way = lambda: len(server.callers), server.give_way
+    upstream.others, upstream.give_way = lambda: len(server.connections), server.release_connection
     try:
         if config.accept is None:
             await server.listen(*config.listen)
         else:
-            await server.adopt(config.accept)
+            await server.adopt_socket(config.accept)
     except (OSError, OverflowError, ValueError) as error:
         raise ConfigError(f"can't listen: {error}") from None
     gossip = open_gossip(config, driver)
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -6,7 +6,7 @@
 
 from woadyard.interface import CANCELLED, MOOT, NO_CONNECT, OK, TIMEOUT, Outcome, Send
 from woadyard.net.invariants import Invariants
-from woadyard.net.message import Answer, Attempt
+from woadyard.net.message import Attempt, Response
 from woadyard.net.names import InForce
 from woadyard.net.places import Places
 from woadyard.net.requests import Requests
@@ -25,7 +25,7 @@
     ) -> None:
         self.turns, self.requests, self.places = turns, requests, places
         self.force, self.upstream = force, upstream
-        requests.stop = self.stop
+        requests.stop_attempt = self.stop
         # The audit is told of attempts that no endpoint saw: request and endpoint.
         self.unsent: Callable[[int, int], None] | None = None
         self.invariants = Invariants(force, places, turns.metrics)
@@ -33,9 +33,9 @@
         upstream.written = self.invariants.written
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
-        if not attempt.call.open or now >= min(attempt.until, attempt.start_by):
+        if not attempt.call.is_open or now >= min(attempt.timeout_at_us, attempt.start_by_us):
             return False
-        if not attempt.call.relay.there():  # where the client has left, that ends the call
+        if not attempt.call.client.check_connected():  # where the client has left, that ends the call
             return False
         return self.places.may_start(attempt.endpoint, now)
 
@@ -43,22 +43,22 @@
         now, call = now_us(), self.requests.calls.get(action.request)
         if call is None:
             return
-        left = action.timeout_us or call.expires - now
-        until = min(call.expires, now + left)
+        left = action.timeout_us or call.expires_us - now
+        until = min(call.expires_us, now + left)
         attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
         call.attempts.append(attempt)
-        self.turns.metrics.sent(attempt.copy)
+        self.turns.metrics.sent(attempt.index)
         if (observer := self.turns.observer) is not None:
-            attempt.extra = observer.sent(now, action)
+            attempt.extra_headers = observer.sent(now, action)
         if self.force.locality is not None:
             place = self.places.by_number.get(action.endpoint)
             if place is not None:
                 self.turns.metrics.zone(place.zone)
-        if attempt.copy >= self.force.settings.max_attempts or not self.may_start(attempt, now):
+        if attempt.index >= self.force.settings.max_attempts or not self.may_start(attempt, now):
             self.ended(attempt, MOOT, None, b"")
             return
-        if attempt.until < call.expires:
-            attempt.timer = self.turns.at(attempt.until, self.stop, attempt, TIMEOUT)
+        if attempt.timeout_at_us < call.expires_us:
+            attempt.timer = self.turns.at(attempt.timeout_at_us, self.stop, attempt, TIMEOUT)
         self.upstream.send(attempt)
 
     def cancel(self, request: int, copy: int) -> None:
@@ -67,58 +67,58 @@
 
     def stop(self, attempt: Attempt, outcome: int) -> None:
         """Wait for it no longer."""
-        if attempt.out:
+        if attempt.in_flight:
             never_left = self.upstream.cancel(attempt)
             # The wait for a connection that is not there yet, or takes no more, proves that it never ran.
             proven = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
             self.ended(attempt, proven, None, b"")
 
-    def relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool:
+    def relay(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
         """An answer too large to hold has begun: it is the caller's from now on,
         and neither the attempt's time nor the caller's runs any longer."""
         call = attempt.call
-        if not call.open or not attempt.out or attempt.link is None:
+        if not call.is_open or not attempt.in_flight or attempt.connection is None:
             return False
-        call.relayed, attempt.head_us = attempt, now_us() - attempt.sent
-        self.requests.told(call, answer.status)
+        call.streaming_attempt, attempt.head_us = attempt, now_us() - attempt.sent_us
+        self.requests.record_response(call, answer.status)
         for timer in (call.timer, attempt.timer):
             if timer is not None:
                 timer.cancel()
         call.timer = attempt.timer = None
-        event = Outcome(call.id, attempt.copy, attempt.endpoint, OK, attempt.head_us)
+        event = Outcome(call.id, attempt.index, attempt.endpoint, OK, attempt.head_us)
         self.turns.tell(self.turns.balancer.head, event, call=call)
-        call.relay.begin(answer, length, attempt.link)
+        call.client.begin_response(answer, length, attempt.connection)
         return True
 
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
+    def ended(self, attempt: Attempt, outcome: int, answer: Response | None, load: bytes) -> None:
         """The one outcome of an attempt."""
-        if not attempt.out:
+        if not attempt.in_flight:
             return
-        attempt.out, attempt.outcome = False, outcome
+        attempt.in_flight, attempt.outcome = False, outcome
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
         call = attempt.call
-        self.turns.metrics.ended(outcome, now_us() - attempt.sent)
-        if outcome == OK and answer is not None and call.open:
-            self.requests.answer(call, answer)
-        if call.relayed is attempt and call.open:
-            self.requests.over(call)
-            call.relay.end(outcome == OK)
-        now, over = now_us(), not call.open
+        self.turns.metrics.ended(outcome, now_us() - attempt.sent_us)
+        if outcome == OK and answer is not None and call.is_open:
+            self.requests.send_response(call, answer)
+        if call.streaming_attempt is attempt and call.is_open:
+            self.requests.close(call)
+            call.client.end_response(outcome == OK)
+        now, over = now_us(), not call.is_open
         event = Outcome(
             call.id,
-            attempt.copy,
+            attempt.index,
             attempt.endpoint,
             outcome,
-            attempt.head_us or now - attempt.sent,
+            attempt.head_us or now - attempt.sent_us,
             over,
             self.force.names.report(load),
-            call.upload is not None and call.upload.spent,
+            call.upload is not None and call.upload.partly_sent,
         )
-        if self.unsent is not None and not attempt.wrote:
+        if self.unsent is not None and not attempt.was_written:
             self.unsent(call.id, attempt.endpoint)
         if (observer := self.turns.observer) is not None:
             observer.ended(now, event)
         self.turns.tell(self.turns.balancer.outcome, event, call=call)
-        self.requests.drop(call)
+        self.requests.discard_if_finished(call)
--- a/woadyard/net/auditing.py
+++ b/woadyard/net/auditing.py
@@ -38,7 +38,7 @@
         return discovery.take(told)
 
     def shut_out(out: bool) -> None:
-        server.shut_out = out
+        server.is_shut_out = out
 
     orders = Orders(listed, discovery.again, shut_out, driver.distrust)
     trials = trials_of(driver, orders)
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -33,7 +33,7 @@
 )
 from woadyard.net.attempts import Attempts
 from woadyard.net.discovery import Discovery
-from woadyard.net.message import Answer, Call
+from woadyard.net.message import Call, Response
 from woadyard.net.names import InForce, Names
 from woadyard.net.observe import Listener, Observer, Observers
 from woadyard.net.places import Place, Places
@@ -230,7 +230,7 @@
     # --- Actions ----------------------------------------------------------------------
 
     def _failed(self, call: Call) -> None:
-        self.requests.answer(call, Answer(500))
+        self.requests.send_response(call, Response(500))
 
     def _do(self, action: Action) -> None:
         match action:
@@ -239,7 +239,7 @@
             case Timer(token, delay_us):
                 self.turns.fire(delay_us, token)
             case Refuse(request, after_us):
-                self.requests.refuse(request, after_us)
+                self.requests.reject(request, after_us)
             case Fail(request):
                 self.requests.fail(request)
             case Cancel(request, copy):
--- a/woadyard/net/invariants.py
+++ b/woadyard/net/invariants.py
@@ -1,7 +1,7 @@
 """Run-time checks of the rules: what must never happen is counted at the moment of the act.
 
-The guards (`Balancer._send`, `Attempts.may_start`, `Server.close`) keep the rules by what they know
-beforehand. The checks here come after the act and read the clock anew, so they also see a process that
+The guards (`Balancer._send`, `Attempts.may_start`, `Server.close_connection`) keep the rules by what they
+know beforehand. The checks here come after the act and read the clock anew, so they also see a process that
 was held up between its guard and its write. They change nothing; each violation is counted, logged, and
 shown as `woadyard_invariant_violations` at the door. Times are of the driver's clock, in microseconds.
 """
@@ -47,27 +47,27 @@
         """The first bytes of an attempt were given to the system by now."""
         if not self.places.may_have_started(attempt.endpoint, now - SLACK_US):
             self._violated(Rule.SEND, "the endpoint drains or is gone", attempt)
-        if now > attempt.start_by + SLACK_US:
+        if now > attempt.start_by_us + SLACK_US:
             self._violated(Rule.SEND, "its lease, window or time has run out", attempt)
-        if not attempt.call.open:
+        if not attempt.call.is_open:
             self._violated(Rule.START, "the request has its answer", attempt)
-        if attempt.until > attempt.call.expires + DEADLINE_SLACK_US:
+        if attempt.timeout_at_us > attempt.call.expires_us + DEADLINE_SLACK_US:
             self._violated(Rule.START, "it is given more time than the client has left", attempt)
         if why := self._repeated(attempt, now):
             self._violated(Rule.REPEAT, why, attempt)
 
     def closed(self, call: Call | None) -> None:
         """This process ends a connection whose client is there, with this request read and unanswered."""
-        if call is not None and call.open:
+        if call is not None and call.is_open:
             self._count(Rule.CLOSE, "a request that was read has no answer", request=call.id)
 
     def _repeated(self, attempt: Attempt, now: int) -> str:
         """Why an attempt is a repeat that the rules forbid; empty where it is none."""
         settings, call = self.force.settings, attempt.call
-        before = [one for one in call.attempts[: attempt.copy] if one.wrote]
-        if attempt.copy >= settings.max_attempts:
+        before = [one for one in call.attempts[: attempt.index] if one.was_written]
+        if attempt.index >= settings.max_attempts:
             return "more attempts than allowed"
-        if not settings.second_copies and any(one.out for one in before):
+        if not settings.second_copies and any(one.in_flight for one in before):
             return "an earlier attempt is still out"
         cls = settings.classes[call.cls]
         proofs = NEVER_RAN - {FULL} if settings.full_unproven else NEVER_RAN
@@ -76,11 +76,11 @@
             return ""
         if cls.effect != KEYED:
             return "an earlier attempt may have run"
-        late = now > maybe.sent + cls.window_us + SLACK_US
+        late = now > maybe.sent_us + cls.window_us + SLACK_US
         return "the window for repeats is over" if late else ""
 
     def _violated(self, rule: Rule, why: str, attempt: Attempt) -> None:
-        self._count(rule, why, request=attempt.call.id, copy=attempt.copy, endpoint=attempt.endpoint)
+        self._count(rule, why, request=attempt.call.id, copy=attempt.index, endpoint=attempt.endpoint)
 
     def _count(self, rule: Rule, why: str, **fields: int) -> None:
         self.counts[rule] += 1
--- a/woadyard/net/link.py
+++ b/woadyard/net/link.py
@@ -15,17 +15,17 @@
 
 from woadyard.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from woadyard.net.message import (
-    HEAD_MAX,
-    HOLD_MAX,
     LAST_CHUNK,
-    Answer,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
     Attempt,
     FramingError,
     Headers,
+    Response,
     Upload,
-    chunk,
-    framing,
-    pass_on,
+    encode_chunk,
+    end_to_end_headers,
+    parse_framing,
 )
 
 
@@ -40,8 +40,8 @@
     def may_start(self, attempt: Attempt, now: int) -> bool: ...
     @property
     def written(self) -> Callable[[Attempt, int], None]: ...
-    def relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool: ...
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None: ...
+    def relay(self, attempt: Attempt, answer: Response, length: int | None) -> bool: ...
+    def ended(self, attempt: Attempt, outcome: int, answer: Response | None, load: bytes) -> None: ...
     def gone(self, link: Link) -> None: ...
     def arm(self, since: float) -> None: ...
 
@@ -129,12 +129,12 @@
     def pause_writing(self) -> None:
         self.unwritten = True
         if self.upload is not None:
-            self.upload.hold(True)
+            self.upload.set_paused(True)
 
     def resume_writing(self) -> None:
         self.unwritten = self.upload is not None
         if self.upload is not None:
-            self.upload.hold(False)
+            self.upload.set_paused(False)
 
     def write(self) -> None:
         attempt, transport = self.attempt, self.transport
@@ -149,7 +149,7 @@
             return
         self.upload = attempt.call.upload
         self.unwritten = self.upload is not None
-        attempt.wrote = True
+        attempt.was_written = True
         transport.write(request_bytes(attempt, now))
         self.owner.written(attempt, self.owner.now())
         if self.upload is not None:
@@ -157,11 +157,11 @@
         if transport.is_closing():
             self.unwritten = True  # the first write failed: nothing left
 
-    def load_part(self, data: bytes) -> None:
+    def send_body_part(self, data: bytes) -> None:
         assert self.transport is not None and self.upload is not None
-        self.transport.write(data if self.upload.length is not None else chunk(data))
+        self.transport.write(data if self.upload.length is not None else encode_chunk(data))
 
-    def load_end(self) -> None:
+    def end_body(self) -> None:
         assert self.transport is not None and self.upload is not None
         chunked, self.upload = self.upload.length is None, None
         if chunked:
@@ -208,7 +208,7 @@
         self._end(NO_CONNECT if self.unwritten and not self.relaying else RESET)
         del self.parser  # it holds the link in turn
 
-    def _end(self, outcome: int, answer: Answer | None = None) -> None:
+    def _end(self, outcome: int, answer: Response | None = None) -> None:
         self.unload()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
@@ -244,9 +244,9 @@
                 return
         if self.whole:
             self._finish()
-        elif self.fed > HEAD_MAX:  # a head, or trailers, that the parser would gather without an end
+        elif self.fed > MAX_HEAD_BYTES:  # a head, or trailers, that the parser would gather without an end
             self._fail()
-        elif self.size > HOLD_MAX and not self.relaying:
+        elif self.size > MAX_BUFFERED_BODY_BYTES and not self.relaying:
             self._finish()  # no answer to pass on: the rest of it tells nothing
 
     def _fail(self) -> None:
@@ -271,9 +271,9 @@
     def on_headers_complete(self) -> None:
         status = self.parser.get_status_code()
         if status >= 200:
-            self.length, self.chunked = framing(self.headers)
+            self.length, self.chunked = parse_framing(self.headers)
             self.status = status
-            if (self.length or 0) > HOLD_MAX:
+            if (self.length or 0) > MAX_BUFFERED_BODY_BYTES:
                 self._relay()
 
     def on_body(self, data: bytes) -> None:
@@ -281,20 +281,20 @@
         self.fed = 0
         if self.relaying:
             assert self.attempt is not None
-            self.attempt.call.relay.part(data)
+            self.attempt.call.client.send_body_part(data)
         else:
             self.body.append(data)
-            if self.size > HOLD_MAX:
+            if self.size > MAX_BUFFERED_BODY_BYTES:
                 self._relay()
 
     def _relay(self) -> None:
         """Too large to be held whole: from here on it is passed on as it comes."""
         if self.status == 200 and self.attempt is not None:
-            answer = Answer(200, pass_on(self.headers), b"".join(self.body))
+            answer = Response(200, end_to_end_headers(self.headers), b"".join(self.body))
             self.body.clear()
             self.relaying = self.owner.relay(self.attempt, answer, self.length)
 
-    def pace(self, paused: bool) -> None:
+    def set_reading_paused(self, paused: bool) -> None:
         """Read no faster than the caller does."""
         if self.transport is not None and not self.transport.is_closing():
             if paused:
@@ -314,7 +314,9 @@
             outcome = OK
         elif self.status == 200:
             outcome = OK if self.whole else RESET
-            answer = Answer(200, pass_on(self.headers), b"".join(self.body)) if self.whole else None
+            answer = (
+                Response(200, end_to_end_headers(self.headers), b"".join(self.body)) if self.whole else None
+            )
         elif self.whole and self.status in (503, 504) and self.not_run:
             outcome = FULL
         attempt, load = self.attempt, self.load
@@ -333,13 +335,13 @@
     """The head, with the body where that is held whole."""
     call, upload = attempt.call, attempt.call.upload
     # Rounded down: the endpoint must not work on past the sidecar's patience.
-    wait_us = attempt.until - now if upload is None or upload.whole else call.wait_us
+    wait_us = attempt.timeout_at_us - now if upload is None or upload.is_complete else call.timeout_us
     wait = b"X-Deadline-Ms: %d\r\n" % max(1, wait_us // 1000)
     if upload is not None and upload.length is None:
         length = b"Transfer-Encoding: chunked\r\n"
-    elif call.start.startswith(b"GET ") and not call.body and upload is None:
+    elif call.method_and_target.startswith(b"GET ") and not call.body and upload is None:
         length = b""
     else:
         length = b"Content-Length: %d\r\n" % (len(call.body) if upload is None else upload.length or 0)
-    head = call.head + attempt.extra
-    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, head, wait, length, call.body)
+    head = call.header_lines + attempt.extra_headers
+    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.method_and_target, head, wait, length, call.body)
--- a/woadyard/net/asked.py
+++ b/woadyard/net/request_head.py
@@ -9,10 +9,10 @@
 from woadyard.errors import PeerError
 from woadyard.interface import SAFE
 from woadyard.net.driver import Driver
-from woadyard.net.message import Answer, Call, Headers, Relay, pass_on
+from woadyard.net.message import Call, ClientStream, Headers, Response, end_to_end_headers
 
 if TYPE_CHECKING:
-    from woadyard.net.incoming import Incoming
+    from woadyard.net.request_parser import RequestParser
     from woadyard.net.server import Server
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
@@ -29,7 +29,7 @@
         self.status = status
 
 
-def number(headers: dict[bytes, bytes], name: bytes) -> int | None:
+def parse_number(headers: dict[bytes, bytes], name: bytes) -> int | None:
     raw = headers.get(name)
     if raw is None:
         return None
@@ -38,12 +38,12 @@
     return int(raw)
 
 
-def hint(raw: bytes) -> int:
+def parse_cost_hint(raw: bytes) -> int:
     """A guess may be missing or unreadable; that is no reason to refuse."""
     return int(raw) if raw.isdigit() and len(raw) <= 15 else 0
 
 
-def key_of(query: bytes) -> int:
+def parse_key(query: bytes) -> int:
     """The number of what a request is about; 0 = nothing named."""
     for part in query.split(b"&"):
         if part.startswith(b"obj="):
@@ -61,8 +61,8 @@
     return ids[0] if len(ids) == 1 else b""
 
 
-def read_call(
-    driver: Driver, method: bytes, target: bytes, raw: Headers, relay: Relay, answered_by: int
+def parse_call(
+    driver: Driver, method: bytes, target: bytes, raw: Headers, client: ClientStream, responses_due_us: int
 ) -> Call:
     """The request of this head, its body still to be set, with its final answer due no
     later than `answered_by` (driver's µs); BadRequestError where it is none."""
@@ -80,38 +80,39 @@
         raise BadRequestError(405, "the class has the other method")
     if driver.names.keyed[cls] != (b"idempotency-key" in headers):
         raise BadRequestError(400, "Idempotency-Key is missing, or not of the class")
-    wait_ms = number(headers, b"x-deadline-ms")
+    wait_ms = parse_number(headers, b"x-deadline-ms")
     wait_us = driver.settings.classes[cls].deadline_us if wait_ms is None else wait_ms * 1000
     tenant = headers.get(b"x-tenant", b"").decode("latin-1")
     return Call(
         cls=cls,
-        expires=min(driver.now() + wait_us, answered_by),
-        start=method + b" " + target,
-        head=pass_on(raw),
+        expires_us=min(driver.now() + wait_us, responses_due_us),
+        method_and_target=method + b" " + target,
+        header_lines=end_to_end_headers(raw),
         body=b"",
-        relay=relay,
-        wait_us=wait_us,
+        client=client,
+        timeout_us=wait_us,
         tenant=driver.names.tenants.get(tenant, 0),
-        key=key_of(query),
+        key=parse_key(query),
         affinity=headers.get(driver.affinity_header, b"") if driver.affinity_header else b"",
-        work_us=hint(headers.get(b"x-cost-hint", b"")),
-        repeated=headers.get(b"x-retry") == b"1",
+        work_us=parse_cost_hint(headers.get(b"x-cost-hint", b"")),
+        is_retry=headers.get(b"x-retry") == b"1",
     )
 
 
-def ask(server: Server, read: Incoming, relay: Relay) -> Call | Answer:
+def accept_request(server: Server, read: RequestParser, relay: ClientStream) -> Call | Response:
     """What the request that was read asks for, or the answer that it gets at once."""
-    if read.checks_health:
-        return Answer(200 if server.serving else 503)
-    call = read_call(server.driver, read.method, read.target, read.headers, relay, server.answered_by)
-    server.claim(request_id(read.headers), call.expires)
-    call.body = b"".join(read.body)
-    return call if not server.turning_away else server.turn_away()
+    if read.is_health_check:
+        return Response(200 if server.is_ready else 503)
+    call = parse_call(server.driver, read.method, read.target, read.headers, relay, server.responses_due_us)
+    server.claim_request_id(request_id(read.headers), call.expires_us)
+    call.body = b"".join(read.body_parts)
+    return call if not server.rejects_requests else server.reject_request()
 
 
-def final(answer: Answer, keep: bool) -> bytes:
+def serialize_response(answer: Response, keep: bool) -> bytes:
     """A whole answer as it is written."""
     close = b"" if keep else b"Connection: close\r\n"
     return b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n%b" % (
-        answer.status, REASONS.get(answer.status, b""), len(answer.body), answer.head, close, answer.body,
+        answer.status, REASONS.get(answer.status, b""), len(answer.body), answer.header_lines, close,
+        answer.body,
     )  # fmt: skip
--- /dev/null
+++ b/woadyard/net/request_parser.py
@@ -0,0 +1,144 @@
+"""Requests as they are read from one connection: the head, and the body that is held."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+import httptools
+
+from woadyard.net.message import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    FramingError,
+    Headers,
+    parse_framing,
+)
+from woadyard.net.request_head import BadRequestError
+
+READY_PATH = b"/health/ready"
+
+
+class RequestHandler(Protocol):
+    """Whose requests they are; `over` where nothing more is taken."""
+
+    is_closed: bool
+
+    def on_expect_continue(self) -> None:
+        """The caller waits for a word before it sends the body."""
+
+    def on_body_part(self, data: bytes) -> bool:
+        """A part of the body; False where it is to be held."""
+
+    def on_request_complete(self) -> None:
+        """The last byte has come."""
+
+
+class RequestParser:
+    """The request that is being read, or the last one."""
+
+    def __init__(self, reader: RequestHandler) -> None:
+        self.handler = reader
+        self.http_parser = httptools.HttpRequestParser(self)
+        self.bytes_since_request = 0  # bytes since the last whole request
+        self._reset()
+
+    def _reset(self) -> None:
+        self.target = b""
+        self.headers: Headers = []
+        self.body_parts: list[bytes] = []
+        self.body_size = self.head_size = 0
+        self.content_length: int | None = None
+        self.in_body = self.is_reading = False
+
+    def feed(self, data: bytes) -> None:
+        """httptools' errors, and as their cause BadRequestError, on what is no request."""
+        self.bytes_since_request += len(data)
+        self.http_parser.feed_data(data)
+        if not self.in_body and self.bytes_since_request > MAX_HEAD_BYTES:
+            raise BadRequestError(431, "the head is too large")
+
+    def close(self) -> None:
+        del self.http_parser, self.handler  # they hold each other
+
+    @property
+    def method(self) -> bytes:
+        return self.http_parser.get_method()
+
+    @property
+    def wants_keep_alive(self) -> bool:
+        """Whether the caller means to use its connection again."""
+        return self.http_parser.should_keep_alive()
+
+    @property
+    def is_http_10(self) -> bool:
+        """Whether chunks are unknown to the caller."""
+        return self.http_parser.get_http_version() == "1.0"
+
+    @property
+    def is_silent(self) -> bool:
+        """Whether the caller has not brought a byte yet."""
+        return not (self.bytes_since_request or self.target)
+
+    @property
+    def is_health_check(self) -> bool:
+        return self.target.partition(b"?")[0] == READY_PATH
+
+    @property
+    def has_large_body(self) -> bool:
+        """Whether the body that is coming is too large to be held whole."""
+        return self.in_body and max(self.body_size, self.content_length or 0) > MAX_BUFFERED_BODY_BYTES
+
+    def take_body_parts(self) -> list[bytes]:
+        parts, self.body_parts = self.body_parts, []
+        return parts
+
+    def finish_request(self) -> None:
+        """The request is whole."""
+        self.in_body, self.is_reading, self.bytes_since_request = False, False, 0
+
+    # --- Told by httptools ----------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        self._reset()
+        self.is_reading = True
+
+    def on_url(self, url: bytes) -> None:
+        self.target += url
+        self._count_head_bytes(len(url))
+
+    def _count_head_bytes(self, size: int) -> None:
+        self.head_size += size
+        if self.head_size > MAX_HEAD_BYTES:
+            raise BadRequestError(431, "the head is too large")
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        if self.in_body:
+            return  # a trailer: it is not passed on
+        self.headers.append((name, value.strip(b" \t")))  # white space around it is no part of it
+        self._count_head_bytes(len(name) + len(value))
+
+    def on_headers_complete(self) -> None:
+        self.in_body = True
+        try:
+            length, chunked = parse_framing(self.headers)
+        except FramingError as error:
+            raise BadRequestError(501, str(error)) from None
+        if (length or 0) > MAX_BODY_BYTES:
+            raise BadRequestError(413, "the body is too large")
+        self.content_length = None if chunked else length or 0
+        if any(n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self.headers):
+            self.handler.on_expect_continue()
+
+    def on_body(self, data: bytes) -> None:
+        if self.handler.is_closed:
+            return
+        self.body_size += len(data)
+        if self.body_size > MAX_BODY_BYTES:
+            raise BadRequestError(413, "the body is too large")
+        if not self.handler.on_body_part(data):
+            self.body_parts.append(data)
+
+    def on_message_complete(self) -> None:
+        if not self.handler.is_closed:
+            self.handler.on_request_complete()
--- a/woadyard/net/passing.py
+++ b/woadyard/net/streamed_response.py
@@ -4,44 +4,46 @@
 
 import asyncio
 
-from woadyard.net.message import LAST_CHUNK, Carrier, chunk
+from woadyard.net.message import LAST_CHUNK, EndpointStream, encode_chunk
 
 
-class Passing:
+class StreamedResponse:
     """It may stand still for `still_s`, whoever is to blame; then it is broken off."""
 
-    __slots__ = ("chunked", "loop", "moved", "relayed", "source", "still_s", "timer", "transport")
+    __slots__ = (
+        "chunked", "last_checked_bytes", "loop", "relayed", "source", "stall_s", "timer", "transport",
+    )  # fmt: skip
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         transport: asyncio.Transport,
-        source: Carrier,
+        source: EndpointStream,
         chunked: bool,
         still_s: float,
     ) -> None:
         self.loop, self.transport, self.source = loop, transport, source
-        self.chunked, self.still_s = chunked, still_s
-        self.relayed, self.moved = 0, -1  # bytes so far, and by the last look
+        self.chunked, self.stall_s = chunked, still_s
+        self.relayed, self.last_checked_bytes = 0, -1  # bytes so far, and by the last look
         self.timer: asyncio.TimerHandle | None = None
 
-    def part(self, data: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.relayed += len(data)
-            self.transport.write(chunk(data) if self.chunked else data)
+            self.transport.write(encode_chunk(data) if self.chunked else data)
 
-    def look(self) -> None:
+    def check_progress(self) -> None:
         """Look now and then whether it still gets on."""
         gone = self.relayed - self.transport.get_write_buffer_size()
-        if gone != self.moved:
-            self.moved = gone
-            self.timer = self.loop.call_later(self.still_s, self.look)
+        if gone != self.last_checked_bytes:
+            self.last_checked_bytes = gone
+            self.timer = self.loop.call_later(self.stall_s, self.check_progress)
         elif self.transport.get_write_buffer_size():
             self.transport.abort()  # the caller takes nothing
         else:
             self.source.close()
 
-    def end(self, whole: bool = False) -> None:
+    def finish(self, whole: bool = False) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/woadyard/net/turns.py
+++ b/woadyard/net/turns.py
@@ -84,5 +84,5 @@
             # Guards the process and its callers against a fault of the module.
             LOG.exception("fault in the module")
             self.balancer.out.clear()
-            if call is not None and call.open:
+            if call is not None and call.is_open:
                 self.failed(call)
--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -10,7 +10,7 @@
 
 from woadyard.interface import MOOT, NO_CONNECT
 from woadyard.net.link import Link, Pool
-from woadyard.net.message import READ_SIZE, Answer, Attempt
+from woadyard.net.message import READ_SIZE, Attempt, Response
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
 # against a request that crosses the endpoint's own close.
@@ -18,7 +18,7 @@
 # Where the settings name none.
 IDLE_DEFAULT_US, CONNECT_DEFAULT_US = 10_000_000, 1_000_000
 
-Ended = Callable[[Attempt, int, Answer | None, bytes], None]
+Ended = Callable[[Attempt, int, Response | None, bytes], None]
 
 
 class Upstream:
@@ -40,7 +40,7 @@
         self.retune(0, 0)
         self.buffer = memoryview(bytearray(READ_SIZE))  # one read at a time, whoever reads
         self.ended: Ended = lambda *_: None
-        self.relay: Callable[[Attempt, Answer, int | None], bool] = lambda *_: False
+        self.relay: Callable[[Attempt, Response, int | None], bool] = lambda *_: False
         self.may_start: Callable[[Attempt, int], bool] = lambda *_: True
         self.written: Callable[[Attempt, int], None] = lambda *_: None  # checks what was sent
 
@@ -73,7 +73,7 @@
             link = pool.idle.pop()
             # The sweep may be late on a loaded machine.
             if self.loop.time() - link.idle_since < self.idle_s and link.quiet():
-                link.attempt, attempt.link = attempt, link
+                link.attempt, attempt.connection = attempt, link
                 link.write()
                 return
             link.close()
@@ -88,7 +88,7 @@
         if len(self.links) + self.others() >= self.most:
             self.ended(attempt, MOOT, None, b"")  # for want of a socket: no endpoint's fault
             return
-        link = attempt.link = Link(self, pool, attempt)
+        link = attempt.connection = Link(self, pool, attempt)
         self.links.add(link)
         link.open()
 
@@ -103,9 +103,9 @@
     def cancel(self, attempt: Attempt) -> bool:
         """Stop waiting for an attempt: the endpoint sees its connection close. Whether
         its last byte had not left by then, and so never will."""
-        link, attempt.link = attempt.link, None
+        link, attempt.connection = attempt.connection, None
         if not isinstance(link, Link) or link.attempt is not attempt:
-            return not attempt.wrote
+            return not attempt.was_written
         link.attempt = None
         link.unload()
         link.close()
