--- a/benchmarks/discovery_watch.py
+++ b/benchmarks/discovery_watch.py
@@ -68,7 +68,7 @@
             for n in range(WATCHERS)
         ]  # fmt: skip
         for one in self.clients:
-            one.watch(True)
+            one.set_watch(True)
 
     def hears(self, n: int) -> Any:
         def listen(version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -73,7 +73,7 @@
         loop = asyncio.get_running_loop()
         self.discovery = Discovery(loop, first[0], PATH, True, self.listen, random.Random(seed))
         self.discovery.replicas = first
-        self.discovery.watch(True)
+        self.discovery.set_watch(True)
 
     def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         now, names = time.perf_counter(), {one["instanceId"] for one in entries}
@@ -134,7 +134,7 @@
 
     async def answered() -> float:
         while not await client.write("PUT", f"{PATH}/{name}?ttl_ms=3600000", ENTRY, lambda told: None):
-            await asyncio.sleep(client.backoff.next_s())
+            await asyncio.sleep(client.backoff.next_delay_s())
         return time.perf_counter() - began
 
     leads_s, answered_s = await asyncio.gather(leads(), answered())
@@ -154,7 +154,7 @@
         await service.start()
         client = ListWriter(",".join(f"127.0.0.1:{port}" for port in service.ports), random.Random(size))
         while not await client.write("PUT", f"{PATH}/leased?ttl_ms={LEASE_MS}", ENTRY, lambda told: None):
-            await asyncio.sleep(client.backoff.next_s())
+            await asyncio.sleep(client.backoff.next_delay_s())
         tasks.append(asyncio.create_task(client.keep(0.5, lambda: ("POST", f"{PATH}/leased/renew", {}))))
         watchers = [Watcher(service.ports, seed) for seed in range(size)]
         while not all("leased" in one.told for one in watchers):
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -29,8 +29,8 @@
 from woadyard.interface import LIST_DELTA, Send
 from woadyard.lists.service import PATH
 from woadyard.net.discovery import Discovery
+from woadyard.net.list_stream import LIST_DECODER
 from woadyard.net.reporter import Orders, Reporter, now_us
-from woadyard.net.stream import LISTS
 from woadyard.standins.lease import Lease
 
 ATTEMPT_S, LOOK_S = 1.0, 0.005
@@ -84,9 +84,11 @@
         self.discovery = self._discovery()
         self.lease = Renewals(plan, names.entry(n), tally)
         self.keeping: asyncio.Task[None] | None = None
-        orders = Orders(self._whole, lambda: self.discovery.again(), lambda out: None, lambda out: None)
+        orders = Orders(
+            self._whole, lambda: self.discovery.restart_watch(), lambda out: None, lambda out: None
+        )
         self.reporter = Reports(
-            AuditSettings(self.service), names.sidecar(n), BUILD, lambda: self.discovery.telling, orders,
+            AuditSettings(self.service), names.sidecar(n), BUILD, lambda: self.discovery.latest_term, orders,
             self.rng,
         )  # fmt: skip
         self.reporter.tally, self.reporter.first_sent = tally, {}
@@ -103,17 +105,17 @@
 
     def _whole(self, raw: bytes) -> bool:
         try:
-            told = LISTS.decode(raw)
+            told = LIST_DECODER.decode(raw)
         except msgspec.DecodeError as error:
             raise PeerError(f"no list: {error}") from None
-        return self.discovery.take(told)
+        return self.discovery.receive(told)
 
     def begin(self) -> None:
         """Its watch anew, and without a list, as of a process that starts."""
         self.discovery.close()
         self.version = 0
         self.discovery = self._discovery()
-        self.discovery.watch(True)
+        self.discovery.set_watch(True)
 
     def keep(self, wait_s: float) -> None:
         async def keep() -> None:
@@ -160,7 +162,7 @@
             return Reply(await self._lease())
         if order.do == talk.WATCH:
             for one in self.sidecars:
-                one.discovery.watch(True)
+                one.discovery.set_watch(True)
         elif order.do == talk.REPORT:
             for one in self.sidecars:
                 self.task(one.report())
--- a/tests/crowded_registry.py
+++ b/tests/overloaded_registry.py
@@ -11,35 +11,35 @@
 
 QUEUE_S = 2.0  # a call waits so long in the queue before it is turned away
 HEARTBEAT_S = 0.5
-REFUSAL = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @dataclass
-class CrowdedRegistry(Listener):
+class OverloadedRegistry(Listener):
     """While `crowded`, it resets its watches and answers each call 503 after `QUEUE_S`."""
 
     entries: list[dict[str, Any]] = field(default_factory=list)
     generation: int = 5
-    crowded: bool = False
+    is_overloaded: bool = False
     watches: set[Writer] = field(default_factory=set)
-    told: asyncio.Event = field(default_factory=asyncio.Event)
-    refused: int = 0
+    list_sent: asyncio.Event = field(default_factory=asyncio.Event)
+    rejected: int = 0
 
-    def crowd(self) -> None:
-        self.crowded = True
+    def overload(self) -> None:
+        self.is_overloaded = True
         for writer in self.watches:
             writer.transport.abort()
 
-    def heal(self, *entries: dict[str, Any]) -> None:
+    def recover(self, *entries: dict[str, Any]) -> None:
         """Answers again, with this list."""
-        self.entries, self.generation, self.crowded = list(entries), self.generation + 1, False
-        self.told.clear()
+        self.entries, self.generation, self.is_overloaded = list(entries), self.generation + 1, False
+        self.list_sent.clear()
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await read_message(reader)
-            if self.crowded:
+            if self.is_overloaded:
                 await self._refuse(writer)
             else:
                 await self._watch(writer)
@@ -48,15 +48,15 @@
 
     async def _refuse(self, writer: Writer) -> None:
         await asyncio.sleep(QUEUE_S)
-        self.refused += 1
-        writer.write(REFUSAL)
+        self.rejected += 1
+        writer.write(REJECTION)
         await writer.drain()
 
     async def _watch(self, writer: Writer) -> None:
         self.watches.add(writer)
         writer.write(HEAD)
         push(writer, self.generation, True, *self.entries)
-        self.told.set()
+        self.list_sent.set()
         while not writer.transport.is_closing():
             await asyncio.sleep(HEARTBEAT_S)
             push_raw(writer, b"\n")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -218,9 +218,9 @@
         now = one.driver.now()
         assert one.driver.attempts.may_start(attempt, now)
         assert not one.driver.attempts.may_start(attempt, call.expires)
-        place.left_at = now - 349_000  # of 500 ms: a process may be held up for the last 150
+        place.removed_at_us = now - 349_000  # of 500 ms: a process may be held up for the last 150
         assert one.driver.attempts.may_start(attempt, now)
-        place.left_at = now - 350_000
+        place.removed_at_us = now - 350_000
         assert not one.driver.attempts.may_start(attempt, now)
         link = attempt.link
         assert isinstance(link, Link)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,38 +15,38 @@
 
 from tests.sockets import Endpoint, Registry, push, read_message, request, run, sidecar
 from woadyard.errors import PeerError
-from woadyard.net.discovery import LOST, Discovery
-from woadyard.net.lines import Objects
+from woadyard.net.discovery import LOST_MESSAGE, Discovery
+from woadyard.net.json_stream import JsonStreamDecoder
+from woadyard.net.list_stream import LIST_DECODER, Stream, StreamFailure
 from woadyard.net.state import endpoint_number
-from woadyard.net.stream import LISTS, CallEnd, Stream
 
 
-class Clock:
+class FakeLoop:
     """Of a loop, its clock and its timers alone."""
 
     def __init__(self) -> None:
-        self.now, self.due = 0.0, list[tuple[float, Callable[..., object], tuple[Any, ...]]]()
+        self.now, self.timers = 0.0, list[tuple[float, Callable[..., object], tuple[Any, ...]]]()
 
     def time(self) -> float:
         return self.now
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> None:
-        self.due.append((self.now + delay, callback, args))
+        self.timers.append((self.now + delay, callback, args))
 
     def create_task(self, coro: Coroutine[Any, Any, None]) -> Mock:
         coro.close()  # nothing is connected: the test feeds the stream
         return Mock()
 
-    def go_to(self, end: float) -> None:
-        while (due := min(self.due, key=lambda one: one[0], default=None)) and due[0] <= end:
-            self.due.remove(due)
+    def advance_to(self, end: float) -> None:
+        while (due := min(self.timers, key=lambda one: one[0], default=None)) and due[0] <= end:
+            self.timers.remove(due)
             self.now = due[0]
             due[1](*due[2])
         self.now = end
 
 
-def asked(clock: Clock, discovery: Discovery) -> Stream:
-    discovery.watch(True)
+def open_watch(clock: FakeLoop, discovery: Discovery) -> Stream:
+    discovery.set_watch(True)
     assert discovery.stream is not None
     discovery.stream.connection_made(Mock())
     discovery.stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -54,38 +54,38 @@
 
 
 def test_a_watch_that_missed_a_line_is_given_up_before_the_next() -> None:
-    clock, failed = Clock(), list[float]()
+    clock, failed = FakeLoop(), list[float]()
     loop = cast(asyncio.AbstractEventLoop, clock)
     discovery = Discovery(loop, "127.0.0.1:1", "/list", False, lambda *_: None, Random(1))
     discovery.on_failed = lambda: failed.append(clock.now)
-    stream = asked(clock, discovery)
+    stream = open_watch(clock, discovery)
     for beat in (2.0, 4.0, 6.0):
-        clock.go_to(beat)
+        clock.advance_to(beat)
         stream.data_received(b"1\r\n\n\r\n")
     assert not failed
-    clock.go_to(20.0)
+    clock.advance_to(20.0)
     assert len(failed) == 1 and 8.0 < failed[0] <= 9.0
 
 
 def test_a_call_that_is_never_answered_is_given_up_in_time() -> None:
-    clock, failed = Clock(), list[float]()
+    clock, failed = FakeLoop(), list[float]()
     loop = cast(asyncio.AbstractEventLoop, clock)
     discovery = Discovery(loop, "127.0.0.1:1", "/list", False, lambda *_: None, Random(1))
     discovery.on_failed = lambda: failed.append(clock.now)
     discovery.fetch()
-    clock.go_to(20.0)
+    clock.advance_to(20.0)
     assert len(failed) == 1 and failed[0] <= 3.0
 
 
 INDENTED = json.dumps(
     {"generation": 44, "reset": True, "instances": [{"instanceId": 's-"}]\\', "hostPort": "a:1"}]}, indent=2
 ).encode()
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @pytest.mark.parametrize("watch", [True, False])
 def test_an_indented_list_is_read_on_a_watch_and_in_an_answer(watch: bool) -> None:
-    clock, lists = Clock(), list[tuple[Any, ...]]()
+    clock, lists = FakeLoop(), list[tuple[Any, ...]]()
     loop = cast(asyncio.AbstractEventLoop, clock)
     discovery = Discovery(loop, "127.0.0.1:1", "/list", True, lambda *told: lists.append(told), Random(1))
     stream = Stream(discovery, "/list", watch)
@@ -93,10 +93,10 @@
     lines = INDENTED + b"\n\n" + INDENTED.replace(b"44", b"45") + b"\n" if watch else INDENTED
     for at in range(0, len(lines), 7):
         part = lines[at : at + 7]
-        stream.data_received((HEAD if not at else b"") + b"%x\r\n%b\r\n" % (len(part), part))
+        stream.data_received((CHUNKED_HEAD if not at else b"") + b"%x\r\n%b\r\n" % (len(part), part))
     stream.data_received(b"0\r\n\r\n")
     assert [told[:2] for told in lists] == ([(44, True), (45, True)] if watch else [(44, True)])
-    assert lists[0][2] == json.loads(INDENTED)["instances"] and stream.done
+    assert lists[0][2] == json.loads(INDENTED)["instances"] and stream.is_done
 
 
 @pytest.mark.parametrize(
@@ -104,22 +104,22 @@
 )
 def test_what_is_no_list_is_told_at_once(lines: bytes) -> None:
     with pytest.raises(PeerError):
-        objects = Objects(LISTS)
+        objects = JsonStreamDecoder(LIST_DECODER)
         objects.feed(lines)
-        list(objects.whole())
+        list(objects.read_objects())
 
 
 def test_copies_that_lost_their_watches_together_ask_again_apart() -> None:
-    clock = Clock()
+    clock = FakeLoop()
     loop = cast(asyncio.AbstractEventLoop, clock)
     times = []
     for seed in range(40):
         discovery = Discovery(loop, "127.0.0.1:1", "/list", True, lambda *_: None, Random(seed))
-        stream = asked(clock, discovery)
-        clock.due.clear()
+        stream = open_watch(clock, discovery)
+        clock.timers.clear()
         for _ in range(3):
             stream.connection_lost(None)
-            again, callback, args = clock.due.pop()
+            again, callback, args = clock.timers.pop()
             callback(*args)
             assert discovery.stream is not None
             stream = discovery.stream
@@ -197,7 +197,7 @@
         registry = Registry()
         async with listener, sidecar(Endpoint(), registry=registry) as one:
             assert one.driver.discovery is not None
-            one.driver.discovery.move(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
+            one.driver.discovery.change_address(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
             await again.wait()
             assert "from=41 " in asked[1], "nothing of it was taken"
             assert (await one.ask(request())).body == b"ok"
@@ -215,16 +215,16 @@
         async with sidecar(Endpoint(), registry=registry) as one:
             discovery = one.driver.discovery
             assert discovery is not None
-            monkeypatch.setattr("woadyard.net.discovery.FIRST_LIST_S", 0.01)
-            await discovery.first()
-            assert not discovery.told.is_set(), "discovery may be down"
-            monkeypatch.setattr("woadyard.net.discovery.FIRST_LIST_S", 60.0)
-            waiting = asyncio.create_task(discovery.first())
+            monkeypatch.setattr("woadyard.net.discovery.PUSH_FIRST_LIST_TIMEOUT_S", 0.01)
+            await discovery.wait_for_first_list()
+            assert not discovery.list_received.is_set(), "discovery may be down"
+            monkeypatch.setattr("woadyard.net.discovery.PUSH_FIRST_LIST_TIMEOUT_S", 60.0)
+            waiting = asyncio.create_task(discovery.wait_for_first_list())
             _, watch = await registry.asked.get()
             assert not waiting.done()
             push(watch, 42, True)
             await waiting
-            assert not one.driver.listing.ready()
+            assert not one.driver.listing.ready_numbers()
 
     run(main())
 
@@ -237,8 +237,8 @@
             with socket.socket() as held:  # bound, and refusing: it does not listen
                 held.bind(("127.0.0.1", 0))
                 assert one.driver.discovery is not None
-                one.driver.discovery.move(f"127.0.0.1:{held.getsockname()[1]}")
-                while (backoff := one.driver.discovery.backoff).limit_s < backoff.most_s:
+                one.driver.discovery.change_address(f"127.0.0.1:{held.getsockname()[1]}")
+                while (backoff := one.driver.discovery.backoff).ceiling_s < backoff.max_s:
                     await asyncio.sleep(0.01)
                 assert (await one.ask(request())).body == b"ok", "by the list held"
                 held.listen()
@@ -268,8 +268,8 @@
             discovery = one.driver.discovery
             assert discovery is not None
             await registry.asked.get()
-            discovery.move(f"127.0.0.1:{other.port}")
-            discovery.move(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
+            discovery.change_address(f"127.0.0.1:{other.port}")
+            discovery.change_address(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
             await asked.wait()
             assert len(opened) == 1 and other.asked.empty()
             discovery.close()
@@ -281,27 +281,27 @@
 @pytest.mark.parametrize(
     ("data", "end"),
     [
-        (b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", CallEnd.STATUS),
-        (HEAD + b'5\r\n{"a"\n\r\n0\r\n\r\n', CallEnd.MALFORMED),
-        (HEAD + b"0\r\n\r\n", CallEnd.CLOSED),
-        (b"garbage\r\n\r\n", CallEnd.MALFORMED),
-        (b"", CallEnd.SILENT),
+        (b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", StreamFailure.STATUS),
+        (CHUNKED_HEAD + b'5\r\n{"a"\n\r\n0\r\n\r\n', StreamFailure.MALFORMED),
+        (CHUNKED_HEAD + b"0\r\n\r\n", StreamFailure.CLOSED),
+        (b"garbage\r\n\r\n", StreamFailure.MALFORMED),
+        (b"", StreamFailure.SILENT),
     ],
 )
 def test_the_end_of_a_call_is_logged_with_its_reason(
-    data: bytes, end: CallEnd, caplog: pytest.LogCaptureFixture
+    data: bytes, end: StreamFailure, caplog: pytest.LogCaptureFixture
 ) -> None:
-    clock = Clock()
+    clock = FakeLoop()
     loop = cast(asyncio.AbstractEventLoop, clock)
     discovery = Discovery(loop, "127.0.0.1:1", "/list", False, lambda *_: None, Random(1))
     with caplog.at_level(logging.DEBUG, logger="woadyard.net.discovery"):
-        discovery.watch(True)
+        discovery.set_watch(True)
         assert discovery.stream is not None
         discovery.stream.connection_made(Mock())
         if data:
             discovery.stream.data_received(data)
-        clock.go_to(3.0)
+        clock.advance_to(3.0)
     ended = [record for record in caplog.records if record.getMessage() == "discovery call ended"]
     assert [record.__dict__["reason"] for record in ended] == [end]
-    lost = [record for record in caplog.records if record.getMessage() == LOST]
+    lost = [record for record in caplog.records if record.getMessage() == LOST_MESSAGE]
     assert [record.__dict__["reason"] for record in lost] == [end]
--- a/tests/test_discovery_crowd.py
+++ b/tests/test_discovery_overload.py
@@ -20,11 +20,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.test_discovery import HEAD
-from tests.test_discovery_chains import FAILED, PERIODS, Chain, Event, hanging, settings_of
+from tests.test_discovery import CHUNKED_HEAD
+from tests.test_discovery_failures import (
+    FAST_FAILURES,
+    PERIODS_S,
+    CallOutcome,
+    SimulatedSidecar,
+    connect_timeout,
+    settings_of,
+)
 from woadyard.net.discovery import Discovery
 from woadyard.net.driver import Driver
-from woadyard.net.stream import Stream
+from woadyard.net.list_stream import Stream
 from woadyard.net.upstream import Upstream
 from woadyard.wire import read_settings
 
@@ -69,7 +76,7 @@
             self._serve()
 
     def _refuse(self, stream: Stream) -> None:
-        if not stream.done and not stream.status:
+        if not stream.is_done and not stream.status:
             stream.data_received(b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy")
 
     def _serve(self) -> None:
@@ -79,14 +86,14 @@
 
     def _served(self, stream: Stream) -> None:
         self.busy = False
-        if not stream.done:
+        if not stream.is_done:
             line = b'{"generation": 1, "reset": false, "instances": []}\n'
-            stream.data_received(HEAD + b"%x\r\n%b\r\n" % (len(line), line))
+            stream.data_received(CHUNKED_HEAD + b"%x\r\n%b\r\n" % (len(line), line))
             self._beat(stream)
         self._serve()
 
     def _beat(self, stream: Stream) -> None:
-        if not stream.done:
+        if not stream.is_done:
             stream.data_received(b"1\r\n\n\r\n")
             self.world.call_later(2.0, self._beat, stream)
 
@@ -118,7 +125,7 @@
 
     def _connect(self) -> None:
         stream = self.discovery.stream
-        if stream is not None and stream.transport is None and not stream.done:
+        if stream is not None and stream.transport is None and not stream.is_done:
             stream.connection_made(Mock())
             self.service.call(stream)
 
@@ -127,7 +134,7 @@
         self.told.append(self.world.now)
 
     def lose(self) -> None:
-        if (stream := self.discovery.stream) is not None and not stream.done:
+        if (stream := self.discovery.stream) is not None and not stream.is_done:
             stream.connection_lost(ConnectionResetError())
 
 
@@ -184,7 +191,7 @@
     assert max(sum(at <= other < at + 0.01 for other in calls) for at in calls) <= 8
 
 
-def queued(chain: Chain, stream: Stream) -> None:
+def queued(chain: SimulatedSidecar, stream: Stream) -> None:
     """Turned away after its wait in a crowd."""
     stream.connection_made(Mock())
     chain.call_later(LIMIT_S, stream.data_received, b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy")
@@ -192,40 +199,40 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(
-    period_s=st.sampled_from(PERIODS),
-    slow=st.sampled_from([None, hanging]),
-    refusal=st.sampled_from([None, *FAILED]),
+    period_s=st.sampled_from(PERIODS_S),
+    slow=st.sampled_from([None, connect_timeout]),
+    refusal=st.sampled_from([None, *FAST_FAILURES]),
     first=st.booleans(),
     seed=st.one_of(st.none(), st.integers(0, 1_000)),
 )
 def test_any_chain_of_silence_connect_refusal_and_waits_ends_in_time(
-    period_s: float, slow: Event | None, refusal: Event | None, first: bool, seed: int | None
+    period_s: float, slow: CallOutcome | None, refusal: CallOutcome | None, first: bool, seed: int | None
 ) -> None:
     """What a silent watch missed binds after 6 s; the waits as drawn, or the longest there are."""
     with pytest.MonkeyPatch.context() as monkeypatch:
-        chain = Chain(monkeypatch, period_s)
+        chain = SimulatedSidecar(monkeypatch, period_s)
         if seed is not None:
             chain.driver.balancer.ctx.rng = Random(seed)
             chain.discovery.rng = chain.discovery.backoff.rng = Random(seed)
-        chain.after()
+        chain.seconds_until_list()
         events = [one for one in ((slow, refusal) if first else (refusal, slow)) if one is not None]
-        assert chain.after(*events) <= 5.3
+        assert chain.seconds_until_list(*events) <= 5.3
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(
-    period_s=st.sampled_from(PERIODS),
-    before=st.lists(st.sampled_from([*FAILED, hanging, queued]), min_size=1, max_size=12),
-    refusal=st.sampled_from([None, *FAILED]),
+    period_s=st.sampled_from(PERIODS_S),
+    before=st.lists(st.sampled_from([*FAST_FAILURES, connect_timeout, queued]), min_size=1, max_size=12),
+    refusal=st.sampled_from([None, *FAST_FAILURES]),
 )
 def test_after_any_outage_a_call_begun_too_soon_and_a_refusal_the_list_is_there_in_time(
-    period_s: float, before: list[Event], refusal: Event | None
+    period_s: float, before: list[CallOutcome], refusal: CallOutcome | None
 ) -> None:
     """Discovery can be reached again just after the last of these was begun."""
     with pytest.MonkeyPatch.context() as monkeypatch:
-        chain = Chain(monkeypatch, period_s)
-        chain.after()
-        chain.events = list(before)
-        while chain.events:
-            chain.go_to(chain.now + 0.01)
-        assert chain.after(*[refusal] if refusal else []) <= 4.9
+        chain = SimulatedSidecar(monkeypatch, period_s)
+        chain.seconds_until_list()
+        chain.outcomes = list(before)
+        while chain.outcomes:
+            chain.advance_to(chain.now + 0.01)
+        assert chain.seconds_until_list(*[refusal] if refusal else []) <= 4.9
--- a/tests/test_listing.py
+++ b/tests/test_endpoint_lists.py
@@ -61,7 +61,7 @@
     endpoint = Endpoint()
     async with sidecar(endpoint) as one:
         wall = 1_700_000_000_000_000
-        one.driver.listing.clock.wall_us = lambda: wall
+        one.driver.listing.wall_clock.read_wall_us = lambda: wall
         started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
         before = Driver.now()
         one.told(started)
@@ -153,7 +153,7 @@
     registry = Registry()
     async with sidecar(Endpoint(), registry=registry) as one:
         assert one.driver.discovery is not None
-        one.driver.discovery.silent_s = 0.05
+        one.driver.discovery.silence_timeout_s = 0.05
         await registry.asked.get()
         start, _ = await registry.asked.get()
         assert "from=41 " in start
@@ -190,7 +190,7 @@
     async with sidecar(endpoint) as one:
         one.told()
         (place,) = one.driver.places.values()
-        assert place.left_at is not None, "kept for the grace"
-        place.left_at -= 500_000
+        assert place.removed_at_us is not None, "kept for the grace"
+        place.removed_at_us -= 500_000
         one.told(whole=False)
         assert not one.driver.places and not one.upstream.pools
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,9 +9,9 @@
 
 from tests.sockets import Endpoint, Message, Sidecar, Writer, answer, on_loop, request, sidecar
 from woadyard.interface import FULL, RESET
+from woadyard.net.endpoint_table import MAX_STALL_US
 from woadyard.net.invariants import SLACK_US, Rule
 from woadyard.net.message import Attempt, Call
-from woadyard.net.places import HELD_UP_US
 
 MS = 1_000
 
@@ -55,7 +55,7 @@
         checks.written(attempt_of(one, call_of(one, "page"), start_by=now), now + SLACK_US + 1)
         assert checks.counts == {Rule.SEND: 1}
         place = one.driver.places[attempt.endpoint]
-        place.left_at = now
+        place.removed_at_us = now
         grace = one.driver.force.drain_grace_us
         checks.written(attempt, now + grace)
         assert checks.counts == {Rule.SEND: 1}
@@ -119,7 +119,7 @@
     async with sidecar(Endpoint()) as one:
         listing = one.driver.listing
         number, place = next(iter(listing.by_number.items()))
-        place.left_at, grace = 0, one.driver.force.drain_grace_us
-        assert listing.may_start(number, grace - HELD_UP_US - 1)
-        assert not listing.may_start(number, grace - HELD_UP_US)
+        place.removed_at_us, grace = 0, one.driver.force.drain_grace_us
+        assert listing.may_start(number, grace - MAX_STALL_US - 1)
+        assert not listing.may_start(number, grace - MAX_STALL_US)
         assert listing.may_have_started(number, grace - 1) and not listing.may_have_started(number, grace)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -12,10 +12,16 @@
 
 from tests.helpers import MS, SECOND, SETTINGS, Driver, fleet, sends
 from tests.process import free_port
-from tests.test_discovery_chains import Chain, busy, hanging, reset, unanswered
+from tests.test_discovery_failures import (
+    SimulatedSidecar,
+    connect_timeout,
+    connection_reset,
+    no_response,
+    status_503,
+)
 from woadyard.interface import LIST_CACHED, LIST_FAILED, LIST_FULL, MOOT, OK, Arrival, Outcome, Refuse
 from woadyard.net.discovery import Discovery
-from woadyard.net.stream import CallEnd, Stream
+from woadyard.net.list_stream import Stream, StreamFailure
 from woadyard.policy import Balancer
 from woadyard.policy.lease import (
     ANSWER_LEASE_US,
@@ -161,13 +167,13 @@
                 now += MS
 
 
-def expires_s(chain: Chain) -> float:
+def expires_s(chain: SimulatedSidecar) -> float:
     return chain.driver.balancer.ctx.lease.expires / 1e6
 
 
-def beating(chain: Chain) -> Stream:
+def beating(chain: SimulatedSidecar) -> Stream:
     """The watch of a chain that has told its list."""
-    chain.after()
+    chain.seconds_until_list()
     stream = chain.discovery.stream
     assert stream is not None
     return stream
@@ -177,32 +183,32 @@
 def test_each_heartbeat_of_the_watch_renews_the_lease(
     monkeypatch: pytest.MonkeyPatch, period_s: float
 ) -> None:
-    chain = Chain(monkeypatch, period_s)
+    chain = SimulatedSidecar(monkeypatch, period_s)
     stream = beating(chain)
     for _ in range(10):
-        chain.go_to(chain.now + 2.0)
+        chain.advance_to(chain.now + 2.0)
         stream.data_received(HEARTBEAT)
         assert expires_s(chain) == pytest.approx(chain.now + LEASE_US / 1e6, abs=1e-3)
 
 
 @pytest.mark.parametrize("piece", [b"1\r\n \r\n", b"2\r\n{\n\r\n", b""])
 def test_bytes_that_are_no_whole_line_renew_nothing(monkeypatch: pytest.MonkeyPatch, piece: bytes) -> None:
-    chain = Chain(monkeypatch, 3.0)
+    chain = SimulatedSidecar(monkeypatch, 3.0)
     stream = beating(chain)
     before = expires_s(chain)
-    chain.go_to(chain.now + 1.0)
+    chain.advance_to(chain.now + 1.0)
     if piece:
         stream.data_received(piece)
     assert expires_s(chain) == before
 
 
 def test_heartbeats_before_the_list_renew_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    chain = Chain(monkeypatch, 3.0)
+    chain = SimulatedSidecar(monkeypatch, 3.0)
     beating(chain)
     before = expires_s(chain)
-    chain.events = [unanswered]
-    chain.discovery.watch(True)
-    chain.go_to(chain.now + 0.1)
+    chain.outcomes = [no_response]
+    chain.discovery.set_watch(True)
+    chain.advance_to(chain.now + 0.1)
     assert chain.discovery.stream is not None
     chain.discovery.stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + HEARTBEAT)
     assert expires_s(chain) == before
@@ -210,30 +216,30 @@
 
 @pytest.mark.parametrize("period_s", [0.0, 3.0, 10.0])
 @pytest.mark.parametrize("path", ["reset", "silent", "again", "moved", "replaced", "retuned", "stopped"])
-@pytest.mark.parametrize("then", [busy, reset, hanging, unanswered])
+@pytest.mark.parametrize("then", [status_503, connection_reset, connect_timeout, no_response])
 def test_on_every_path_on_which_a_watch_is_lost_the_lease_ends(
     monkeypatch: pytest.MonkeyPatch, period_s: float, path: str, then: object
 ) -> None:
     """And the calls that follow fail: none of them renews it."""
-    chain = Chain(monkeypatch, period_s)
+    chain = SimulatedSidecar(monkeypatch, period_s)
     stream = beating(chain)
     lost = chain.now
-    chain.events = [then] * 1000  # type: ignore[list-item]
+    chain.outcomes = [then] * 1000  # type: ignore[list-item]
     match path:
         case "reset":
             stream.connection_lost(ConnectionResetError())
         case "again":
-            chain.discovery.again()
+            chain.discovery.restart_watch()
         case "moved":
-            chain.discovery.move("127.0.0.1:2")
+            chain.discovery.change_address("127.0.0.1:2")
         case "replaced":
-            chain.discovery.watch(True)
+            chain.discovery.set_watch(True)
         case "retuned":
             stream.connection_lost(ConnectionResetError())
-            chain.discovery.retune(not chain.discovery.pushed)
+            chain.discovery.set_push_mode(not chain.discovery.uses_push)
         case "stopped":
-            chain.discovery.watch(False)
-    chain.go_to(lost + 20.0)
+            chain.discovery.set_watch(False)
+    chain.advance_to(lost + 20.0)
     bound = (MOVE_BINDING_US if path == "moved" else BINDING_US) / 1e6
     assert expires_s(chain) < lost + bound
     assert chain.driver.balancer.ctx.lease.answers_count is (path not in ("silent", "moved"))
@@ -250,5 +256,5 @@
     discovery.on_unreachable = away.append
     stream = Stream(discovery, "/list", True)
     await discovery._connect(stream)
-    assert stream.end is CallEnd.REFUSED
-    assert away == ([stream.begun] if replicas == 1 else [])
+    assert stream.failure is StreamFailure.REFUSED
+    assert away == ([stream.started_at_s] if replicas == 1 else [])
--- a/tests/test_matching.py
+++ b/tests/test_log_divergence.py
@@ -16,7 +16,7 @@
 from tests.test_registry import ENTRY
 from woadyard.errors import RecordError
 from woadyard.lists import ListBook
-from woadyard.net.held import TAKE, Held, Named, Told
+from woadyard.net.list_version import TAKE, CurrentVersion, ListMessage, ListVersion
 from woadyard.registry.follow import Follower
 from woadyard.registry.host import next_term
 from woadyard.registry.log import Journal
@@ -42,17 +42,17 @@
     """A sidecar's list, as it is told by whichever process it asks."""
 
     def __init__(self) -> None:
-        self.held, self.entries = Held(), dict[str, Any]()
+        self.held, self.entries = CurrentVersion(), dict[str, Any]()
 
     def ask(self, registry: Registry) -> None:
-        name, book = self.held.name, registry.book(ListBook)
+        name, book = self.held.version, registry.book(ListBook)
         registry.hear(name.lineage, name.term, "a client")
         term = name.term if name.lineage == registry.host.lineage else -1
         told = {**book.changes_since(term, name.generation), "lineage": registry.host.lineage}
-        named = msgspec.convert(told, Told).name
-        if told["lineage"] and self.held.judge(named, told["reset"], 0.0) == TAKE:
-            self.held.take(named, 0.0)
-            self.held.trusting = False
+        named = msgspec.convert(told, ListMessage).version
+        if told["lineage"] and self.held.evaluate(named, told["reset"], 0.0) == TAKE:
+            self.held.replace(named, 0.0)
+            self.held.accepts_any_full_list = False
             if told["reset"]:
                 self.entries.clear()
             self.entries.update({one["instanceId"]: one for one in told["instances"]})
@@ -65,7 +65,7 @@
 
     @initialize()
     def begin(self) -> None:
-        self.folder, self.served = Path(tempfile.mkdtemp()), dict[Named, Any]()
+        self.folder, self.served = Path(tempfile.mkdtemp()), dict[ListVersion, Any]()
         self.client = Client()
         self.all = [self.open(0), self.open(1, "whom"), self.open(2, "whom")]
         self.all[0].lead()
@@ -126,9 +126,9 @@
     @rule(who=WHO)
     def asks(self, who: int) -> None:
         self.client.ask(self.all[who])
-        assert self.client.entries == self.served_at(self.client.held.name)
+        assert self.client.entries == self.served_at(self.client.held.version)
 
-    def served_at(self, name: Named) -> Any:
+    def served_at(self, name: ListVersion) -> Any:
         self.no_name_has_two_lists()
         return self.served.get(name, {})
 
@@ -136,7 +136,7 @@
     def no_name_has_two_lists(self) -> None:
         for one in getattr(self, "all", []):
             book = one.book(ListBook)
-            name = Named(one.host.lineage, book.term, book.version)
+            name = ListVersion(one.host.lineage, book.term, book.version)
             assert self.served.setdefault(name, dict(book.entries)) == book.entries
 
 
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tests.crowded_registry import CrowdedRegistry
 from tests.lab import Lab
+from tests.overloaded_registry import OverloadedRegistry
 from tests.sockets import SETTINGS, Endpoint, Message, Writer, answer
 
 BINDING_S, GRACE_S, SLACK_S = 6.0, 0.25, 0.05
@@ -52,29 +52,29 @@
 ) -> None:
     draining = [Draining(answers_for_s) for _ in range(4)]
     entries = await endpoints(lab, draining)
-    registry = await lab.listen(CrowdedRegistry(entries=entries))
+    registry = await lab.listen(OverloadedRegistry(entries=entries))
     sidecar = await lab.sidecar(endpoints=entries, discovery=registry, settings=ASKING)
-    await registry.told.wait()
+    await registry.list_sent.wait()
     load = asyncio.ensure_future(sidecar.load())
     await asyncio.sleep(0.5)
-    registry.crowd()
+    registry.overload()
     for one in draining:
         one.drained_at = time.monotonic()
     await asyncio.sleep(BINDING_S + 2.5)
     load.cancel()
-    assert all(one.arrived_at for one in draining) and registry.refused
+    assert all(one.arrived_at for one in draining) and registry.rejected
     assert not any(one.late() for one in draining)
 
 
 async def test_a_process_that_starts_into_the_crowd_sends_nothing_once_the_drain_binds(lab: Lab) -> None:
     draining = [Draining(2.0) for _ in range(4)]
     entries = await endpoints(lab, draining)
-    registry = await lab.listen(CrowdedRegistry(crowded=True))
+    registry = await lab.listen(OverloadedRegistry(is_overloaded=True))
     for one in draining:
         one.drained_at = time.monotonic()
     sidecar = await lab.sidecar(endpoints=entries, discovery=registry, settings=ASKING)
     load = asyncio.ensure_future(sidecar.load())
     await asyncio.sleep(BINDING_S + 2.5)
     load.cancel()
-    assert registry.refused and sidecar.statuses[503]
+    assert registry.rejected and sidecar.statuses[503]
     assert not any(one.arrived_at for one in draining), "the list from before the start has no lease"
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -61,7 +61,7 @@
         self.wanted, self.reached = wanted, asyncio.Event()
         loop = asyncio.get_running_loop()
         self.discovery = Discovery(loop, f"127.0.0.1:{port}", PATH, True, self.listen, random.Random(seed))
-        self.discovery.watch(True)
+        self.discovery.set_watch(True)
 
     def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         self.told.append((version, whole, len(entries)))
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -17,7 +17,7 @@
 from benchmarks.scale.names import REGIONS, ZONES, entry, region, sidecar, zone
 from benchmarks.scale.phases import CHANGE, WRITER
 from benchmarks.scale.world import World
-from woadyard.net.places import PHASES
+from woadyard.net.endpoint_table import PHASES
 
 ROOT = Path(__file__).parent.parent
 SIZE, TTL_MS = 40, 3000
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -25,7 +25,7 @@
     request,
     sidecar,
 )
-from woadyard.net.discovery import LOST
+from woadyard.net.discovery import LOST_MESSAGE
 
 
 async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -72,7 +72,7 @@
         assert back.body == b"ok" and back.headers["connection"] == "close"
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST}, "a silent watch"
+        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST_MESSAGE}, "a silent watch"
         for one in (writer, idle_writer, new_writer):
             one.close()
 
@@ -137,7 +137,9 @@
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST], "once, not per try"
+        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST_MESSAGE], (
+            "once, not per try"
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -16,7 +16,15 @@
 from tests.test_replicas import caught_up, end, replica, until
 from woadyard.lists.service import PATH
 from woadyard.net.discovery import Discovery
-from woadyard.net.held import KEEP, OTHER_S, REFUSE, TAKE, Held, Named, Told
+from woadyard.net.list_version import (
+    KEEP,
+    OTHER_LINEAGE_AFTER_S,
+    REFUSE,
+    TAKE,
+    CurrentVersion,
+    ListMessage,
+    ListVersion,
+)
 from woadyard.net.listwriter import ListWriter
 
 
@@ -55,7 +63,7 @@
         watcher = Watcher(ports[1], 1, 2)  # of the newer one
         await watcher.reached.wait()
         watcher.discovery.replicas = [f"127.0.0.1:{ports[0]}"]  # and now of the older alone
-        watcher.discovery.watch(True)
+        watcher.discovery.set_watch(True)
         loser = await said(first, "deposed: another process writes, this one stops")
         assert loser["greater"] == y_2["term"] and loser["remedy"]
         status, text = await register(ports[0], "x-3")
@@ -147,19 +155,19 @@
         ({"generation": 6}, True, 0.0, KEEP),
         ({"term": 6, "generation": 2}, True, 0.0, TAKE),
         ({"term": 4, "generation": 9}, True, 99.0, REFUSE),
-        ({"lineage": "cd"}, True, OTHER_S - 1.0, REFUSE),
-        ({"lineage": "cd"}, True, OTHER_S + 1.0, TAKE),
-        ({"lineage": "cd"}, False, OTHER_S + 1.0, REFUSE),
+        ({"lineage": "cd"}, True, OTHER_LINEAGE_AFTER_S - 1.0, REFUSE),
+        ({"lineage": "cd"}, True, OTHER_LINEAGE_AFTER_S + 1.0, TAKE),
+        ({"lineage": "cd"}, False, OTHER_LINEAGE_AFTER_S + 1.0, REFUSE),
         ({"lineage": "", "term": 0, "generation": 9}, True, 0.0, REFUSE),
     ],
 )
 def test_the_greater_term_is_the_newer_list(
     told: dict[str, Any], whole: bool, after_s: float, verdict: str
 ) -> None:
-    held = Held()
-    held.take(Named(**OF), 100.0)
-    held.trusting = False
-    assert held.judge(Named(**{**OF, **told}), whole, 100.0 + after_s) == verdict
+    held = CurrentVersion()
+    held.replace(ListVersion(**OF), 100.0)
+    held.accepts_any_full_list = False
+    assert held.evaluate(ListVersion(**{**OF, **told}), whole, 100.0 + after_s) == verdict
 
 
 def test_discovery_without_terms_hears_no_more_than_before() -> None:
@@ -167,5 +175,9 @@
     heard: list[int] = []
     one = Discovery(loop, "127.0.0.1:1", "/l", True, lambda version, *_: heard.append(version), Random(1))
     for version in (41, 40, 42):
-        assert one.take(Told(version, True, []))
-    assert heard == [41, 42] and one.held.target("/l") == "/l?watch=1&from=42" and not one.held.header()
+        assert one.receive(ListMessage(version, True, []))
+    assert (
+        heard == [41, 42]
+        and one.current.watch_target("/l") == "/l?watch=1&from=42"
+        and not one.current.term_header()
+    )
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -70,8 +70,8 @@
         self.force = raw
         self.driver.retune(raw["settings"], settings, locality(raw))
         self.guard.retune(shrink_most(raw))
-        self.discovery.retune(not settings.asks_discovery)
-        self.discovery.move(str(raw["discovery"]))
+        self.discovery.set_push_mode(not settings.asks_discovery)
+        self.discovery.change_address(str(raw["discovery"]))
         if (again := shared(raw)) is not None and self.driver.shared is not None:
             self.driver.shared.eject_share = again.eject_share
         LOG.setLevel(log_level(raw).upper())
@@ -263,8 +263,8 @@
     if config.known is not None:
         guard.prime(config.known["instances"])
         alone = seats is None or seats.alone  # one that takes over has a lease, and is owed a yes soon
-        if config.known["instances"] and (alone or discovery.pushed):
-            await discovery.first()  # that list may be old, and newer ones bind from the start
+        if config.known["instances"] and (alone or discovery.uses_push):
+            await discovery.wait_for_first_list()  # that list may be old, and newer ones bind from the start
     upstream.others, upstream.give_way = lambda: len(server.callers), server.give_way
     try:
         if config.accept is None:
--- a/woadyard/net/asked.py
+++ b/woadyard/net/asked.py
@@ -78,7 +78,7 @@
         raise BadRequestError(400, "X-Class is not the path's")
     if (method == b"GET") != (driver.settings.classes[cls].effect == SAFE):
         raise BadRequestError(405, "the class has the other method")
-    if driver.names.keyed[cls] != (b"idempotency-key" in headers):
+    if driver.names.needs_idempotency_key[cls] != (b"idempotency-key" in headers):
         raise BadRequestError(400, "Idempotency-Key is missing, or not of the class")
     wait_ms = number(headers, b"x-deadline-ms")
     wait_us = driver.settings.classes[cls].deadline_us if wait_ms is None else wait_ms * 1000
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from woadyard.interface import CANCELLED, MOOT, NO_CONNECT, OK, TIMEOUT, Outcome, Send
+from woadyard.net.active_settings import ActiveSettings
+from woadyard.net.endpoint_table import EndpointTable
 from woadyard.net.invariants import Invariants
 from woadyard.net.message import Answer, Attempt
-from woadyard.net.names import InForce
-from woadyard.net.places import Places
 from woadyard.net.requests import Requests
 from woadyard.net.turns import Turns, now_us
 from woadyard.net.upstream import Upstream
@@ -19,8 +19,8 @@
         self,
         turns: Turns,
         requests: Requests,
-        places: Places,
-        force: InForce,
+        places: EndpointTable,
+        force: ActiveSettings,
         upstream: Upstream,
     ) -> None:
         self.turns, self.requests, self.places = turns, requests, places
@@ -113,7 +113,7 @@
             outcome,
             attempt.head_us or now - attempt.sent,
             over,
-            self.force.names.report(load),
+            self.force.name_index.parse_report(load),
             call.upload is not None and call.upload.spent,
         )
         if self.unsent is not None and not attempt.wrote:
--- a/woadyard/net/auditing.py
+++ b/woadyard/net/auditing.py
@@ -17,9 +17,9 @@
 from woadyard.net.discovery import Discovery
 from woadyard.net.driver import Driver
 from woadyard.net.evidence import EvidenceCounts
+from woadyard.net.list_stream import LIST_DECODER
 from woadyard.net.reporter import Orders, Reporter
 from woadyard.net.server import Server
-from woadyard.net.stream import LISTS
 from woadyard.net.trials import Trials
 
 LOOK_S = 0.25  # at whether an experiment holds
@@ -32,19 +32,19 @@
 
     def listed(raw: bytes) -> bool:
         try:
-            told = LISTS.decode(raw)
+            told = LIST_DECODER.decode(raw)
         except msgspec.DecodeError as error:
             raise PeerError(f"no list: {error}") from None
-        return discovery.take(told)
+        return discovery.receive(told)
 
     def shut_out(out: bool) -> None:
         server.shut_out = out
 
-    orders = Orders(listed, discovery.again, shut_out, driver.distrust)
+    orders = Orders(listed, discovery.restart_watch, shut_out, driver.distrust)
     trials = trials_of(driver, orders)
     # Not the seed's chance: processes of one file must not report in step.
     reporter = Reporter(
-        settings, name, token(woadyard.__version__), lambda: discovery.telling, orders, random.Random()
+        settings, name, token(woadyard.__version__), lambda: discovery.latest_term, orders, random.Random()
     )
     driver.observe(reporter)
     trials.held = lambda: reporter.experiment(0)
--- a/woadyard/net/backoff.py
+++ b/woadyard/net/backoff.py
@@ -11,16 +11,16 @@
 
 
 class Backoff:
-    def __init__(self, rng: random.Random, first_s: float, most_s: float) -> None:
-        self.rng, self.first_s, self.most_s = rng, first_s, most_s
-        self.limit_s = first_s
+    def __init__(self, rng: random.Random, initial_s: float, max_s: float) -> None:
+        self.rng, self.initial_s, self.max_s = rng, initial_s, max_s
+        self.ceiling_s = initial_s
 
-    def next_s(self) -> float:
+    def next_delay_s(self) -> float:
         """How long to wait now; the next wait may be twice as long."""
-        wait = self.rng.uniform(0.0, self.limit_s)
-        self.limit_s = min(self.most_s, 2.0 * self.limit_s)
+        wait = self.rng.uniform(0.0, self.ceiling_s)
+        self.ceiling_s = min(self.max_s, 2.0 * self.ceiling_s)
         return wait
 
     def reset(self) -> None:
         """It went well: the next failure begins anew."""
-        self.limit_s = self.first_s
+        self.ceiling_s = self.initial_s
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -31,12 +31,12 @@
     Verdict,
     Watch,
 )
+from woadyard.net.active_settings import ActiveSettings, NameIndex
 from woadyard.net.attempts import Attempts
 from woadyard.net.discovery import Discovery
+from woadyard.net.endpoint_table import EndpointTable, ListedEndpoint
 from woadyard.net.message import Answer, Call
-from woadyard.net.names import InForce, Names
 from woadyard.net.observe import Listener, Observer, Observers
-from woadyard.net.places import Place, Places
 from woadyard.net.requests import Requests
 from woadyard.net.sharing import Shared, Trust
 from woadyard.net.state import Bans
@@ -67,11 +67,11 @@
         self.loop, self.upstream, self.shared = loop, upstream, shared
         self.metrics = metrics or Quiet()
         self.raw = raw
-        self.force = InForce(shared is not None)
+        self.force = ActiveSettings(shared is not None)
         self._settle(settings, locality)
         self.balancer = Balancer(seed, self.settings)
         self.bans = Bans(state, self._banned)
-        self.listing = Places(upstream, self.bans, self.force)
+        self.listing = EndpointTable(upstream, self.bans, self.force)
         self.trust = Trust(shared, self.metrics)
         self.turns = Turns(loop, self.balancer, self._do, self._failed, self.metrics)
         self.requests = Requests(self.turns, shared)
@@ -87,11 +87,11 @@
         return self.force.settings
 
     @property
-    def names(self) -> Names:
-        return self.force.names
+    def names(self) -> NameIndex:
+        return self.force.name_index
 
     @property
-    def places(self) -> dict[int, Place]:
+    def places(self) -> dict[int, ListedEndpoint]:
         return self.listing.by_number
 
     @property
@@ -119,10 +119,10 @@
         if self.discovery is not None:
             self.discovery.generation = int(known["generation"]) if known else 0
             self.discovery.on_failed = self._list_failed
-            self.discovery.on_anew = self.listing.left.clear
+            self.discovery.on_generation_reset = self.listing.removed.clear
             self._lease_from(self.discovery)
-            if self.discovery.pushed:
-                self.discovery.watch(True)
+            if self.discovery.uses_push:
+                self.discovery.set_watch(True)
 
     def _lease_from(self, discovery: Discovery) -> None:
         """The membership lease follows what discovery is heard of."""
@@ -141,7 +141,7 @@
         self.tell(self.balancer.retune, self.settings)
 
     def _settle(self, read: Settings, locality: Locality | None) -> None:
-        self.force.settle(self.raw, read, locality)
+        self.force.update(self.raw, read, locality)
         self.upstream.retune(read.idle_us, read.connect_timeout_us)
 
     def _retuned(self) -> None:
@@ -160,7 +160,7 @@
         self.tell(self.balancer.members, LIST_FAILED, ())
 
     def _list(self, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        read = self.listing.read(version, raw)
+        read = self.listing.parse(version, raw)
         self.metrics.listed(mode, version)
         self.listing.apply(version, mode != LIST_DELTA, read)
         self.tell(self.balancer.members, mode, [entry for entry, _ in read])
@@ -192,7 +192,7 @@
         self._trust()
 
     def _trust(self) -> None:
-        self.tell(self.balancer.trust, self.trust.factors(self.listing.ready()))
+        self.tell(self.balancer.trust, self.trust.factors(self.listing.ready_numbers()))
 
     # --- Limits kept together -----------------------------------------------------------
 
@@ -224,7 +224,7 @@
 
     def _attach(self, number: int) -> None:
         self.metrics.banned(False)
-        self.listing.reopen(number)
+        self.listing.reattach(number)
         self.tell(self.balancer.attach, number)
 
     # --- Actions ----------------------------------------------------------------------
@@ -248,8 +248,8 @@
                 self.upstream.free(endpoint)
             case Watch(on):
                 # Asked for after a wait: by now a new address may have begun another one.
-                if self.discovery is not None and not (on and self.discovery.watching):
-                    self.discovery.watch(on)
+                if self.discovery is not None and not (on and self.discovery.is_watching):
+                    self.discovery.set_watch(on)
             case Fetch():
                 if self.discovery is not None:
                     self.discovery.fetch()
--- a/woadyard/net/fetch.py
+++ b/woadyard/net/fetch.py
@@ -13,25 +13,25 @@
 
 from woadyard.errors import PeerError
 
-ANSWER_MAX = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 
 class FetchError(PeerError):
     """The call failed: nothing listens, it broke off, came late, or is no HTTP."""
 
 
-class AnswerTooLargeError(FetchError):
+class ResponseTooLargeError(FetchError):
     """The peer answers with more than was asked for."""
 
 
 class _Exchange(asyncio.Protocol):
     """Writes one request and collects its answer, at most `most` bytes of it."""
 
-    def __init__(self, request: bytes, most: int) -> None:
-        self.request, self.most = request, most
+    def __init__(self, request: bytes, max_bytes: int) -> None:
+        self.request, self.max_bytes = request, max_bytes
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.answered: asyncio.Future[tuple[int, bytes]] = asyncio.get_running_loop().create_future()
+        self.response: asyncio.Future[tuple[int, bytes]] = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -46,19 +46,19 @@
 
     def on_body(self, data: bytes) -> None:
         self.body += data
-        if len(self.body) > self.most:
-            self._fail(AnswerTooLargeError(f"the answer is over {self.most} bytes"))
+        if len(self.body) > self.max_bytes:
+            self._fail(ResponseTooLargeError(f"the answer is over {self.max_bytes} bytes"))
 
     def on_message_complete(self) -> None:
-        if not self.answered.done():
-            self.answered.set_result((self.parser.get_status_code(), bytes(self.body)))
+        if not self.response.done():
+            self.response.set_result((self.parser.get_status_code(), bytes(self.body)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._fail(FetchError("the connection ended before the answer"))
 
-    def _fail(self, why: FetchError) -> None:
-        if not self.answered.done():
-            self.answered.set_exception(why)
+    def _fail(self, error: FetchError) -> None:
+        if not self.response.done():
+            self.response.set_exception(error)
         if self.transport is not None:
             self.transport.abort()
 
@@ -70,7 +70,7 @@
     body: bytes = b"",
     *,
     timeout_s: float,
-    most: int = ANSWER_MAX,
+    max_bytes: int = MAX_RESPONSE_BYTES,
     headers: str = "",
 ) -> tuple[int, bytes]:
     """Status and body of one call, within `timeout_s` in all; `FetchError` where there is none.
@@ -78,16 +78,16 @@
     host, port = address
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n{headers}"
     request = f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
-    exchange = _Exchange(request, most)
+    exchange = _Exchange(request, max_bytes)
     try:
         async with asyncio.timeout(timeout_s):
             await asyncio.get_running_loop().create_connection(lambda: exchange, host, port)
-            return await exchange.answered
+            return await exchange.response
     except FetchError:
         raise
     except (OSError, TimeoutError) as error:
         raise FetchError(f"{method} {target} at {host}:{port}: {error or 'too late'}") from None
     finally:
-        exchange.answered.cancel()
+        exchange.response.cancel()
         if exchange.transport is not None:
             exchange.transport.abort()
--- a/woadyard/net/gossip.py
+++ b/woadyard/net/gossip.py
@@ -29,7 +29,7 @@
 from woadyard.net.config import address
 from woadyard.net.console import CallError, Console, Route
 from woadyard.net.discovery import Discovery
-from woadyard.net.fetch import AnswerTooLargeError, FetchError, fetch
+from woadyard.net.fetch import FetchError, ResponseTooLargeError, fetch
 from woadyard.net.listwriter import ListWriter
 from woadyard.ops.metrics import Quiet
 from woadyard.shared.settings import SharedSettings
@@ -99,7 +99,7 @@
 
     def _begin(self) -> None:
         self.discovery = Discovery(self.loop, self.settings.peers, LIST_PATH, True, self._listed, self.rng)
-        self.discovery.watch(True)
+        self.discovery.set_watch(True)
         writer = ListWriter(self.settings.peers, self.rng)
         self.lease = self.loop.create_task(writer.keep(LEASE_S / 3.0, self._register))
 
@@ -185,13 +185,13 @@
         began = now_us()
         body = json.dumps({"from": self.store.me, "vector": self.store.vector}).encode()
         try:
-            status, back = await fetch(at, "POST", PATH, body, timeout_s=CALL_S, most=2 * TELL_MOST)
+            status, back = await fetch(at, "POST", PATH, body, timeout_s=CALL_S, max_bytes=2 * TELL_MOST)
             if status != HTTPStatus.OK:
                 raise TellingError(f"status {status}")
             now = now_us()
             told = _read(back)
             self.store.merge(now, told.get("entries"), now - began, self._names())
-        except (TellingError, AnswerTooLargeError) as error:
+        except (TellingError, ResponseTooLargeError) as error:
             self.metrics.exchanged("refused", len(body), 0)
             LOG.warning("a peer's telling refused", extra={"peer": origin, **error.fields()})
         except FetchError as error:
--- a/woadyard/net/invariants.py
+++ b/woadyard/net/invariants.py
@@ -18,8 +18,8 @@
 from woadyard.ops.metrics import Quiet
 
 if TYPE_CHECKING:
-    from woadyard.net.names import InForce
-    from woadyard.net.places import Places
+    from woadyard.net.active_settings import ActiveSettings
+    from woadyard.net.endpoint_table import EndpointTable
 
 LOG = logging.getLogger(__name__)
 # The rules allow so much on their time limits (PROTOCOL), and a deadline passed on may exceed what the
@@ -39,7 +39,7 @@
 class Invariants:
     """Counts violations by rule."""
 
-    def __init__(self, force: InForce, places: Places, metrics: Quiet) -> None:
+    def __init__(self, force: ActiveSettings, places: EndpointTable, metrics: Quiet) -> None:
         self.force, self.places, self.metrics = force, places, metrics
         self.counts: Counter[Rule] = Counter()
 
--- /dev/null
+++ b/woadyard/net/list_stream.py
@@ -0,0 +1,148 @@
+"""One answer of discovery: a watch, or one whole list, from the call to its end."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from enum import StrEnum
+from typing import Protocol, cast
+
+import httptools
+import msgspec
+
+from woadyard.errors import PeerError
+from woadyard.net.json_stream import JsonStreamDecoder
+from woadyard.net.list_version import CurrentVersion, ListMessage
+
+LOG = logging.getLogger(__name__)
+LIST_DECODER: msgspec.json.Decoder[ListMessage] = msgspec.json.Decoder(ListMessage)
+
+
+class StreamFailure(StrEnum):
+    """Why a call to discovery ended without its list, or why a watch did."""
+
+    REFUSED = "connection refused"
+    CONNECT_TIMEOUT = "connect timeout"
+    SYSTEM = "system error"  # of this machine: no descriptor, no port, no route
+    RESET = "connection reset"
+    CLOSED = "closed by discovery"
+    STATUS = "error status"
+    MALFORMED = "malformed answer"
+    SILENT = "silent"
+    OUTDATED = "outdated or foreign list"
+
+
+class StreamOwner(Protocol):
+    """Whose call it is."""
+
+    loop: asyncio.AbstractEventLoop
+    current: CurrentVersion
+
+    @property
+    def address(self) -> str: ...
+    def receive(self, message: ListMessage) -> bool: ...
+    def confirm(self) -> None: ...
+    def stream_failed(self, stream: Stream) -> None: ...
+
+
+class Stream(asyncio.Protocol):
+    """One answer of discovery: a watch, or one whole list.
+
+    Times are those of the owner's loop, s."""
+
+    def __init__(self, owner: StreamOwner, target: str, is_watch: bool) -> None:
+        self.owner, self.target, self.is_watch = owner, target, is_watch
+        self.parser = httptools.HttpResponseParser(self)
+        self.decoder = JsonStreamDecoder(LIST_DECODER)
+        self.transport: asyncio.Transport | None = None
+        self.status = 0  # of the answer, once its head has come
+        self.is_complete = False  # the answer has
+        self.is_other_lineage = False  # it told a list of another log than the one held
+        self.confirms_current = False  # the list that it told is the one held
+        self.is_done = False  # whole, or given up: its end says nothing
+        self.failure: StreamFailure | None = None  # why it failed
+        self.started_at_s = owner.loop.time()
+        self.last_progress_s = self.started_at_s  # of it: a whole head or line, or the beginning of one
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.Transport, transport)
+        if self.is_done:
+            self.transport.abort()
+            return
+        head = (
+            f"GET {self.target} HTTP/1.1\r\nHost: {self.owner.address}\r\n"
+            f"{self.owner.current.term_header()}\r\n"
+        )
+        self.transport.write(head.encode())
+
+    def data_received(self, data: bytes) -> None:
+        if self.is_done:
+            return
+        said, beats = self.decoder.progress_count, self.decoder.heartbeat_count
+        try:
+            if data:
+                self.parser.feed_data(data)
+            else:
+                self.decoder.feed(b"\n")
+            self._process_response()
+            # Guards against bytes that trickle in and never make a list.
+            if self.decoder.progress_count > said:
+                self.last_progress_s = self.owner.loop.time()
+            if self.confirms_current and not self.is_done and self.decoder.heartbeat_count > beats:
+                self.owner.confirm()
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            self._fail_malformed(PeerError(f"no HTTP answer: {error}"))
+        except PeerError as error:
+            self._fail_malformed(error)
+
+    def _fail_malformed(self, error: PeerError) -> None:
+        LOG.warning("bad line from discovery", extra={**error.fields(), "at": self.owner.address})
+        self.fail(StreamFailure.MALFORMED)
+
+    def on_headers_complete(self) -> None:
+        if (status := self.parser.get_status_code()) >= 200:
+            self.status = status
+            self.last_progress_s = self.owner.loop.time()
+
+    def on_body(self, data: bytes) -> None:
+        if self.status == 200:
+            self.decoder.feed(data)
+
+    def on_message_complete(self) -> None:
+        self.is_complete = self.status >= 200
+        if self.is_complete:
+            self.decoder.feed(b"\n")
+
+    def _process_response(self) -> None:
+        if self.status == 200:
+            for told in self.decoder.read_objects():
+                if not self.owner.receive(told):
+                    self.is_other_lineage = told.lineage != self.owner.current.version.lineage
+                    self.fail(StreamFailure.OUTDATED)
+                    return
+                # A replica that lags told an older list: what it says confirms nothing.
+                self.confirms_current = self.owner.current.version == told.version
+                if not self.is_watch:
+                    self.stop()
+                    return
+        if self.status not in (0, 200):
+            self.fail(StreamFailure.STATUS)
+        elif self.is_complete:
+            self.fail(StreamFailure.CLOSED)
+
+    def stop(self) -> None:
+        self.is_done = True
+        if self.transport is not None:
+            self.transport.abort()
+
+    def fail(self, failure: StreamFailure = StreamFailure.REFUSED) -> None:
+        """It tells no more, for this reason."""
+        if not self.is_done:
+            self.failure = failure
+            self.stop()
+            self.owner.stream_failed(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        if exc is None and self.status == 200 and not self.is_done:
+            self.data_received(b"")  # an answer without length ends so
+        self.fail(StreamFailure.RESET if exc is not None else StreamFailure.CLOSED)
--- a/woadyard/net/held.py
+++ b/woadyard/net/list_version.py
@@ -15,14 +15,14 @@
 
 # A list of another log is taken once nothing was heard of the one held for so long: the
 # service began anew. Two services side by side would else take turns in every sidecar.
-OTHER_S = 10.0
+OTHER_LINEAGE_AFTER_S = 10.0
 Lineage = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{0,64}\Z")]
 Term = Annotated[int, msgspec.Meta(ge=0, lt=1 << 52)]
 TAKE, KEEP, REFUSE = "take", "keep", "refuse"
 
 
 @dataclass(frozen=True)
-class Named:
+class ListVersion:
     """The name of a list."""
 
     lineage: str = ""
@@ -30,7 +30,7 @@
     generation: int = 0
 
 
-class Told(msgspec.Struct):
+class ListMessage(msgspec.Struct):
     """One list as discovery tells it; what else it says is passed over."""
 
     generation: int
@@ -41,44 +41,44 @@
     following: bool = True
 
     @property
-    def name(self) -> Named:
-        return Named(self.lineage, self.term, self.generation)
+    def version(self) -> ListVersion:
+        return ListVersion(self.lineage, self.term, self.generation)
 
 
-class Held:
+class CurrentVersion:
     def __init__(self) -> None:
-        self.name = Named()
-        self.heard = 0.0  # of its lineage, s
-        self.trusting = True  # of a first list, whatever its name, from a new address
+        self.version = ListVersion()
+        self.lineage_seen_s = 0.0  # of its lineage, s
+        self.accepts_any_full_list = True  # of a first list, whatever its name, from a new address
 
-    def judge(self, told: Named, whole: bool, now: float) -> str:
+    def evaluate(self, candidate: ListVersion, is_full: bool, now_s: float) -> str:
         """TAKE the list, KEEP the one held (it is newer), or REFUSE, where the replica
         that told it is not to be heard: it is of an older term, or of another log."""
-        held = self.name
-        if whole and self.trusting:
+        held = self.version
+        if is_full and self.accepts_any_full_list:
             return TAKE
-        if told.lineage != held.lineage:
-            return TAKE if whole and now - self.heard > OTHER_S else REFUSE
-        if told.term < held.term:
+        if candidate.lineage != held.lineage:
+            return TAKE if is_full and now_s - self.lineage_seen_s > OTHER_LINEAGE_AFTER_S else REFUSE
+        if candidate.term < held.term:
             return REFUSE
-        if told.term == held.term and told.generation < held.generation:
+        if candidate.term == held.term and candidate.generation < held.generation:
             return KEEP
         return TAKE
 
-    def take(self, told: Named, now: float) -> None:
+    def replace(self, replacement: ListVersion, now_s: float) -> None:
         """It is held from now on."""
-        self.name, self.heard = told, now
+        self.version, self.lineage_seen_s = replacement, now_s
 
-    def anew(self, told: Named) -> bool:
+    def resets_generations(self, candidate: ListVersion) -> bool:
         """Whether generations up to now and that of `told` say nothing of each other."""
-        return (told.lineage, told.term) != (self.name.lineage, self.name.term)
+        return (candidate.lineage, candidate.term) != (self.version.lineage, self.version.term)
 
-    def target(self, path: str) -> str:
+    def watch_target(self, path: str) -> str:
         """Of a watch that goes on from the list held."""
-        held = self.name
+        held = self.version
         where = f"&term={held.term}&lineage={held.lineage}" if held.lineage else ""
         return f"{path}?watch=1&from={held.generation}{where}"
 
-    def header(self) -> str:
+    def term_header(self) -> str:
         """Tells a service which term this process has seen: one that was replaced learns of it."""
-        return f"X-Term: {self.name.lineage}:{self.name.term}\r\n" if self.name.lineage else ""
+        return f"X-Term: {self.version.lineage}:{self.version.term}\r\n" if self.version.lineage else ""
--- a/woadyard/net/listwriter.py
+++ b/woadyard/net/listwriter.py
@@ -46,7 +46,7 @@
                 self.backoff.reset()
                 await asyncio.sleep(every_s)
             else:
-                await asyncio.sleep(self.backoff.next_s())
+                await asyncio.sleep(self.backoff.next_delay_s())
 
     async def write(self, method: str, target: str, content: dict[str, Any], done: Done) -> bool:
         """One call; at the writer that a replica names, in the same call. False where it
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -134,7 +134,7 @@
                 wait_s = every_s
             else:
                 self.turn = (self.turn + 1) % len(self.replicas)
-                wait_s = self.backoff.next_s()
+                wait_s = self.backoff.next_delay_s()
             self._let_in_again()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
--- a/woadyard/registry/follow.py
+++ b/woadyard/registry/follow.py
@@ -69,7 +69,7 @@
                 await self.step(self.registry.writer)
             except (FetchError, RecordError, StateError, ValueError, KeyError, TypeError) as error:
                 self._lost(error)
-                await asyncio.sleep(self.backoff.next_s())
+                await asyncio.sleep(self.backoff.next_delay_s())
             else:
                 self.backoff.reset()
                 await asyncio.sleep(max(0.0, began + GAP_S - self.clock()))
--- a/woadyard/whatif/doors.py
+++ b/woadyard/whatif/doors.py
@@ -45,7 +45,7 @@
                     what = f"no trace from {self.address}: {type(error).__name__}: {error}"
                     remedy = "see whether the sidecar's door can be reached and it records"
                     raise PeerError(what, remedy) from None
-                await asyncio.sleep(wait.next_s())
+                await asyncio.sleep(wait.next_delay_s())
                 continue
             tries = 0
             wait.reset()
