--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -57,7 +57,7 @@
         for n in range(5):
             writer.write(request(cls, rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        assert endpoint.opened == 1 and len(one.server.callers) == 1
+        assert endpoint.opened == 1 and len(one.server.connections) == 1
         assert not one.driver.calls and not one.driver.balancer.requests
 
 
@@ -119,7 +119,7 @@
         one.told(first.entry("s-0"), second.entry("s-1"))
         assert one.upstream.pools[endpoint_number("s-0")].idle
         one.told(second.entry("s-1", lifecycle="ready"), whole=False)
-        vars(one.driver.balancer.choice)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
+        vars(one.driver.balancer.picker)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
         assert (await one.ask(request(rid="r2"))).body == b"ok"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -284,13 +284,13 @@
         async with reloadable_sidecar(tmp_path, Endpoint(reset), Endpoint(serve_ok)) as running:
             by_number = running.sidecar.driver.balancer.endpoints
             first_endpoint = by_number[endpoint_number("s-0")]
-            vars(running.sidecar.driver.balancer.membership)["due"] = (
+            vars(running.sidecar.driver.balancer.membership)["pick_trial"] = (
                 lambda at, call: None if call.attempts else first_endpoint
             )
             in_flight = asyncio.create_task(running.sidecar.ask(request("page")))
             while not running.sidecar.driver.calls or not first_endpoint.inflight:
                 await asyncio.sleep(0)
-            vars(running.sidecar.driver.balancer.membership)["due"] = lambda at, call: None
+            vars(running.sidecar.driver.balancer.membership)["pick_trial"] = lambda at, call: None
             page, put, _ = SETTINGS["classes"]
             without_retries = {**page, "repeat": "fragile"}
             added = {**page, "name": "fresh"}
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -25,7 +25,7 @@
     request,
     sidecar,
 )
-from woadyard.net.discovery import LOST
+from woadyard.net.discovery import LOST_MESSAGE
 
 
 async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -72,7 +72,7 @@
         assert back.body == b"ok" and back.headers["connection"] == "close"
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST}, "a silent watch"
+        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST_MESSAGE}, "a silent watch"
         for one in (writer, idle_writer, new_writer):
             one.close()
 
@@ -83,8 +83,8 @@
     async with sidecar(endpoint) as one:
         now = one.driver.now()
         one.server.stop(lambda: None)
-        assert now + 3_000_000 < one.server.answered_by < one.driver.now() + 3_700_000
-        one.server.answered_by = one.driver.now() + 50_000
+        assert now + 3_000_000 < one.server.responses_due_us < one.driver.now() + 3_700_000
+        one.server.responses_due_us = one.driver.now() + 50_000
         back = await one.ask(request("pay", deadline_ms=30_000))
         assert back.start.split()[1] == "504"
 
@@ -101,7 +101,7 @@
         for n in range(3):
             writer.write(request(rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        one.server.closing = True  # as when the connections at rest have been closed
+        one.server.is_draining = True  # as when the connections at rest have been closed
         writer.write(request(rid="last") + request(rid="ahead") + request(rid="further"))
         for n in range(3):
             back = await read_message(reader)
@@ -137,7 +137,9 @@
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST], "once, not per try"
+        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST_MESSAGE], (
+            "once, not per try"
+        )
 
 
 @pytest.mark.parametrize(
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -71,8 +71,8 @@
         self.raw_in_force = raw
         self.driver.retune(raw["settings"], settings, read_locality(raw))
         self.guard.set_max_loss_share(read_max_list_shrink(raw))
-        self.discovery.retune(not settings.asks_discovery)
-        self.discovery.move(str(raw["discovery"]))
+        self.discovery.set_push_mode(not settings.asks_discovery)
+        self.discovery.change_address(str(raw["discovery"]))
         if (shared_settings := read_shared_settings(raw)) is not None and self.driver.shared is not None:
             self.driver.shared.eject_share = shared_settings.eject_share
         LOG.setLevel(read_log_level(raw).upper())
@@ -101,7 +101,7 @@
         return f"done, out are: {' '.join(bans.banned) or 'none'}"
 
     def ready(body: str) -> str:
-        if not server.accepting or server.shut_out or not may_serve():
+        if not server.is_accepting or server.is_shut_out or not may_serve():
             raise HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", "wait; the log says why")
         return "ready"
 
@@ -265,7 +265,7 @@
     server = Server(driver, socket_limit, reserved)
     reporter = open_reporter(config, driver, name, discovery, server)
     follow_weight_plans(driver, reporter, recorder)
-    slots = claim_process_slot(config, loop, server.share)
+    slots = claim_process_slot(config, loop, server.set_socket_share)
     try:
         driver.start(config.known_list, slots is None or slots.is_alone)
     except PeerError as error:
@@ -274,14 +274,16 @@
         guard.set_known_list(config.known_list["instances"])
         # A process that replaces another has a lease, and must soon be ready.
         is_alone = slots is None or slots.is_alone
-        if config.known_list["instances"] and (is_alone or discovery.pushed):
-            await discovery.first()  # the known list may be old, and a newer one applies from the start
-    upstream.others, upstream.give_way = lambda: len(server.callers), server.give_way
+        if config.known_list["instances"] and (is_alone or discovery.uses_push):
+            await (
+                discovery.wait_for_first_list()
+            )  # the known list may be old, and a newer one applies from the start
+    upstream.others, upstream.give_way = lambda: len(server.connections), server.release_connection
     try:
         if config.accept_fd is None:
             await server.listen(*config.listen)
         else:
-            await server.adopt(config.accept_fd)
+            await server.adopt_socket(config.accept_fd)
     except (OSError, OverflowError, ValueError) as error:
         raise ConfigError(f"can't listen: {error}") from None
     gossip = open_gossip(config, driver)
