--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,6 +10,8 @@
 
 
 class RecordedChanges(list[tuple[int, bool]]):
+    """A callback that keeps the changes of bans it was called with."""
+
     def __call__(self, number: int, is_banned: bool) -> None:
         self.append((number, is_banned))
 
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -275,9 +275,8 @@
         # A process that replaces another has a lease, and must soon be ready.
         is_alone = slots is None or slots.is_alone
         if config.known_list["instances"] and (is_alone or discovery.uses_push):
-            await (
-                discovery.wait_for_first_list()
-            )  # the known list may be old, and a newer one applies from the start
+            # The known list may be old, and a newer one applies from the start.
+            await discovery.wait_for_first_list()
     upstream.others, upstream.give_way = lambda: len(server.connections), server.release_connection
     try:
         if config.accept_fd is None:
