--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -27,7 +27,7 @@
 from benchmarks.metrics_cost import load
 from benchmarks.whatif_cost import REQUESTS, TURNS, cpu_s, sidecar
 from tests.process import free_port
-from tests.sockets import Endpoint, Registry
+from tests.sockets import Endpoint, FakeDiscovery
 from tests.test_registry import register, service
 from woadyard.audit import AuditSettings, Position, Spans
 from woadyard.audit.ledger import AuditBook
@@ -90,7 +90,7 @@
             for n in range(REPORTERS)
         ]
         for one in fleet:
-            one.listed(now_us(), LIST_DELTA, told["generation"], [])
+            one.list_applied(now_us(), LIST_DELTA, told["generation"], [])
             one.open()
         for second in range(WARM_S + SECONDS):
             if second == WARM_S:
@@ -99,11 +99,11 @@
                 began = time.perf_counter()
             told = (await register(port, f"s-{second + 1}"))[1]
             for one in fleet:
-                one.listed(now_us(), LIST_DELTA, told["generation"], [])
+                one.list_applied(now_us(), LIST_DELTA, told["generation"], [])
             for tick in range(RATE):
                 await asyncio.sleep(1.0 / RATE)
                 for one in fleet:
-                    one.sent(now_us(), Send(second * RATE + tick, 1, 0))
+                    one.attempt_started(now_us(), Send(second * RATE + tick, 1, 0))
                     one.spans.ended(second * RATE + tick, 1, True)
         took = time.perf_counter() - began
         used = cpu_s(process.pid) - cpu
@@ -160,7 +160,7 @@
 
 
 async def path() -> dict[str, Any]:
-    endpoint, registry = Endpoint(), Registry()
+    endpoint, registry = Endpoint(), FakeDiscovery()
     found: dict[str, list[float]] = {"off": [], "on": []}
     with TemporaryDirectory() as name:
         async with await endpoint.start(), await registry.start():
@@ -174,7 +174,7 @@
             for turn in range(TURNS + 1):
                 for kind in random.Random(turn).sample(list(found), len(found)):
                     process, port = running[kind]
-                    endpoint.got.clear()
+                    endpoint.received.clear()
                     before = cpu_s(process.pid)
                     await load(port, REQUESTS)
                     if turn:  # the first warms up
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -138,14 +138,14 @@
         entries = [bad.entry("s-0"), *(good.entry(f"s-{n}") for n in range(1, 8))]
         settings = {"interval-ms": INTERVAL_MS, "verdict-bound-ms": 10_000, "eject-share": share}
         sidecars = await fleet(lab, size, entries, **settings)
-        bad.got.clear()
+        bad.received.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await asyncio.gather(*(one.load(2, 0.1) for one in sidecars))
         statuses = sum((one.statuses for one in sidecars), Counter[int]())
     print(
         f"saving, {size} sidecars, {seconds:.0f} s, verdicts {'heeded' if share > 0.1 else 'not heeded'}: "
-        f"{len(bad.got)} attempts failed of {statuses.total()} requests, {statuses[200]} answered 200"
+        f"{len(bad.received)} attempts failed of {statuses.total()} requests, {statuses[200]} answered 200"
     )
 
 
--- a/benchmarks/metrics_cost.py
+++ b/benchmarks/metrics_cost.py
@@ -17,7 +17,7 @@
 from tempfile import TemporaryDirectory
 
 from tests.process import call, with_door
-from tests.sockets import Endpoint, Registry, read_message, request, sidecar
+from tests.sockets import Endpoint, FakeDiscovery, http_request, read_message, run_sidecar
 from woadyard.ops.metrics import Metrics, Quiet
 
 REQUESTS, AT_ONCE, TURNS, IDLE = 4_000, 32, 4, 100
@@ -32,7 +32,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         while todo:
             todo.pop()
-            writer.write(request(rid=f"r{next(IDS)}"))
+            writer.write(http_request(rid=f"r{next(IDS)}"))
             await read_message(reader)
         writer.close()
 
@@ -42,19 +42,19 @@
 
 
 async def hot_path() -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         await load(one.port, 500)  # warm
         rates: dict[str, list[float]] = {"Metrics": [], "Quiet": []}
         for _ in range(TURNS):
             for kind in (Metrics, Quiet):
-                one.driver.turns.metrics = kind()
+                one.driver.dispatcher.metrics = kind()
                 rates[kind.__name__].append(await load(one.port))
     for name, found in rates.items():
         print(f"{name:8} requests/s median {statistics.median(found):7.0f}  all {[round(r) for r in found]}")
 
 
 async def door_under_load() -> None:
-    endpoint, registry = Endpoint(), Registry()
+    endpoint, registry = Endpoint(), FakeDiscovery()
     with TemporaryDirectory() as folder:
         async with await endpoint.start(), await registry.start():
             process, port, door = await with_door(Path(folder), registry, endpoint)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -99,7 +99,7 @@
     def _listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         self.version = version
         self.heard.append((time.monotonic(), version))
-        self.reporter.listed(now_us(), LIST_DELTA, version, entries)
+        self.reporter.list_applied(now_us(), LIST_DELTA, version, entries)
 
     def _whole(self, raw: bytes) -> bool:
         try:
@@ -133,7 +133,7 @@
         self.reporter.open()
         while not self.still:
             self.attempts += 1
-            self.reporter.sent(now_us(), Send(self.attempts, 1, 0))
+            self.reporter.attempt_started(now_us(), Send(self.attempts, 1, 0))
             self.reporter.spans.ended(self.attempts, 1, True)
             await asyncio.sleep(ATTEMPT_S)
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -19,7 +19,7 @@
 
 from benchmarks.metrics_cost import load
 from tests.process import Process, config, free_port, ready
-from tests.sockets import Endpoint, Registry
+from tests.sockets import Endpoint, FakeDiscovery
 
 TURNS, REQUESTS = 7, 3_000
 
@@ -47,7 +47,7 @@
     )
 
 
-async def measure(checkout: Path, found: Found, registry: Registry, endpoint: Endpoint) -> None:
+async def measure(checkout: Path, found: Found, registry: FakeDiscovery, endpoint: Endpoint) -> None:
     with TemporaryDirectory() as folder:
         port, door = free_port(), free_port()
         environ = config(Path(folder), registry, endpoint)
@@ -69,7 +69,7 @@
 
 async def main(other: Path) -> None:
     kinds = {"other": (other, Found()), "this": (Path(__file__).parent.parent, Found())}
-    endpoint, registry = Endpoint(), Registry()
+    endpoint, registry = Endpoint(), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         for turn in range(TURNS):
             order = list(kinds.values())
--- a/benchmarks/whatif_cost.py
+++ b/benchmarks/whatif_cost.py
@@ -19,8 +19,7 @@
 
 from benchmarks.metrics_cost import load
 from tests.process import Process, config, free_port, ready, start
-from tests.sockets import Endpoint, Registry
-from tests.sockets import sidecar as in_process
+from tests.sockets import Endpoint, FakeDiscovery, run_sidecar
 from woadyard.interface import OK, Arrival, Outcome, Send
 from woadyard.net.recorder import Recorder, RecordSettings
 
@@ -46,15 +45,15 @@
     ]
     began = time.process_time()
     for rid, (arrival, send, outcome) in enumerate(told):
-        made.taken(rid, arrival)
-        made.sent(rid, send)
-        made.answered(rid + 900, rid, 200)
-        made.ended(rid + 900, outcome)
+        made.request_accepted(rid, arrival)
+        made.attempt_started(rid, send)
+        made.request_answered(rid + 900, rid, 200)
+        made.attempt_ended(rid + 900, outcome)
     return (time.process_time() - began) / ALONE * 1e6
 
 
 async def sidecar(
-    folder: Path, registry: Registry, endpoint: Endpoint, **changes: Any
+    folder: Path, registry: FakeDiscovery, endpoint: Endpoint, **changes: Any
 ) -> tuple[Process, int]:
     folder.mkdir()
     port, door = free_port(), free_port()
@@ -67,7 +66,7 @@
 
 async def one_sidecar() -> tuple[float, dict[str, Any]]:
     """CPU µs a request of a sidecar's process without `record`, and memory with and without."""
-    endpoint, registry, memory = Endpoint(), Registry(), {}
+    endpoint, registry, memory = Endpoint(), FakeDiscovery(), {}
     with TemporaryDirectory() as name:
         async with await endpoint.start(), await registry.start():
             parts: dict[str, dict[str, Any]] = {"record": {"record": {}}, "off": {}}
@@ -87,7 +86,7 @@
 async def in_turns() -> list[float]:
     """What recording adds to a request, CPU µs, in each pair of turns of one process."""
     recorder, added = Recorder(RecordSettings(), "s", 1, 0), []
-    async with in_process(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         await load(one.port, REQUESTS)
         for turn in range(TURNS):
             took: dict[bool, float] = {}
--- a/benchmarks/whatif_fidelity.py
+++ b/benchmarks/whatif_fidelity.py
@@ -152,14 +152,14 @@
         """A recording that begins now."""
         now = self.driver.now()
         made = Recorder(RecordSettings(1 << 16, 1.0), f"s{self.number}", self.seed + self.number, now)
-        made.retuned(now, self.driver.settings, self.raw)
-        made.listed(now, 0, 1, self.entries)
+        made.settings_applied(now, self.driver.settings, self.raw)
+        made.list_applied(now, 0, 1, self.entries)
         self.driver.observer = made
         return made
 
     def weigh(self, weights: dict[str, float]) -> None:
         entries = [(one["instanceId"], one["machineType"], one["zone"]) for one in self.entries]
-        self.driver.weigh(resolve(weights, entries) if weights else {})
+        self.driver.set_planned_weights(resolve(weights, entries) if weights else {})
 
 
 async def span(
--- a/benchmarks/whatif_world.py
+++ b/benchmarks/whatif_world.py
@@ -75,33 +75,33 @@
                 if isinstance(change, Retuned):
                     one.ring.add([change], change)
                 elif isinstance(change, Listed):
-                    one.listed(change.at, change.mode, change.version, change.entries)
+                    one.list_applied(change.at, change.mode, change.version, change.entries)
             made.append(one)
         self.watch = made
         return made
 
     def arrive(self, now: int, sidecar: Sidecar, order: int, asked: Asked) -> None:
         event = Arrival(sidecar.next + 1, asked.cls, now + asked.expires - asked.at)
-        self.watch[sidecar.number].taken(now - LEAD_US, event)
+        self.watch[sidecar.number].request_accepted(now - LEAD_US, event)
         super().arrive(now, sidecar, order, asked)
 
     def send(self, now: int, sidecar: Sidecar, request: int, endpoint: int, timeout: int) -> None:
-        self.watch[sidecar.number].sent(now - LEAD_US, Send(request, endpoint, timeout))
+        self.watch[sidecar.number].attempt_started(now - LEAD_US, Send(request, endpoint, timeout))
         super().send(now, sidecar, request, endpoint, timeout)
 
     def ended(self, now: int, sidecar: Sidecar, request: int, copy: int, outcome: int, sent: int) -> None:
         live = sidecar.calls.get(request)
         if live is not None and live.out[copy]:
             event = Outcome(request, copy, live.to[copy], outcome, now - sent)
-            self.watch[sidecar.number].ended(now - LEAD_US, event)
+            self.watch[sidecar.number].attempt_ended(now - LEAD_US, event)
             if outcome == OK and live.open:
-                self.watch[sidecar.number].answered(now - LEAD_US, request, 200)
+                self.watch[sidecar.number].request_answered(now - LEAD_US, request, 200)
         super().ended(now, sidecar, request, copy, outcome, sent)
 
     def final(self, now: int, sidecar: Sidecar, request: int, end: int) -> None:
         live: Live | None = sidecar.calls.get(request)
         if live is not None and live.open:
-            self.watch[sidecar.number].answered(now - LEAD_US, request, STATUS.get(end, 502))
+            self.watch[sidecar.number].request_answered(now - LEAD_US, request, STATUS.get(end, 502))
         super().final(now, sidecar, request, end)
 
 
--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from tests.process import Process
-from tests.sockets import SETTINGS, Endpoint, Message, Writer, answer, read_message, request
+from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_request, http_response, read_message
 from tests.test_registry import ask
 from woadyard.lists.service import PATH
 from woadyard.standins import CUT, DELAY, DROP, HERE, PASS, RESET, FaultProxy
@@ -168,7 +168,7 @@
         name, position = message.headers["x-caller"], message.headers["x-acted-on"]
         self.counted[name, position] += 1
         self.arrivals.append((time.time_ns() // 1_000_000, name, position))
-        writer.write(answer())
+        writer.write(http_response())
 
     async def _ask(self, one: Member) -> None:
         """Requests at the sidecar, about 50 a second, each on a connection of its own."""
@@ -176,7 +176,7 @@
             await asyncio.sleep(0.02)
             if self.traffic:
                 one.asks += 1
-                raw = request(headers=f"X-Caller: {one.name}\r\n", rid=f"{one.name}-{one.asks}")
+                raw = http_request(headers=f"X-Caller: {one.name}\r\n", rid=f"{one.name}-{one.asks}")
                 one.answers[await self._call(one, raw)] += 1
                 one.answers.pop(0, None)
 
@@ -187,7 +187,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
                 try:
                     writer.write(raw)
-                    return int((await read_message(reader)).start.split()[1])
+                    return int((await read_message(reader)).start_line.split()[1])
                 finally:
                     writer.close()
         return 0
--- a/tests/crowded_registry.py
+++ b/tests/crowded_registry.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tests.sockets import Listener, Reader, Writer, push, push_raw, read_message
+from tests.sockets import LoopbackServer, Reader, Writer, push_line, push_list, read_message
 
 QUEUE_S = 2.0  # a call waits so long in the queue before it is turned away
 HEARTBEAT_S = 0.5
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class CrowdedRegistry(Listener):
+class CrowdedRegistry(LoopbackServer):
     """While `crowded`, it resets its watches and answers each call 503 after `QUEUE_S`."""
 
     entries: list[dict[str, Any]] = field(default_factory=list)
@@ -55,8 +55,8 @@
     async def _watch(self, writer: Writer) -> None:
         self.watches.add(writer)
         writer.write(HEAD)
-        push(writer, self.generation, True, *self.entries)
+        push_list(writer, self.generation, True, *self.entries)
         self.told.set()
         while not writer.transport.is_closing():
             await asyncio.sleep(HEARTBEAT_S)
-            push_raw(writer, b"\n")
+            push_line(writer, b"\n")
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -23,7 +23,7 @@
 
 import aiohttp
 
-from tests.sockets import SETTINGS, Endpoint, Handler, Message, read_message, request, serve_ok
+from tests.sockets import SETTINGS, Endpoint, Handler, Message, http_request, read_message, serve_ok
 from woadyard.standins import FaultProxy, StandIn, manner
 
 LOOK_S = 0.02
@@ -144,7 +144,7 @@
         """One request on a connection of its own; `parts` are those of tests.sockets.request."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         with contextlib.closing(writer):
-            writer.write(raw or request(**parts))
+            writer.write(raw or http_request(**parts))
             return await read_message(reader)
 
     async def load(self, callers: int = 4, pause_s: float = 0.005, **parts: Any) -> None:
@@ -156,9 +156,11 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             while True:
-                writer.write(request(rid=f"{self.name}-{number}-{id(writer)}-{(sent := sent + 1)}", **parts))
+                writer.write(
+                    http_request(rid=f"{self.name}-{number}-{id(writer)}-{(sent := sent + 1)}", **parts)
+                )
                 back = await read_message(reader)
-                self.statuses[int(back.start.split()[1])] += 1
+                self.statuses[int(back.start_line.split()[1])] += 1
                 await asyncio.sleep(pause_s)
 
 
--- a/tests/process.py
+++ b/tests/process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from tests.sockets import SETTINGS, Endpoint, Message, Reader, Registry, Writer, read_message
+from tests.sockets import SETTINGS, Endpoint, FakeDiscovery, Message, Reader, Writer, read_message
 
 
 class HasPort(Protocol):
@@ -68,11 +68,11 @@
 
 
 async def ready(port: int) -> None:
-    while not (await call(port, "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
+    while not (await call(port, "GET", "/_ready")).start_line.startswith("HTTP/1.1 200"):
         await asyncio.sleep(0.01)
 
 
-async def with_door(folder: Path, registry: Registry, *endpoints: Endpoint) -> tuple[Process, int, int]:
+async def with_door(folder: Path, registry: FakeDiscovery, *endpoints: Endpoint) -> tuple[Process, int, int]:
     """A sidecar process with its door, ready; and the ports of both."""
     port, door = free_port(), free_port()
     environ = {
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -27,7 +27,7 @@
 from tests.lab import Lab, Program
 from tests.soak_judge import Asked, judge
 from tests.soak_world import Directory, Door, Fate, Record, SoakEndpoint, Weather
-from tests.sockets import SETTINGS, read_message, request
+from tests.sockets import SETTINGS, http_request, read_message
 
 DEADLINE_MS = 1_500
 CLASSES = [
@@ -222,12 +222,12 @@
         self.asked.append(asked)
         asked.sent_at, asked.deadline_ms = time.monotonic(), DEADLINE_MS
         body = b"" if asked.cls == "page" else b"x"
-        writer.write(request(asked.cls, body, deadline_ms=DEADLINE_MS, rid=asked.request_id))
+        writer.write(http_request(asked.cls, body, deadline_ms=DEADLINE_MS, rid=asked.request_id))
         leaves_s = rng.uniform(0.0, 0.2) if rng.random() < LEAVES else DEADLINE_MS / 1000 + 3.0
         try:
             async with asyncio.timeout(leaves_s):
                 back = await read_message(reader)
-                asked.answered_at, asked.status = time.monotonic(), int(back.start.split()[1])
+                asked.answered_at, asked.status = time.monotonic(), int(back.start_line.split()[1])
                 asked.body = back.body.decode()
                 return back.headers.get("connection", "") != "close"
         except TimeoutError:
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -14,12 +14,12 @@
 from enum import StrEnum
 from typing import Any
 
-from tests.sockets import Listener, Reader, Writer, answer, push, push_raw, read_message
+from tests.sockets import LoopbackServer, Reader, Writer, http_response, push_line, push_list, read_message
 
 QUEUE_S, HEARTBEAT_S = 2.0, 1.0
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 REFUSAL = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-NOT_RUN = answer(503, b"", "X-Not-Run: 1\r\n")
+NOT_RUN = http_response(503, b"", "X-Not-Run: 1\r\n")
 
 
 class Weather(StrEnum):
@@ -136,7 +136,7 @@
                 writer.transport.abort()
 
 
-class Door(Listener):
+class Door(LoopbackServer):
     """Discovery as one sidecar reaches it: its calls are told apart by the port."""
 
     def __init__(self, directory: Directory, sidecar: str) -> None:
@@ -167,7 +167,7 @@
         while not (writer.transport.is_closing() or reader.at_eof()):
             if directory.weather is not Weather.SILENT:
                 if directory.generation == told:
-                    push_raw(writer, b"\n")
+                    push_line(writer, b"\n")
                 else:
                     told = directory.generation
                     self._list(writer)
@@ -177,13 +177,13 @@
 
     def _list(self, writer: Writer) -> None:
         entries = list(self.directory.entries.values())
-        push(writer, self.directory.generation, True, *entries)
+        push_list(writer, self.directory.generation, True, *entries)
         self.directory.held[self.sidecar] = self.directory.generation, entries
         for name in self.directory.record.changes:
             self.directory.record.written.setdefault((self.sidecar, name), time.monotonic())
 
 
-class SoakEndpoint(Listener):
+class SoakEndpoint(LoopbackServer):
     """An endpoint that keeps what it was sent; each answer repeats the request's id."""
 
     def __init__(self, name: str, record: Record, seed: int) -> None:
@@ -226,12 +226,12 @@
         match fate:
             case Fate.SERVE:
                 await asyncio.sleep(self.rng.uniform(0.001, 0.01))
-                writer.write(answer(200, request_id.encode()))
+                writer.write(http_response(200, request_id.encode()))
             case Fate.LATE:
                 await asyncio.sleep(self.rng.uniform(0.2, 1.2))
-                writer.write(answer(200, request_id.encode()))
+                writer.write(http_response(200, request_id.encode()))
             case Fate.ERROR:
-                writer.write(answer(500))
+                writer.write(http_response(500))
             case Fate.TURN_AWAY:
                 writer.write(NOT_RUN)
             case Fate.RESET:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -40,13 +40,13 @@
 
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
-LARGE = bytes(range(256)) * 4096  # 1 MiB
+LARGE_BODY = bytes(range(256)) * 4096  # 1 MiB
 TIMEOUT_S = 60.0  # for a test that hangs; nothing is measured by it
 
 
 @dataclass
 class Message:
-    start: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
@@ -70,17 +70,17 @@
     return b"".join(parts)
 
 
-def answer(status: int = 200, body: bytes = b"ok", headers: str = "") -> bytes:
+def http_response(status: int = 200, body: bytes = b"ok", headers: str = "") -> bytes:
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
 
 
-def run(test: Coroutine[Any, Any, None]) -> None:
+def run_test(test: Coroutine[Any, Any, None]) -> None:
     """On the loop that the sidecar runs on; a test that hangs fails."""
     uvloop.run(asyncio.wait_for(test, TIMEOUT_S))
 
 
-async def until(what: Callable[[], bool]) -> None:
+async def wait_until(what: Callable[[], bool]) -> None:
     while not what():
         await asyncio.sleep(0)
 
@@ -93,12 +93,12 @@
 
     @functools.wraps(test)
     def inner(*args: P.args, **kwargs: P.kwargs) -> None:
-        run(test(*args, **kwargs))
+        run_test(test(*args, **kwargs))
 
     return inner
 
 
-def chunks(data: bytes, size: int, extension: bytes = b"", trailer: bytes = b"") -> bytes:
+def encode_chunks(data: bytes, size: int, extension: bytes = b"", trailer: bytes = b"") -> bytes:
     parts = [data[at : at + size] for at in range(0, len(data), size)]
     return (
         b"".join(b"%x%b\r\n%b\r\n" % (len(one), extension, one) for one in parts) + b"0\r\n%b\r\n" % trailer
@@ -109,10 +109,10 @@
 
 
 async def serve_ok(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    writer.write(answer())
+    writer.write(http_response())
 
 
-class Listener:
+class LoopbackServer:
     """Serves connections on a port that the system picks."""
 
     host = "127.0.0.1"
@@ -128,26 +128,26 @@
 
 
 @dataclass
-class Endpoint(Listener):
+class Endpoint(LoopbackServer):
     """Answers each request by its handler and keeps what it was sent."""
 
     handler: Handler = serve_ok
-    got: list[Message] = field(default_factory=list)
-    opened: int = 0
-    closed: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
-    arrived: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
+    received: list[Message] = field(default_factory=list)
+    connection_count: int = 0
+    connection_closed: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
+    request_arrived: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
-        self.opened += 1
+        self.connection_count += 1
         # Cancelled only where the loop ends.
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
                 message = await read_message(reader)
-                self.got.append(message)
-                self.arrived.release()
+                self.received.append(message)
+                self.request_arrived.release()
                 await self.handler(self, message, writer)
         writer.close()
-        self.closed.release()
+        self.connection_closed.release()
 
     def entry(self, name: str = "s-1", **changes: Any) -> dict[str, Any]:
         return {
@@ -157,28 +157,28 @@
 
 
 @dataclass
-class Registry(Listener):
+class FakeDiscovery(LoopbackServer):
     """Discovery: one watch at a time, fed by the test; with `beat_s` it gives signs of life."""
 
-    beat_s: float | None = None
-    asked: asyncio.Queue[tuple[str, Writer]] = field(default_factory=asyncio.Queue)
+    heartbeat_s: float | None = None
+    watches: asyncio.Queue[tuple[str, Writer]] = field(default_factory=asyncio.Queue)
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         message = await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        await self.asked.put((message.start, writer))
+        await self.watches.put((message.start_line, writer))
         over = asyncio.ensure_future(reader.read())
-        while not (await asyncio.wait((over,), timeout=self.beat_s))[0]:
-            push_raw(writer, b"\n")
+        while not (await asyncio.wait((over,), timeout=self.heartbeat_s))[0]:
+            push_line(writer, b"\n")
         writer.close()
 
 
-def push(writer: Writer, generation: int, whole: bool, *entries: dict[str, Any]) -> None:
+def push_list(writer: Writer, generation: int, whole: bool, *entries: dict[str, Any]) -> None:
     line = json.dumps({"generation": generation, "reset": whole, "instances": entries}) + "\n"
-    push_raw(writer, line.encode())
+    push_line(writer, line.encode())
 
 
-def push_raw(writer: Writer, line: bytes) -> None:
+def push_line(writer: Writer, line: bytes) -> None:
     writer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
@@ -189,13 +189,13 @@
     server: Server
     port: int
 
-    def told(self, *entries: dict[str, Any], whole: bool = True) -> None:
-        self.driver.listed(1, whole, list(entries))
+    def set_list(self, *entries: dict[str, Any], is_full: bool = True) -> None:
+        self.driver.apply_list(1, is_full, list(entries))
 
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, raw: bytes) -> Message:
+    async def send(self, raw: bytes) -> Message:
         reader, writer = await self.connect()
         writer.write(raw)
         message = await read_message(reader)
@@ -203,7 +203,7 @@
         return message
 
 
-def request(
+def http_request(
     cls: str = "page", body: bytes = b"", headers: str = "", deadline_ms: int = 4000, rid: str = "r1"
 ) -> bytes:
     method = "GET" if cls == "page" else "POST"
@@ -217,10 +217,10 @@
 
 
 @contextlib.asynccontextmanager
-async def sidecar(
+async def run_sidecar(
     *endpoints: Endpoint,
     known: bool = True,
-    registry: Registry | None = None,
+    discovery_server: FakeDiscovery | None = None,
     ceilings: dict[str, Any] | None = None,
 ) -> AsyncIterator[Sidecar]:
     """A sidecar whose list holds the endpoints, all on ports that the system picks."""
@@ -233,12 +233,12 @@
             stack.callback(listener.close)
         upstream = Upstream(loop, Driver.now, 64)
         driver = Driver(loop, 1, settings, raw, upstream)
-        if registry is not None:
-            listener = await registry.start()
+        if discovery_server is not None:
+            listener = await discovery_server.start()
             stack.callback(listener.close)
-            address = f"127.0.0.1:{registry.port}"
+            address = f"127.0.0.1:{discovery_server.port}"
             driver.discovery = Discovery(
-                loop, address, "/registry/instances", True, driver.listed, random.Random(1)
+                loop, address, "/registry/instances", True, driver.apply_list, random.Random(1)
             )
             stack.callback(driver.discovery.close)
         entries = [one.entry(f"s-{n}") for n, one in enumerate(endpoints)]
@@ -250,10 +250,10 @@
         yield one
         if server.listener is not None:
             server.listener.close()
-        await nothing_owed(one)
+        await assert_nothing_pending(one)
 
 
-async def nothing_owed(one: Sidecar) -> None:
+async def assert_nothing_pending(one: Sidecar) -> None:
     """Once all clients have left: each attempt has ended, and each connection rests or is closed."""
     for caller in list(one.server.callers):
         if caller.transport is not None:
@@ -268,17 +268,17 @@
             *balancer.requests.values(),
             *balancer.ended.values(),
             *(known for known in balancer.endpoints.values() if known.inflight or known.moving),
-            *(upstream.links - resting),
+            *(upstream.connections - resting),
         ]
 
     try:
         async with asyncio.timeout(TIMEOUT_S / 4):
-            await until(lambda: not owed())
+            await wait_until(lambda: not owed())
     except TimeoutError:
         raise AssertionError(f"still owed: {owed()}") from None
 
 
-def outcomes(one: Sidecar) -> list[Outcome]:
+def record_outcomes(one: Sidecar) -> list[Outcome]:
     """All that the module is told of attempts from now on."""
     told: list[Outcome] = []
     real = one.driver.balancer.outcome
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,19 +10,19 @@
 import pytest
 
 from tests.sockets import (
-    LARGE,
+    LARGE_BODY,
     Endpoint,
     Message,
     Sidecar,
     Writer,
-    answer,
-    chunks,
+    encode_chunks,
+    http_request,
+    http_response,
     on_loop,
-    outcomes,
     read_message,
-    request,
-    sidecar,
-    until,
+    record_outcomes,
+    run_sidecar,
+    wait_until,
 )
 from woadyard.net.caller import Caller
 from woadyard.net.message import HOLD_MAX, READ_SIZE
@@ -41,10 +41,15 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 FORMS = {
-    "length": HEAD + b"Content-Length: %d\r\n\r\n%b" % (len(LARGE), LARGE),
-    "chunked": HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LARGE, 7000, b";a=b", b"X-T: 1\r\n"),
-    "close": HEAD + b"\r\n" + LARGE,
-    "interim": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n" + HEAD + b"\r\n" + LARGE,
+    "length": HEAD + b"Content-Length: %d\r\n\r\n%b" % (len(LARGE_BODY), LARGE_BODY),
+    "chunked": HEAD
+    + b"Transfer-Encoding: chunked\r\n\r\n"
+    + encode_chunks(LARGE_BODY, 7000, b";a=b", b"X-T: 1\r\n"),
+    "close": HEAD + b"\r\n" + LARGE_BODY,
+    "interim": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n"
+    + HEAD
+    + b"\r\n"
+    + LARGE_BODY,
     "small close": HEAD + b"\r\nok",
     "small interim": b"HTTP/1.1 102 X\r\n\r\n" + HEAD + b"Content-Length: 2\r\n\r\nok",
     "old": b"HTTP/1.0 200 OK\r\n\r\nok",
@@ -54,12 +59,12 @@
 @pytest.mark.parametrize("form", FORMS)
 @on_loop
 async def test_an_answer_of_any_form_is_passed_on_unchanged(form: str) -> None:
-    async with sidecar(Endpoint(head(FORMS[form]))) as one:
+    async with run_sidecar(Endpoint(head(FORMS[form]))) as one:
         reader, writer = await one.connect()
         for rid in ("r1", "r2"):
-            writer.write(request(rid=rid))
+            writer.write(http_request(rid=rid))
             back = await read_message(reader)
-            assert back.body == (b"ok" if FORMS[form].endswith(b"ok") else LARGE)
+            assert back.body == (b"ok" if FORMS[form].endswith(b"ok") else LARGE_BODY)
             assert "link" not in back.headers and "x-t" not in back.headers
         assert not one.driver.calls and not one.driver.balancer.requests
         assert all(not one.moving for one in one.driver.balancer.endpoints.values())
@@ -67,11 +72,11 @@
 
 @on_loop
 async def test_a_large_answer_to_an_old_caller_ends_with_the_connection() -> None:
-    async with sidecar(Endpoint(head(FORMS["chunked"]))) as one:
+    async with run_sidecar(Endpoint(head(FORMS["chunked"]))) as one:
         reader, writer = await one.connect()
-        writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+        writer.write(http_request().replace(b"HTTP/1.1", b"HTTP/1.0"))
         back = await reader.read()
-        assert back.endswith(LARGE) and b"chunked" not in back[:300]
+        assert back.endswith(LARGE_BODY) and b"chunked" not in back[:300]
 
 
 @on_loop
@@ -84,15 +89,15 @@
         await release.wait()
         writer.write(raw[200:])
 
-    async with sidecar(Endpoint(reply)) as one:
+    async with run_sidecar(Endpoint(reply)) as one:
         reader, writer = await one.connect()
-        writer.write(request(deadline_ms=60_000))
+        writer.write(http_request(deadline_ms=60_000))
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-        assert await reader.readexactly(100) == LARGE[:100]
+        assert await reader.readexactly(100) == LARGE_BODY[:100]
         (call,) = one.driver.calls.values()
         assert call.timer is None, "no time runs that would cut it off"
         release.set()
-        assert await reader.readexactly(len(LARGE) - 100) == LARGE[100:]
+        assert await reader.readexactly(len(LARGE_BODY) - 100) == LARGE_BODY[100:]
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
@@ -100,19 +105,21 @@
 async def test_an_answer_that_breaks_off_is_seen_not_to_be_whole(form: str) -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(FORMS[form][:100_000])
-        await until(lambda: bool(one.driver.calls) and bool(next(iter(one.driver.calls.values())).relayed))
+        await wait_until(
+            lambda: bool(one.driver.calls) and bool(next(iter(one.driver.calls.values())).relayed)
+        )
         linger = struct.pack("ii", 1, 0)  # a reset: a clean end would end the last form
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         writer.transport.abort()
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
-        writer.write(request())
+        writer.write(http_request())
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await read_message(reader)
             await reader.read()
-        assert len(endpoint.got) == 1 and not one.driver.calls and not one.driver.balancer.requests
+        assert len(endpoint.received) == 1 and not one.driver.calls and not one.driver.balancer.requests
 
 
 @pytest.mark.parametrize(
@@ -130,56 +137,56 @@
 @on_loop
 async def test_an_answer_that_cannot_be_read_is_a_failed_attempt(raw: bytes) -> None:
     bad, good = Endpoint(head(raw)), Endpoint()
-    async with sidecar(bad, good) as one:
-        one.told(bad.entry("s-0"))
-        events = outcomes(one)
-        back = await one.ask(request("pay"))
-        assert back.start.split()[1] == "502" and len(bad.got) == 1, "it may have run"
+    async with run_sidecar(bad, good) as one:
+        one.set_list(bad.entry("s-0"))
+        events = record_outcomes(one)
+        back = await one.send(http_request("pay"))
+        assert back.start_line.split()[1] == "502" and len(bad.received) == 1, "it may have run"
         assert len(events) == 1
-        one.told(bad.entry("s-0"), good.entry("s-1"))
+        one.set_list(bad.entry("s-0"), good.entry("s-1"))
         for n in range(4):
-            assert (await one.ask(request("page", rid=f"a{n}"))).body == b"ok"
+            assert (await one.send(http_request("page", rid=f"a{n}"))).body == b"ok"
 
 
 @on_loop
 async def test_a_caller_that_never_reads_holds_up_the_endpoint_and_not_the_memory() -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (64 * len(LARGE)))
+        writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (64 * len(LARGE_BODY)))
         for _ in range(64):
-            writer.write(LARGE)
+            writer.write(LARGE_BODY)
             await writer.drain()
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         one.server.waits.relay_s = 0.2
         reader, writer = await one.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
-        writer.write(request())
-        await until(lambda: bool(one.upstream.links))
-        (link,) = one.upstream.links
-        await until(lambda: link.transport is not None and not link.transport.is_reading())
+        writer.write(http_request())
+        await wait_until(lambda: bool(one.upstream.connections))
+        (link,) = one.upstream.connections
+        await wait_until(lambda: link.transport is not None and not link.transport.is_reading())
         (caller,) = one.server.callers
         assert caller.transport is not None
         assert caller.transport.get_write_buffer_size() <= 4 * READ_SIZE
-        await until(lambda: not one.server.callers and not one.upstream.links)
+        await wait_until(lambda: not one.server.callers and not one.upstream.connections)
         assert not one.driver.calls, "in the end it is cut off"
 
 
 @on_loop
 async def test_a_caller_that_asks_on_and_never_reads_is_served_no_more() -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer(body=LARGE[:HOLD_MAX]))
+        writer.write(http_response(body=LARGE_BODY[:HOLD_MAX]))
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         (caller,) = await callers(one)
         for n in range(400):
-            writer.write(request(rid=f"r{n}"))
-        await until(lambda: caller.paused and not one.driver.calls)
+            writer.write(http_request(rid=f"r{n}"))
+        await wait_until(lambda: caller.paused and not one.driver.calls)
         assert caller.transport is not None
-        served, size = len(endpoint.got), caller.transport.get_write_buffer_size()
+        served, size = len(endpoint.received), caller.transport.get_write_buffer_size()
         assert served < 400 and size <= HOLD_MAX + 4 * READ_SIZE
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(400):
@@ -187,12 +194,12 @@
         one.server.waits.relay_s = 0.05
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(400, 800):
-            writer.write(request(rid=f"r{n}"))
-        await until(lambda: not one.server.callers)
+            writer.write(http_request(rid=f"r{n}"))
+        await wait_until(lambda: not one.server.callers)
 
 
 async def callers(one: Sidecar) -> list[Caller]:
-    await until(lambda: bool(one.server.callers))
+    await wait_until(lambda: bool(one.server.callers))
     return list(one.server.callers)
 
 
@@ -206,12 +213,12 @@
             await super()._serve(reader, writer)
 
     endpoint = Slow()
-    async with sidecar(endpoint) as one:
-        asked = asyncio.create_task(one.ask(request("pay", LARGE * 16)))
-        await until(lambda: any(link.upload for link in one.upstream.links))
-        (caller,), (link,) = one.server.callers, one.upstream.links
+    async with run_sidecar(endpoint) as one:
+        asked = asyncio.create_task(one.send(http_request("pay", LARGE_BODY * 16)))
+        await wait_until(lambda: any(link.upload for link in one.upstream.connections))
+        (caller,), (link,) = one.server.callers, one.upstream.connections
         assert link.transport is not None
-        await until(lambda: caller.paused)
+        await wait_until(lambda: caller.paused)
         assert link.transport.get_write_buffer_size() <= 4 * READ_SIZE
         release.set()
-        assert (await asked).body == b"ok" and endpoint.got[0].body == LARGE * 16
+        assert (await asked).body == b"ok" and endpoint.received[0].body == LARGE_BODY * 16
--- a/tests/test_audit_faults.py
+++ b/tests/test_audit_faults.py
@@ -12,7 +12,7 @@
 
 from tests.audit_fleet import Fleet, Member
 from tests.faults import DROP
-from tests.sockets import run
+from tests.sockets import run_test
 from tests.test_registry import ask
 
 SECONDS = float(os.environ.get("AUDIT_FAULT_S", "8"))  # of faults; by hand it is run for longer
@@ -49,7 +49,7 @@
                 gaps = (await fleet.told(f"gaps?name={one.name}"))["gaps"]
                 assert len(gaps) == 1 and gaps[0][1] is None  # only what is not reported yet
 
-    run(main())
+    run_test(main())
 
 
 def test_what_kills_of_sidecars_lose_lies_in_gaps_that_the_ledger_declares(tmp_path: Path) -> None:
@@ -87,7 +87,7 @@
                 exact[key] == fleet.counted[key] for key in fleet.counted if key[0] in ("n2", "n3", "n4")
             )
 
-    run(main())
+    run_test(main())
 
 
 def test_a_writer_killed_under_reports_loses_nothing_it_acked_and_counts_nothing_twice(
@@ -109,7 +109,7 @@
             told = await fleet.told("out-of-use?generation=6", which=1)  # 7 and on by the new writer
             assert told["out_of_use"], told
 
-    run(main())
+    run_test(main())
 
 
 def test_one_whose_watch_is_dropped_is_brought_up_by_its_report(tmp_path: Path) -> None:
@@ -129,7 +129,7 @@
             log = (fleet.folder / one.name / "log").read_text()
             assert "the list comes with the audit's answer" in log
 
-    run(main())
+    run_test(main())
 
 
 def test_one_whose_bring_ups_fail_is_shut_out_with_its_lease_and_comes_back(tmp_path: Path) -> None:
@@ -174,7 +174,7 @@
             assert await fleet.health(one) == 200 and (await hold("n0@x", 4000))[0] == 200
             assert [other.answers.keys() for other in fleet.members[1:]] == [{200}] * 4
 
-    run(main())
+    run_test(main())
 
 
 def test_where_most_are_behind_the_fleet_is_held_and_no_request_is_refused(tmp_path: Path) -> None:
@@ -203,4 +203,4 @@
             log = (fleet.folder / "service-0.log").read_text()
             assert "held: too many" in log and "sidecar shut out" not in log
 
-    run(main())
+    run_test(main())
--- a/tests/test_audit_service.py
+++ b/tests/test_audit_service.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tests.sockets import run
+from tests.sockets import run_test
 from tests.test_registry import ask
 from woadyard.audit import Position, Report, Spans
 from woadyard.registry.http import serve
@@ -62,4 +62,4 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(main())
+    run_test(main())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -7,45 +7,45 @@
 import pytest
 
 from tests.sockets import (
-    LARGE,
+    LARGE_BODY,
     Endpoint,
     Message,
     Writer,
-    answer,
-    chunks,
+    encode_chunks,
+    http_request,
+    http_response,
     on_loop,
-    outcomes,
     read_message,
-    request,
-    sidecar,
-    until,
+    record_outcomes,
+    run_sidecar,
+    wait_until,
 )
 from woadyard.interface import NO_CONNECT
 from woadyard.net.message import HOLD_MAX
 
 
 def chunked(cls: str, body: bytes, rid: str = "r1") -> bytes:
-    head = request(cls, rid=rid).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-    return head + chunks(body, 5000, b';note="a;b"', b"X-Class: other\r\n")
+    head = http_request(cls, rid=rid).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+    return head + encode_chunks(body, 5000, b';note="a;b"', b"X-Class: other\r\n")
 
 
 # --- From callers ---------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("size", [10, HOLD_MAX, HOLD_MAX + 1, len(LARGE)])
+@pytest.mark.parametrize("size", [10, HOLD_MAX, HOLD_MAX + 1, len(LARGE_BODY)])
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @on_loop
 async def test_a_body_reaches_the_endpoint_whole_and_the_connection_is_kept(size: int, form: str) -> None:
-    endpoint, body = Endpoint(), LARGE[:size]
-    async with sidecar(endpoint) as one:
+    endpoint, body = Endpoint(), LARGE_BODY[:size]
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
         for rid in ("r1", "r2"):
-            raw = request("pay", body, rid=rid) if form == "length" else chunked("pay", body, rid)
+            raw = http_request("pay", body, rid=rid) if form == "length" else chunked("pay", body, rid)
             writer.write(raw)
             back = await read_message(reader)
             assert back.body == b"ok" and "connection" not in back.headers
-        assert [one.body for one in endpoint.got] == [body, body] and endpoint.opened == 1
-        assert all(0 < int(one.headers["x-deadline-ms"]) <= 4000 for one in endpoint.got)
+        assert [one.body for one in endpoint.received] == [body, body] and endpoint.connection_count == 1
+        assert all(0 < int(one.headers["x-deadline-ms"]) <= 4000 for one in endpoint.received)
         assert not one.driver.calls and not one.driver.balancer.requests
         assert all(not one.moving for one in one.driver.balancer.endpoints.values())
 
@@ -53,19 +53,23 @@
 @on_loop
 async def test_large_bodies_sent_ahead_are_served_in_turn() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
-        writer.write(request("pay", LARGE, rid="r1") + chunked("pay", LARGE, "r2") + request(rid="r3"))
+        writer.write(
+            http_request("pay", LARGE_BODY, rid="r1")
+            + chunked("pay", LARGE_BODY, "r2")
+            + http_request(rid="r3")
+        )
         for _ in range(3):
             assert (await read_message(reader)).body == b"ok"
-        assert [len(one.body) for one in endpoint.got] == [len(LARGE), len(LARGE), 0]
+        assert [len(one.body) for one in endpoint.received] == [len(LARGE_BODY), len(LARGE_BODY), 0]
 
 
 @on_loop
 async def test_a_caller_that_expects_a_word_gets_it_before_its_body() -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         reader, writer = await one.connect()
-        raw = request("pay", b"sum", headers="Expect: 100-continue\r\n")
+        raw = http_request("pay", b"sum", headers="Expect: 100-continue\r\n")
         writer.write(raw[:-3])
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         writer.write(b"sum")
@@ -75,20 +79,20 @@
 @on_loop
 async def test_white_space_around_values_and_trailers_change_nothing() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         raw = chunked("pay", b"sum").replace(b"X-Class: pay", b"X-Class: \t pay \t")
-        assert (await one.ask(raw.replace(b"-Ms: 4000", b"-Ms: 4000 "))).body == b"ok"
-        assert endpoint.got[0].headers["x-class"] == "pay"
+        assert (await one.send(raw.replace(b"-Ms: 4000", b"-Ms: 4000 "))).body == b"ok"
+        assert endpoint.received[0].headers["x-class"] == "pay"
 
 
 @pytest.mark.parametrize(
     "raw",
     [
-        request("pay", b"sum").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\n"),
-        request("pay", b"sum").replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        http_request("pay", b"sum").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\n"),
+        http_request("pay", b"sum").replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n"),
         chunked("pay", b"sum").replace(b"chunked\r\n", b"gzip, chunked\r\n"),
         chunked("pay", b"sum").replace(b"chunked\r\n", b"chunked\r\nTransfer-Encoding: chunked\r\n"),
-        request("pay", b"sum").replace(b"Length: 3", b"Length: +3"),
+        http_request("pay", b"sum").replace(b"Length: 3", b"Length: +3"),
         chunked("pay", b"sum").replace(b"3;note", b"3x;note"),
     ],
     ids=["doubled", "both", "gzip", "coded twice", "signed", "bad chunk"],
@@ -96,36 +100,36 @@
 @on_loop
 async def test_framing_that_is_doubled_or_unknown_is_refused(raw: bytes) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        back = await one.ask(raw)
-        assert back.start.split()[1] in ("400", "501") and not endpoint.got
+    async with run_sidecar(endpoint) as one:
+        back = await one.send(raw)
+        assert back.start_line.split()[1] in ("400", "501") and not endpoint.received
 
 
 @on_loop
 async def test_a_large_body_is_sent_once_and_a_connection_that_never_came_up_costs_it_nothing() -> None:
     async def fail(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer(500))
+        writer.write(http_response(500))
 
     bad, closed, good = Endpoint(fail), Endpoint(), Endpoint()
-    async with sidecar(bad, good) as one:
+    async with run_sidecar(bad, good) as one:
         (await closed.start()).close()  # nobody listens there
-        one.told(closed.entry("s-0"), good.entry("s-1"))
+        one.set_list(closed.entry("s-0"), good.entry("s-1"))
         for n in range(8):  # to either first
-            assert (await one.ask(request("put", LARGE, rid=f"a{n}"))).body == b"ok"
-        one.told(bad.entry("s-0"))
-        back = await one.ask(request("put", LARGE, rid="b"))
-        assert back.start.split()[1] == "502" and len(bad.got) == 1
+            assert (await one.send(http_request("put", LARGE_BODY, rid=f"a{n}"))).body == b"ok"
+        one.set_list(bad.entry("s-0"))
+        back = await one.send(http_request("put", LARGE_BODY, rid="b"))
+        assert back.start_line.split()[1] == "502" and len(bad.received) == 1
 
 
 @on_loop
 async def test_an_answer_while_the_body_still_comes_does_not_cut_it_off() -> None:
-    async with sidecar(Endpoint(), known=False) as one:
+    async with run_sidecar(Endpoint(), known=False) as one:
         one.driver.balancer.membership.banned[7] = None  # all endpoints are out: refused at once
         reader, writer = await one.connect()
-        raw = request("pay", LARGE)
+        raw = http_request("pay", LARGE_BODY)
         writer.write(raw[:70_000])
         back = await read_message(reader)
-        assert back.start.split()[1] == "503" and back.headers["connection"] == "close"
+        assert back.start_line.split()[1] == "503" and back.headers["connection"] == "close"
         writer.write(raw[70_000:])
         await writer.drain()
         assert await reader.read() == b"", "closed once all of it was read"
@@ -134,21 +138,21 @@
 @on_loop
 async def test_a_body_that_gets_on_is_waited_for_and_one_that_does_not_is_refused() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         one.server.waits.request_s = 0.05
         one.server.waits.load_s = 0.05
         reader, writer = await one.connect()
-        raw = request("pay", LARGE)
+        raw = http_request("pay", LARGE_BODY)
         writer.write(raw[:70_000])
-        await until(lambda: bool(one.upstream.links))
+        await wait_until(lambda: bool(one.upstream.connections))
         (caller,) = one.server.callers
         for at in range(70_000, 70_000 + 5 * 40_000, 40_000):
             before = caller.patience
-            await until(lambda before=before: caller.patience is not before)  # type: ignore[misc]
+            await wait_until(lambda before=before: caller.patience is not before)  # type: ignore[misc]
             writer.write(raw[at : at + 40_000])
-            await until(lambda at=at: caller.incoming.size >= at - 20_000)  # type: ignore[misc]
-        assert (await read_message(reader)).start.split()[1] == "408"
-        assert not one.driver.calls and not endpoint.got
+            await wait_until(lambda at=at: caller.incoming.size >= at - 20_000)  # type: ignore[misc]
+        assert (await read_message(reader)).start_line.split()[1] == "408"
+        assert not one.driver.calls and not endpoint.received
 
 
 @on_loop
@@ -157,24 +161,24 @@
         async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
             reader._transport.pause_reading()  # type: ignore[attr-defined]
 
-    async with sidecar(Frozen()) as one:
+    async with run_sidecar(Frozen()) as one:
         one.server.waits.request_s = 0.05
         one.server.waits.load_s = 0.05
-        events = outcomes(one)
+        events = record_outcomes(one)
         reader, writer = await one.connect()
-        writer.write(request("pay", LARGE * 40))
+        writer.write(http_request("pay", LARGE_BODY * 40))
         back = await read_message(reader)
-        assert back.start.split()[1] == "503", "no endpoint has it whole: trying again is harmless"
+        assert back.start_line.split()[1] == "503", "no endpoint has it whole: trying again is harmless"
         assert [event.outcome for event in events] == [NO_CONNECT]
         assert not one.driver.calls and not one.driver.balancer.requests
 
 
 @on_loop
 async def test_a_body_that_stops_after_its_answer_gets_no_second_one() -> None:
-    async with sidecar(Endpoint(), known=False) as one:
+    async with run_sidecar(Endpoint(), known=False) as one:
         one.server.waits.request_s = 0.05
         one.driver.balancer.membership.banned[7] = None  # all endpoints are out: refused at once
         reader, writer = await one.connect()
-        writer.write(request("pay", LARGE)[:70_000])
-        assert (await read_message(reader)).start.split()[1] == "503"
+        writer.write(http_request("pay", LARGE_BODY)[:70_000])
+        assert (await read_message(reader)).start_line.split()[1] == "503"
         assert await reader.read() == b""
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -13,15 +13,15 @@
     Endpoint,
     Message,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
     read_message,
-    request,
-    sidecar,
+    run_sidecar,
 )
 from woadyard.net.asked import key_of
 from woadyard.net.caller import Caller
-from woadyard.net.link import Link
+from woadyard.net.endpoint_connection import EndpointConnection
 from woadyard.net.message import Attempt, Call
 from woadyard.net.state import endpoint_number
 
@@ -33,15 +33,15 @@
 @on_loop
 async def test_at_the_limit_the_longest_at_rest_gives_way_never_a_new_one() -> None:
     """A new connection that was closed to make room lost the request on its way."""
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.most = 12  # 9 of them for callers
         new = [await one.connect() for _ in range(9)]
         for n, (reader, writer) in enumerate(new):
-            writer.write(request(rid=f"r{n}"))
+            writer.write(http_request(rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
         _, extra = await one.connect()
         assert await new[0][0].read() == b"", "the one that rested longest"
-        new[1][1].write(request(rid="again"))
+        new[1][1].write(http_request(rid="again"))
         assert (await read_message(new[1][0])).body == b"ok"
         for _, writer in [*new, (None, extra)]:
             writer.close()
@@ -51,23 +51,23 @@
 async def test_in_a_crowd_the_first_to_come_gives_way_once_it_owes_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.most = 8  # 6 of them for callers
         crowd = [await one.connect() for _ in range(6)]
         late, late_writer = await one.connect()
         with contextlib.suppress(ConnectionError):
             assert await late.read() == b"", "none may be closed yet"
         assert len(one.server.callers) == 6
-        crowd[0][1].write(request(rid="taken"))
+        crowd[0][1].write(http_request(rid="taken"))
         assert (await read_message(crowd[0][0])).body == b"ok"
         one.server.resting.clear()  # as if it were being served
         one.server.waits.crowd_s = 0.0
         good, good_writer = await one.connect()
-        good_writer.write(request(rid="good"))
+        good_writer.write(http_request(rid="good"))
         assert (await read_message(good)).body == b"ok"
         assert await crowd[1][0].read() == b"", "the first that brought nothing"
         one.server.share(0.5)
-        assert one.upstream.most == one.server.most == 256
+        assert one.upstream.max_sockets == one.server.most == 256
         for _, writer in [*crowd, (None, good_writer), (None, late_writer)]:
             writer.close()
 
@@ -75,43 +75,46 @@
 @on_loop
 async def test_a_caller_at_rest_gives_way_to_an_attempt_before_an_idle_connection_does() -> None:
     first, second = Endpoint(), Endpoint(hold)
-    async with sidecar(first, second) as one:
-        one.told(first.entry("s-0"))
+    async with run_sidecar(first, second) as one:
+        one.set_list(first.entry("s-0"))
         resting, writer = await one.connect()
-        writer.write(request(rid="r0"))
+        writer.write(http_request(rid="r0"))
         await read_message(resting)
-        await one.ask(request())
-        one.told(first.entry("s-0"), second.entry("s-1"))
+        await one.send(http_request())
+        one.set_list(first.entry("s-0"), second.entry("s-1"))
         vars(one.driver.balancer.choice)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
-        one.upstream.others, one.upstream.give_way = lambda: len(one.server.callers), one.server.give_way
+        one.upstream.count_client_connections, one.upstream.close_client_connection = (
+            lambda: len(one.server.callers),
+            one.server.give_way,
+        )
         while len(one.server.callers) > 1:  # the one that asked has closed
             await asyncio.sleep(0)
         _, asker = await one.connect()
         while len(one.server.callers) < 2:
             await asyncio.sleep(0)
-        one.upstream.most = len(one.upstream.links) + len(one.server.callers)
-        asker.write(request(rid="r2"))
-        await second.arrived.acquire()
+        one.upstream.max_sockets = len(one.upstream.connections) + len(one.server.callers)
+        asker.write(http_request(rid="r2"))
+        await second.request_arrived.acquire()
         assert await resting.read() == b""
         assert one.upstream.pools[endpoint_number("s-0")].idle, "an endpoint's connection is dearer"
 
 
 @on_loop
 async def test_a_caller_that_rests_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.waits.rest_s = 0.01
         for n in range(2):
             reader, writer = await one.connect()
-            writer.write(request(rid=f"r{n}"))
+            writer.write(http_request(rid=f"r{n}"))
             assert (await reader.read()).startswith(b"HTTP/1.1 200 "), "whole, then the end"
         assert not one.server.resting
 
 
 @on_loop
 async def test_a_health_check_is_answered_and_its_connection_ended() -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         reader, writer = await one.connect()
         writer.write(b"GET /health/ready HTTP/1.1\r\n\r\n")
         back = await reader.read()
@@ -119,16 +122,16 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "expected"), [(b"\r\n", b""), (request("pay", b"sum")[:-1], b"HTTP/1.1 408 ")]
+    ("sent", "expected"), [(b"\r\n", b""), (http_request("pay", b"sum")[:-1], b"HTTP/1.1 408 ")]
 )
 @on_loop
 async def test_who_brings_no_whole_request_is_ended_and_who_rests_is_not(
     sent: bytes, expected: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
-        writer.write(request())
+        writer.write(http_request())
         await read_message(reader)
         one.server.waits.request_s = 0.01
         silent, _ = await one.connect()
@@ -142,9 +145,9 @@
 
 @on_loop
 async def test_ready_does_not_wait_for_discovery() -> None:
-    async with sidecar(known=False) as one:
-        back = await one.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert back.start.startswith("HTTP/1.1 200")
+    async with run_sidecar(known=False) as one:
+        back = await one.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert back.start_line.startswith("HTTP/1.1 200")
 
 
 def test_keys_are_numbers_of_what_a_request_is_about() -> None:
@@ -158,20 +161,22 @@
     """Circles of garbage wait for the collector, and a day's memory grew by them."""
 
     async def refuse(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer(500, headers="Connection: close\r\n"))
+        writer.write(http_response(500, headers="Connection: close\r\n"))
 
     gc.collect()
     gc.disable()
     try:
-        async with sidecar(Endpoint(), Endpoint(refuse)) as one:
+        async with run_sidecar(Endpoint(), Endpoint(refuse)) as one:
             for n in range(20):
-                await one.ask(request(rid=f"r{n}"))
+                await one.send(http_request(rid=f"r{n}"))
             while one.server.callers:
                 await asyncio.sleep(0)
             for _ in range(5):
                 await asyncio.sleep(0)  # what the loop still holds
-            kinds = (Call, Attempt, Caller, Link)
+            kinds = (Call, Attempt, Caller, EndpointConnection)
             left = Counter(type(one).__name__ for one in gc.get_objects() if isinstance(one, kinds))
-            assert set(left) <= {"Link"} and left["Link"] <= len(one.upstream.links)
+            assert set(left) <= {"EndpointConnection"} and left["EndpointConnection"] <= len(
+                one.upstream.connections
+            )
     finally:
         gc.enable()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.process import config, free_port, start
-from tests.sockets import SETTINGS, Registry, run
+from tests.sockets import SETTINGS, FakeDiscovery, run_test
 
 CLASS = SETTINGS["classes"][0]
 # Each turned down by SIGHUP; the last three also by the start.
@@ -52,7 +52,7 @@
 
 def test_each_fault_that_sighup_turns_down_is_its_line_and_the_process_is_untouched(tmp_path: Path) -> None:
     async def main() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         async with await registry.start():
             environ = {**config(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
             path = Path(environ["LB_CONFIG"])
@@ -62,7 +62,7 @@
             assert await check_config(path) == (0, [f"{path}: good"])
             process = await start(environ)
             assert process.stderr is not None
-            await registry.asked.get()
+            await registry.watches.get()
             for bad in BAD_RELOADS:
                 write(path, good, bad)
                 code, lines = await check_config(path, "--in-force", str(in_force))
@@ -75,13 +75,13 @@
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("bad", BAD_STARTS)
 def test_a_fault_that_stops_a_start_is_the_same_line(tmp_path: Path, bad: dict[str, Any]) -> None:
     async def main() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         environ = config(tmp_path, registry, **bad)
         code, lines = await check_config(Path(environ["LB_CONFIG"]))
         process = await start(environ)
@@ -89,7 +89,7 @@
         assert (code, process.returncode) == (2, 2)
         assert json.loads(errors)["error"] == lines[0]
 
-    run(main())
+    run_test(main())
 
 
 def test_each_command_has_help() -> None:
@@ -101,4 +101,4 @@
             out, _ = await process.communicate()
             assert process.returncode == 0 and out.startswith(b"usage: woadyard")
 
-    run(main())
+    run_test(main())
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -17,17 +17,17 @@
 from tests.sockets import (
     TIMEOUT_S,
     Endpoint,
+    FakeDiscovery,
     Message,
-    Registry,
     Sidecar,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    push,
+    push_list,
     read_message,
-    request,
-    sidecar,
-    until,
+    run_sidecar,
+    wait_until,
 )
 from woadyard.net.caller import Caller
 from woadyard.net.console import VISITORS_MOST
@@ -37,7 +37,7 @@
     """A connection of its own, and the sidecar's side of it."""
     before = set(one.server.callers)
     reader, writer = await one.connect()
-    await until(lambda: bool(one.server.callers.keys() - before))
+    await wait_until(lambda: bool(one.server.callers.keys() - before))
     (caller,) = one.server.callers.keys() - before
     return reader, writer, caller
 
@@ -48,22 +48,22 @@
     body = b"x" * 60_000
 
     async def large(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer(body=body))
+        writer.write(http_response(body=body))
 
-    async with sidecar(Endpoint(large)) as one:
+    async with run_sidecar(Endpoint(large)) as one:
         one.server.most = 2  # one of them for callers
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.setblocking(False)
         loop = asyncio.get_running_loop()
         await loop.sock_connect(slow, ("127.0.0.1", one.port))
-        await until(lambda: bool(one.server.callers))
+        await wait_until(lambda: bool(one.server.callers))
         (caller,) = one.server.callers
         assert caller.transport is not None
         ours = caller.transport.get_extra_info("socket")
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        await loop.sock_sendall(slow, request())
-        await until(lambda: caller in one.server.resting)
+        await loop.sock_sendall(slow, http_request())
+        await wait_until(lambda: caller in one.server.resting)
         assert caller.transport.get_write_buffer_size()
         late, _ = await one.connect()
         with contextlib.suppress(ConnectionError):
@@ -71,92 +71,96 @@
         assert list(one.server.callers) == [caller] and not caller.over
         reader, writer = await asyncio.open_connection(sock=slow)
         assert (await read_message(reader)).body == body
-        writer.write(request(rid="r2"))
+        writer.write(http_request(rid="r2"))
         assert (await read_message(reader)).body == body
         writer.close()
-        await until(lambda: not one.server.callers)
+        await wait_until(lambda: not one.server.callers)
 
 
 @on_loop
 async def test_refused_peers_that_hold_on_give_way_to_who_asks() -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.most = 8  # 6 of them for callers
         one.server.waits.linger_s, one.server.waits.answered_s = TIMEOUT_S, 0.0
         crowd = [await one.connect() for _ in range(6)]
         for reader, writer in crowd:
             writer.write(b"nonsense\r\n\r\n")
-            assert (await read_message(reader)).start.split()[1] == "400"
+            assert (await read_message(reader)).start_line.split()[1] == "400"
         assert len(one.server.callers) == 6
         resting, resting_writer, _ = await joined(one)
-        resting_writer.write(request(rid="rests"))
+        resting_writer.write(http_request(rid="rests"))
         assert (await read_message(resting)).body == b"ok"
-        assert (await one.ask(request(rid="good"))).body == b"ok"
-        resting_writer.write(request(rid="again"))
+        assert (await one.send(http_request(rid="good"))).body == b"ok"
+        resting_writer.write(http_request(rid="again"))
         assert (await read_message(resting)).body == b"ok", "who was refused goes before who rests"
         for _, writer in [*crowd, (None, resting_writer)]:
             writer.close()
-        await until(lambda: not one.server.callers)
+        await wait_until(lambda: not one.server.callers)
 
 
 @on_loop
 async def test_a_refused_peer_has_a_moment_to_read_its_answer_whoever_comes() -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.most = 2  # one of them for callers
         one.server.waits.linger_s = one.server.waits.answered_s = TIMEOUT_S
         reader, writer, caller = await joined(one)
         writer.write(b"nonsense\r\n\r\n")
-        assert (await read_message(reader)).start.split()[1] == "400"
+        assert (await read_message(reader)).start_line.split()[1] == "400"
         late, _ = await one.connect()
         with contextlib.suppress(ConnectionError):
             assert await late.read() == b""
         assert list(one.server.callers) == [caller]
         writer.close()
-        await until(lambda: not one.server.callers)
+        await wait_until(lambda: not one.server.callers)
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /pa"], ids=["silent", "half a request"])
 @on_loop
 async def test_who_owes_a_request_for_long_gives_way_before_who_came_to_rest_just_now(sent: bytes) -> None:
     """The next request of the one at rest may be on its way: that one would be lost."""
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.most = 4  # 3 of them for callers
         one.server.waits.crowd_s = one.server.waits.request_s = TIMEOUT_S
         resting, resting_writer, _ = await joined(one)
-        resting_writer.write(request(rid="rests"))
+        resting_writer.write(http_request(rid="rests"))
         assert (await read_message(resting)).body == b"ok"
         reader, writer, owing = await joined(one)
         _, fresh_writer, fresh = await joined(one)
         writer.write(sent)
-        await until(lambda: owing.incoming.reading == bool(sent))
+        await wait_until(lambda: owing.incoming.reading == bool(sent))
         owing.owed_since -= 2 * TIMEOUT_S
-        assert (await one.ask(request(rid="good"))).body == b"ok"
+        assert (await one.send(http_request(rid="good"))).body == b"ok"
         assert await reader.read() == b"" and fresh in one.server.callers
-        resting_writer.write(request(rid="again"))
+        resting_writer.write(http_request(rid="again"))
         assert (await read_message(resting)).body == b"ok"
         for each in (writer, fresh_writer, resting_writer):
             each.close()
-        await until(lambda: not one.server.callers)
+        await wait_until(lambda: not one.server.callers)
 
 
 @on_loop
 async def test_ids_that_are_remembered_are_bounded_in_number(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("woadyard.net.server.IDS_MOST", 3)
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         for n in range(5):
-            assert (await one.ask(request(rid=f"r{n}"))).body == b"ok"
-        for bad in (request("none", rid="bad"), request(rid="x" * 129), request(deadline_ms=-1, rid="bad")):
-            assert (await one.ask(bad)).start.split()[1][0] == "4"
+            assert (await one.send(http_request(rid=f"r{n}"))).body == b"ok"
+        for bad in (
+            http_request("none", rid="bad"),
+            http_request(rid="x" * 129),
+            http_request(deadline_ms=-1, rid="bad"),
+        ):
+            assert (await one.send(bad)).start_line.split()[1][0] == "4"
         assert list(one.server.ids) == [b"r2", b"r3", b"r4"], "the latest, and none of a bad request"
-        assert (await one.ask(request(rid="r4"))).start.split()[1] == "409"
+        assert (await one.send(http_request(rid="r4"))).start_line.split()[1] == "409"
 
 
 @on_loop
 async def test_two_processes_together_stay_within_the_limit() -> None:
     """Each has its own listener, watch and door besides the sockets of both sides."""
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.whole, one.server.aside = 256 - 64, 64
         one.server.share(0.5)
-        assert 2 * (one.server.most + 64) == 256 and one.upstream.most == one.server.most
+        assert 2 * (one.server.most + 64) == 256 and one.upstream.max_sockets == one.server.most
         one.server.share(1.0)
         assert one.server.most + 64 == 256
 
@@ -164,8 +168,8 @@
 @pytest.mark.parametrize("adopted", [False, True], ids=["own", "adopted"])
 @on_loop
 async def test_small_writes_leave_at_once_on_every_side(adopted: bool) -> None:
-    registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as one:
+    registry = FakeDiscovery()
+    async with run_sidecar(Endpoint(), discovery_server=registry) as one:
         if adopted:
             assert one.server.listener is not None
             one.server.listener.close()
@@ -173,10 +177,10 @@
             one.port = listening.getsockname()[1]
             await one.server.adopt(listening.detach())
         reader, writer, caller = await joined(one)
-        writer.write(request())
+        writer.write(http_request())
         assert (await read_message(reader)).body == b"ok"
-        await registry.asked.get()
-        (link,) = one.upstream.links
+        await registry.watches.get()
+        (link,) = one.upstream.connections
         assert one.driver.discovery is not None and one.driver.discovery.stream is not None
         for each in (caller.transport, link.transport, one.driver.discovery.stream.transport):
             assert each is not None
@@ -229,7 +233,7 @@
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             with contextlib.closing(writer):
-                writer.write(request(rid=f"good-{n}"))
+                writer.write(http_request(rid=f"good-{n}"))
                 return await read_message(reader)
         await asyncio.sleep(0.01)
     raise AssertionError
@@ -242,7 +246,7 @@
 ) -> None:
     """It comes while discovery is down, to the callers' side and to the door; the settings
     or the system say how many descriptors there are."""
-    endpoint, registry = Endpoint(), Registry()
+    endpoint, registry = Endpoint(), FakeDiscovery()
     registry.port, port, door = free_port(), free_port(), free_port()
     environ = {
         **config(tmp_path, registry, endpoint, limits={"sockets": told}),
@@ -258,10 +262,10 @@
                 while sum(ended(one) for one in callers) < 200:
                     peak = max(peak, descriptors(process))
                     await asyncio.sleep(0)
-                assert (await call(door, "GET", "/_ready")).start.startswith("HTTP/1.1 200")
+                assert (await call(door, "GET", "/_ready")).start_line.startswith("HTTP/1.1 200")
                 async with await registry.start(registry.port):
-                    _, watch = await registry.asked.get()
-                    push(watch, 2, True, endpoint.entry())
+                    _, watch = await registry.watches.get()
+                    push_list(watch, 2, True, endpoint.entry())
                     assert (await asked(port)).body == b"ok"
                     assert peak <= min(told, given) - 16, "a quarter of what both sides share"
                     process.terminate()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,15 @@
 
 import pytest
 
-from tests.sockets import Endpoint, Registry, push, read_message, request, run, sidecar
+from tests.sockets import (
+    Endpoint,
+    FakeDiscovery,
+    http_request,
+    push_list,
+    read_message,
+    run_sidecar,
+    run_test,
+)
 from woadyard.errors import PeerError
 from woadyard.net.discovery import LOST, Discovery
 from woadyard.net.lines import Objects
@@ -130,11 +138,11 @@
 def test_a_list_older_than_a_drain_does_not_bring_the_endpoint_back() -> None:
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
-        async with sidecar(first, second) as one:
+        async with run_sidecar(first, second) as one:
             numbers = {endpoint_number(name): name for name in ("s-0", "s-1")}
 
             def told(version: int, whole: bool, *entries: dict[str, Any]) -> set[str]:
-                one.driver.listed(version, whole, list(entries))
+                one.driver.apply_list(version, whole, list(entries))
                 ready = {numbers[endpoint.id] for _, endpoint in one.driver.balancer.ring.order}
                 assert ready == {numbers[number] for number in one.upstream.pools}
                 return ready
@@ -149,25 +157,25 @@
             told(47, False, first.entry("s-0", lifecycle="gone"))
             assert told(48, True, *both) == {"s-0", "s-1"}, "a newer list may take it back"
 
-    run(main())
+    run_test(main())
 
 
 def test_an_empty_list_is_believed_and_the_next_one_serves_again() -> None:
     async def main() -> None:
-        endpoint, registry = Endpoint(), Registry()
-        async with sidecar(endpoint, registry=registry) as one:
-            _, watch = await registry.asked.get()
-            push(watch, 42, True)
+        endpoint, registry = Endpoint(), FakeDiscovery()
+        async with run_sidecar(endpoint, discovery_server=registry) as one:
+            _, watch = await registry.watches.get()
+            push_list(watch, 42, True)
             while one.driver.balancer.ring.order:
                 await asyncio.sleep(0)
-            refused = await one.ask(request(deadline_ms=60))
-            assert refused.start.split()[1] == "503" and not endpoint.got
-            push(watch, 43, True, endpoint.entry("s-0"))
+            refused = await one.send(http_request(deadline_ms=60))
+            assert refused.start_line.split()[1] == "503" and not endpoint.received
+            push_list(watch, 43, True, endpoint.entry("s-0"))
             while not one.driver.balancer.ring.order:
                 await asyncio.sleep(0)
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(http_request(rid="r2"))).body == b"ok"
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
@@ -184,7 +192,7 @@
 ) -> None:
     async def main() -> None:
         async def once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await read_message(reader)).start)
+            asked.append((await read_message(reader)).start_line)
             if len(asked) > 1:
                 again.set()
                 await reader.read()
@@ -194,16 +202,16 @@
 
         asked, again = list[str](), asyncio.Event()
         listener = await asyncio.start_server(once, "127.0.0.1", 0)
-        registry = Registry()
-        async with listener, sidecar(Endpoint(), registry=registry) as one:
+        registry = FakeDiscovery()
+        async with listener, run_sidecar(Endpoint(), discovery_server=registry) as one:
             assert one.driver.discovery is not None
             one.driver.discovery.move(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
             await again.wait()
             assert "from=41 " in asked[1], "nothing of it was taken"
-            assert (await one.ask(request())).body == b"ok"
+            assert (await one.send(http_request())).body == b"ok"
             one.driver.discovery.close()
 
-    run(main())
+    run_test(main())
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -211,8 +219,8 @@
     """What discovery has counts as told from a process's first moment, watch or no watch."""
 
     async def main() -> None:
-        registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as one:
+        registry = FakeDiscovery()
+        async with run_sidecar(Endpoint(), discovery_server=registry) as one:
             discovery = one.driver.discovery
             assert discovery is not None
             monkeypatch.setattr("woadyard.net.discovery.FIRST_LIST_S", 0.01)
@@ -220,27 +228,27 @@
             assert not discovery.told.is_set(), "discovery may be down"
             monkeypatch.setattr("woadyard.net.discovery.FIRST_LIST_S", 60.0)
             waiting = asyncio.create_task(discovery.first())
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             assert not waiting.done()
-            push(watch, 42, True)
+            push_list(watch, 42, True)
             await waiting
-            assert not one.driver.listing.ready()
+            assert not one.driver.listed_endpoints.ready()
 
-    run(main())
+    run_test(main())
 
 
 def test_discovery_that_is_down_is_asked_again_and_serves_once_it_is_back() -> None:
     async def main() -> None:
-        registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as one:
-            _, watch = await registry.asked.get()
+        registry = FakeDiscovery()
+        async with run_sidecar(Endpoint(), discovery_server=registry) as one:
+            _, watch = await registry.watches.get()
             with socket.socket() as held:  # bound, and refusing: it does not listen
                 held.bind(("127.0.0.1", 0))
                 assert one.driver.discovery is not None
                 one.driver.discovery.move(f"127.0.0.1:{held.getsockname()[1]}")
                 while (backoff := one.driver.discovery.backoff).limit_s < backoff.most_s:
                     await asyncio.sleep(0.01)
-                assert (await one.ask(request())).body == b"ok", "by the list held"
+                assert (await one.send(http_request())).body == b"ok", "by the list held"
                 held.listen()
                 held.setblocking(False)
                 peer, _ = await asyncio.get_running_loop().sock_accept(held)
@@ -248,7 +256,7 @@
                 one.driver.discovery.close()
             watch.close()
 
-    run(main())
+    run_test(main())
 
 
 def test_an_address_that_was_named_for_a_moment_costs_no_connection() -> None:
@@ -262,20 +270,20 @@
 
         opened, asked = list[asyncio.StreamWriter](), asyncio.Event()
         listener = await asyncio.start_server(count, "127.0.0.1", 0)
-        registry, other = Registry(), Registry()
+        registry, other = FakeDiscovery(), FakeDiscovery()
         closing = await other.start()
-        async with listener, closing, sidecar(Endpoint(), registry=registry) as one:
+        async with listener, closing, run_sidecar(Endpoint(), discovery_server=registry) as one:
             discovery = one.driver.discovery
             assert discovery is not None
-            await registry.asked.get()
+            await registry.watches.get()
             discovery.move(f"127.0.0.1:{other.port}")
             discovery.move(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
             await asked.wait()
-            assert len(opened) == 1 and other.asked.empty()
+            assert len(opened) == 1 and other.watches.empty()
             discovery.close()
             opened[0].close()
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_discovery_chains.py
+++ b/tests/test_discovery_chains.py
@@ -51,7 +51,7 @@
         self.events: list[Event] = []
         self.begun: list[Stream] = []
         self.told_at: list[float] = []
-        monkeypatch.setattr("woadyard.net.turns.now_us", lambda: round(self.now * 1e6))
+        monkeypatch.setattr("woadyard.net.event_dispatcher.now_us", lambda: round(self.now * 1e6))
         raw = settings_of(period_s)
         loop = cast(asyncio.AbstractEventLoop, self)
         settings = read_settings(json.dumps(raw).encode())
@@ -63,7 +63,7 @@
         self.driver.start(None)
 
     def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        self.driver.listed(version, whole, entries)
+        self.driver.apply_list(version, whole, entries)
         self.told_at.append(self.now)
 
     def create_task(self, coro: Coroutine[Any, Any, None]) -> Mock:
@@ -290,7 +290,7 @@
     chain.after()
     if failing:
         chain.begun[-1].connection_lost(ConnectionResetError())
-    force = {"discovery": "127.0.0.1:1", "settings": chain.driver.raw}
+    force = {"discovery": "127.0.0.1:1", "settings": chain.driver.raw_settings}
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**force, "settings": settings_of(after_s)}))
     config = cast(Config, Mock(path=str(path), raw=force))
--- a/tests/test_discovery_crowd.py
+++ b/tests/test_discovery_crowd.py
@@ -123,7 +123,7 @@
             self.service.call(stream)
 
     def _listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        self.driver.listed(version, whole, entries)
+        self.driver.apply_list(version, whole, entries)
         self.told.append(self.world.now)
 
     def lose(self) -> None:
@@ -137,7 +137,7 @@
     """Sidecars that start together, with all that they do up to 40 s; `known_copies` by their settings."""
     world = World()
     monkeypatch.setattr("woadyard.net.discovery.LOG", Mock())
-    monkeypatch.setattr("woadyard.net.turns.now_us", lambda: round(world.now * 1e6))
+    monkeypatch.setattr("woadyard.net.event_dispatcher.now_us", lambda: round(world.now * 1e6))
     service = Crowded(world, per_s)
     sidecars = [Sidecar(world, service, seed * 1_000 + number, known_copies) for number in range(copies)]
     for one in sidecars:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from tests.process import Process, free_port
-from tests.sockets import run
+from tests.sockets import run_test
 from tests.test_registry import Watcher, ask, register, service
 from tests.test_replicas import end
-from tests.test_terms import names, said
+from tests.test_terms import instance_ids, next_log_event
 from woadyard.lists.service import PATH
 from woadyard.standins import CUT, DELAY, DROP, PASS, Fault, FaultProxy
 
@@ -105,16 +105,16 @@
             assert (await register(cluster.ports[0], "lost"))[0] == 503
             await cluster.look()
             cluster.heal()
-            await said(old, "records thrown away, the writer's state taken whole")
+            await next_log_event(old, "records thrown away, the writer's state taken whole")
             await cluster.write(new, 6, "c")
             cluster.heal()
             assert (await register(cluster.ports[new], "last"))[0] == 200
             last = await cluster.alike()
-            assert cluster.answered <= set(names(last)) and "lost" not in names(last)
+            assert cluster.answered <= set(instance_ids(last)) and "lost" not in instance_ids(last)
             assert len(cluster.answered) > 8
-            while watcher.names != set(names(last)):
+            while watcher.names != set(instance_ids(last)):
                 await asyncio.sleep(0.05)
             watcher.discovery.close()
             await end(*cluster.processes.values())
 
-    run(main())
+    run_test(main())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,21 +16,21 @@
 import pytest
 
 from tests.sockets import (
-    LARGE,
+    LARGE_BODY,
     SETTINGS,
     Endpoint,
     Message,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    outcomes,
     read_message,
-    request,
-    sidecar,
-    until,
+    record_outcomes,
+    run_sidecar,
+    wait_until,
 )
 from woadyard.interface import CANCELLED, ERROR, MOOT, NO_CONNECT, OK, RESET, TIMEOUT
-from woadyard.net.link import Link
+from woadyard.net.endpoint_connection import EndpointConnection
 from woadyard.net.message import Attempt
 from woadyard.net.presence import Presence
 from woadyard.wire import read_settings
@@ -47,16 +47,16 @@
     """A client that sends a request and goes: both are read before the connect's first step.
     Where the system tells of the end sooner no connect is begun at all."""
     monkeypatch.setattr(Presence, "has_left", lambda presence: False)
-    async with sidecar(Endpoint()) as one:
-        told = outcomes(one)
+    async with run_sidecar(Endpoint()) as one:
+        told = record_outcomes(one)
         with socket.create_connection(("127.0.0.1", one.port)) as client:
-            client.sendall(request("pay"))
-        await until(lambda: bool(told))
+            client.sendall(http_request("pay"))
+        await wait_until(lambda: bool(told))
         assert [event.outcome for event in told] == [CANCELLED]
-        await until(lambda: not one.server.callers)
+        await wait_until(lambda: not one.server.callers)
         for _ in range(8):
             await asyncio.sleep(0)
-        assert not one.upstream.links
+        assert not one.upstream.connections
 
 
 @pytest.mark.parametrize("lateness", ["timed out", "called off"])
@@ -67,9 +67,9 @@
     """The loop is busy between the connect's coming up and the moment in which it tells of that."""
     endpoint = Endpoint()
     near, far = socket.socketpair()
-    async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-        loop, told = asyncio.get_running_loop(), outcomes(one)
-        one.upstream.connect_s = 0.05
+    async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
+        loop, told = asyncio.get_running_loop(), record_outcomes(one)
+        one.upstream.connect_timeout_s = 0.05
         real = one.upstream.send
 
         def send(attempt: Attempt) -> None:
@@ -86,20 +86,20 @@
         loop.add_reader(near, busy)
         one.driver.attempts.upstream.send = send  # type: ignore[method-assign]
         reader, writer = await one.connect()
-        writer.write(request("pay"))
+        writer.write(http_request("pay"))
         if lateness == "called off":
-            await until(lambda: bool(told))
-            assert [event.outcome for event in told] == [CANCELLED] and not endpoint.got
+            await wait_until(lambda: bool(told))
+            assert [event.outcome for event in told] == [CANCELLED] and not endpoint.received
         else:
             back = await read_message(reader)
             (event,) = told
-            assert (back.start.split()[1], event.outcome) in (("503", NO_CONNECT), ("200", OK))
-            assert len(endpoint.got) == (event.outcome == OK)
+            assert (back.start_line.split()[1], event.outcome) in (("503", NO_CONNECT), ("200", OK))
+            assert len(endpoint.received) == (event.outcome == OK)
         writer.close()
         loop.remove_reader(near)
         near.close()
         far.close()
-        await until(lambda: all(link in link.pool.idle for link in one.upstream.links))
+        await wait_until(lambda: all(link in link.pool.idle for link in one.upstream.connections))
 
 
 @contextlib.contextmanager
@@ -107,16 +107,16 @@
     began: asyncio.Event, up: asyncio.Event, held: Callable[[], bool] = lambda: True
 ) -> Iterator[None]:
     """Connections to endpoints come up no sooner than the event."""
-    connect = Link._connect
+    connect = EndpointConnection._create_connection
 
-    async def late(link: Link, host: str, port: int) -> None:
+    async def late(link: EndpointConnection, host: str, port: int) -> None:
         if held():
             began.set()
             await up.wait()
         await connect(link, host, port)
 
     with pytest.MonkeyPatch.context() as patched:
-        patched.setattr(Link, "_connect", late)
+        patched.setattr(EndpointConnection, "_create_connection", late)
         yield
 
 
@@ -128,23 +128,23 @@
 
     async def error_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         got.append(message)
-        writer.write(answer(500 if len(got) == 1 else 200))
+        writer.write(http_response(500 if len(got) == 1 else 200))
 
     window, up, connecting = 500_000 if past else 4_000_000, asyncio.Event(), asyncio.Event()
-    async with sidecar(Endpoint(error_first), Endpoint(error_first)) as one:
+    async with run_sidecar(Endpoint(error_first), Endpoint(error_first)) as one:
         raw = {**SETTINGS, "classes": [{**c, "repeat-window-us": window} for c in SETTINGS["classes"]]}
-        one.driver.retune(raw, read_settings(json.dumps(raw).encode()))
-        told = outcomes(one)
+        one.driver.apply_settings(raw, read_settings(json.dumps(raw).encode()))
+        told = record_outcomes(one)
         with connects_held(connecting, up, lambda: bool(got)):
-            asked = asyncio.create_task(one.ask(request("put")))
+            asked = asyncio.create_task(one.send(http_request("put")))
             await connecting.wait()
             (call,) = one.driver.calls.values()
-            await until(lambda: not past or one.driver.now() >= call.attempts[0].sent + window)
+            await wait_until(lambda: not past or one.driver.now() >= call.attempts[0].sent + window)
             up.set()
             back = await asked
         assert len(got) == (1 if past else 2)
         assert [event.outcome for event in told] == [ERROR, MOOT if past else OK]
-        assert back.start.split()[1] == ("502" if past else "200")
+        assert back.start_line.split()[1] == ("502" if past else "200")
 
 
 @pytest.mark.parametrize("crossing", ["end", "reset", "second answer", "half a line"])
@@ -154,20 +154,20 @@
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as client:
         listener.setblocking(False)
-        async with sidecar(Endpoint(), ceilings={"max-attempts": 1}) as one:
-            one.told(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{listener.getsockname()[1]}"))
-            told = outcomes(one)
+        async with run_sidecar(Endpoint(), ceilings={"max-attempts": 1}) as one:
+            one.set_list(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{listener.getsockname()[1]}"))
+            told = record_outcomes(one)
             client.connect(("127.0.0.1", one.port))
             client.setblocking(False)
-            client.send(request("pay", rid="r1"))
+            client.send(http_request("pay", rid="r1"))
             first, _ = await loop.sock_accept(listener)
             await loop.sock_recv(first, 4096)
-            await loop.sock_sendall(first, answer(body=b"first"))
+            await loop.sock_sendall(first, http_response(body=b"first"))
             assert (await loop.sock_recv(client, 4096)).endswith(b"first")
-            await until(lambda: any(pool.idle for pool in one.upstream.pools.values()))
-            client.send(request("pay", rid="r2"))
+            await wait_until(lambda: any(pool.idle for pool in one.upstream.pools.values()))
+            client.send(http_request("pay", rid="r2"))
             if crossing == "second answer":
-                first.send(answer(body=b"stray"))
+                first.send(http_response(body=b"stray"))
             elif crossing == "half a line":
                 first.send(b"HTTP/1.1 20")
             else:
@@ -176,7 +176,7 @@
                 first.close()
             second, _ = await loop.sock_accept(listener)
             assert b"X-Request-Id: r2" in await loop.sock_recv(second, 4096)
-            await loop.sock_sendall(second, answer(body=b"second"))
+            await loop.sock_sendall(second, http_response(body=b"second"))
             assert (await loop.sock_recv(client, 4096)).endswith(b"second")
             assert [event.outcome for event in told] == [OK, OK]
             second.close()
@@ -186,15 +186,15 @@
 @on_loop
 async def test_a_deadline_that_passes_while_the_connection_comes_up_proves_that_nothing_ran() -> None:
     endpoint, began, up = Endpoint(), asyncio.Event(), asyncio.Event()
-    async with sidecar(endpoint, ceilings={"connect-timeout-us": 60_000_000}) as one:
-        told = outcomes(one)
+    async with run_sidecar(endpoint, ceilings={"connect-timeout-us": 60_000_000}) as one:
+        told = record_outcomes(one)
         with connects_held(began, up):
-            back = await one.ask(request("pay", deadline_ms=80))
+            back = await one.send(http_request("pay", deadline_ms=80))
             assert [event.outcome for event in told] == [NO_CONNECT]
-            assert back.start.split()[1] == "503", "its client may try again"
+            assert back.start_line.split()[1] == "503", "its client may try again"
             up.set()
-            await until(lambda: not one.upstream.links)
-        assert not endpoint.opened and not endpoint.got
+            await wait_until(lambda: not one.upstream.connections)
+        assert not endpoint.connection_count and not endpoint.received
 
 
 @pytest.mark.parametrize(
@@ -229,11 +229,13 @@
         writer.write(raw)  # and the connection stays open
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
-        told = outcomes(one)
-        back = await one.ask(request("pay", deadline_ms=400))
-        assert [event.outcome for event in told] == [expected] and len(endpoint.got) == 1
-        assert back.start.split()[1] in ("502", "504"), "it may have run: its client is not told to try again"
+    async with run_sidecar(endpoint) as one:
+        told = record_outcomes(one)
+        back = await one.send(http_request("pay", deadline_ms=400))
+        assert [event.outcome for event in told] == [expected] and len(endpoint.received) == 1
+        assert back.start_line.split()[1] in ("502", "504"), (
+            "it may have run: its client is not told to try again"
+        )
 
 
 @pytest.mark.parametrize("change", ["moved", "banned", "left out"])
@@ -241,22 +243,22 @@
 async def test_nothing_is_written_to_a_process_that_went_while_its_connection_came_up(change: str) -> None:
     old, new, other = Endpoint(), Endpoint(), Endpoint()
     began, up = asyncio.Event(), asyncio.Event()
-    async with sidecar(old) as one:
-        told = outcomes(one)
+    async with run_sidecar(old) as one:
+        told = record_outcomes(one)
         with connects_held(began, up, lambda: not up.is_set()):
-            asked = asyncio.create_task(one.ask(request("pay")))
+            asked = asyncio.create_task(one.send(http_request("pay")))
             await began.wait()
             listeners = [await new.start(), await other.start()]
-            (number,) = one.driver.places
+            (number,) = one.driver.endpoints_by_number
             # Moved: started anew at another address, under the same name.
             first = {"moved": [new.entry("s-0", startedAtMs=1)], "banned": [old.entry("s-0")], "left out": []}
-            one.told(*first[change], other.entry("s-1"))
+            one.set_list(*first[change], other.entry("s-1"))
             if change == "banned":
                 one.driver._detach(number)
             up.set()
-            assert (await asked).start.split()[1] == "200"
+            assert (await asked).start_line.split()[1] == "200"
         assert [event.outcome for event in told] == [MOOT, OK]
-        assert not old.got and len(new.got + other.got) == 1
+        assert not old.received and len(new.received + other.received) == 1
         for listener in listeners:
             listener.close()
 
@@ -265,10 +267,10 @@
 async def test_an_attempt_that_takes_no_body_is_given_up_without_the_one_that_follows_it() -> None:
     """A body too large to hold, and no connection up yet: all of it can still go elsewhere."""
     began, up = asyncio.Event(), asyncio.Event()
-    async with sidecar(Endpoint(), Endpoint(), Endpoint()) as one:
-        told = outcomes(one)
+    async with run_sidecar(Endpoint(), Endpoint(), Endpoint()) as one:
+        told = record_outcomes(one)
         with connects_held(began, up):
-            asked = asyncio.create_task(one.ask(request("pay", LARGE)))
+            asked = asyncio.create_task(one.send(http_request("pay", LARGE_BODY)))
             await began.wait()
             (call,) = one.driver.calls.values()
             one.driver.requests.stuck(call)
--- a/tests/test_experiment_book.py
+++ b/tests/test_experiment_book.py
@@ -88,15 +88,15 @@
     aim = RequestClass(aim_us=100_000, deadline_us=200_000)
     arms = {number: arm for number, arm in enumerate([0, 1] * 2000)}
     counts = EvidenceCounts(lambda event: arms[event.request], "z1")
-    counts.retuned(0, Settings((aim,)), {})
+    counts.settings_applied(0, Settings((aim,)), {})
     book = running()
     counts.follow(book.directive())
     told, request = [], 0
     for second, (many, good) in enumerate(steps):
         now = second * 1_000_000 + 500_000
         for index in range(many):
-            counts.taken(now, Arrival(request, 0, now + 200_000))
-            counts.answered(now + (1000 if index < good else 150_000), request, 200)
+            counts.request_accepted(now, Arrival(request, 0, now + 200_000))
+            counts.request_answered(now + (1000 if index < good else 150_000), request, 200)
             request += 1
         told.append((second, counts.report(now)))
         if second % 3 == 2:
--- a/tests/test_experiment_sidecar.py
+++ b/tests/test_experiment_sidecar.py
@@ -23,7 +23,7 @@
 
 def began() -> tuple[Trials, list[Directive | None]]:
     counts = EvidenceCounts(lambda event: event.request % 2)
-    counts.retuned(0, Settings((RequestClass(aim_us=100_000, deadline_us=S),)), {})
+    counts.settings_applied(0, Settings((RequestClass(aim_us=100_000, deadline_us=S),)), {})
     splits: list[Directive | None] = []
     return Trials(counts, splits.append, 0), splits
 
@@ -35,10 +35,10 @@
     assert not trials.look(4 * S - 1) and trials.due() == 4 * S
     assert trials.look(4 * S) and trials.revision == 0 and not trials.look(5 * S)
     assert splits[-1] is not None and splits[-1].serve == "a"
-    trials.counts.taken(5 * S, Arrival(1, 0, 6 * S))
+    trials.counts.request_accepted(5 * S, Arrival(1, 0, 6 * S))
     assert trials.counts.report(5 * S) is None
     trials.follow(TOLD, 6 * S)
-    trials.counts.taken(6 * S, Arrival(1, 0, 7 * S))
+    trials.counts.request_accepted(6 * S, Arrival(1, 0, 7 * S))
     assert trials.revision == 3 and trials.counts.report(6 * S) is not None
     trials.follow({"revision": 4}, 7 * S)
     assert splits[-1] is None and trials.due() is None and trials.revision == 4
@@ -48,16 +48,16 @@
     trials, _ = began()
     trials.follow(TOLD, 0)
     for request in range(8):
-        trials.counts.taken(10, Arrival(request, 0, S))
+        trials.counts.request_accepted(10, Arrival(request, 0, S))
     # Good, late, failed, its caller left; the last four are under way.
     for request, (status, after) in enumerate([(200, 5), (200, 200_000), (503, 5), (0, 5)]):
-        trials.counts.answered(10 + after, request, status)
+        trials.counts.request_answered(10 + after, request, status)
     told = trials.counts.report(20)
     assert told is not None
     by_arm = {row[3]: row[5:] for row in told["rows"]}
     assert by_arm == {"a": [2, 1, 1, 0, 4], "b": [2, 0, 0, 1, 4]}
     trials.follow({**TOLD, "serve": "b"}, 30)
-    trials.counts.taken(40, Arrival(9, 0, S))
+    trials.counts.request_accepted(40, Arrival(9, 0, S))
     assert sum(row[9] for row in (trials.counts.report(50) or {})["rows"]) == 8
 
 
--- a/tests/test_experiment_way.py
+++ b/tests/test_experiment_way.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.lab import LOOK_S, Lab, Program, call
-from tests.sockets import Endpoint, Message, Writer, answer
+from tests.sockets import Endpoint, Message, Writer, http_response
 from woadyard.standins import DROP, PASS
 
 PATH = "/registry/experiments/types"
@@ -23,7 +23,7 @@
 
 
 async def fails_each_fourth(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    writer.write(answer(500 if len(endpoint.got) % 4 == 0 else 200))
+    writer.write(http_response(500 if len(endpoint.received) % 4 == 0 else 200))
 
 
 class Scene:
@@ -52,7 +52,7 @@
         return one
 
     def got(self, which: list[Endpoint], caller: str = "") -> int:
-        return sum(caller in ("", one.headers["x-caller"]) for at in which for one in at.got)
+        return sum(caller in ("", one.headers["x-caller"]) for at in which for one in at.received)
 
     async def write(self, step: str = "", body: Any = None) -> Any:
         back = await call(self.service.port, "POST", PATH + step, body)
@@ -110,7 +110,7 @@
         await scene.open()
         await scene.more(scene.old, 50)
         await scene.more(scene.new, 50)
-        acted = {one.headers["x-acted-on"].split(".")[5] for at in scene.old for one in at.got}
+        acted = {one.headers["x-acted-on"].split(".")[5] for at in scene.old for one in at.received}
         assert acted == {"0"}
         assert (await call(scene.service.port, "GET", "/registry/experiments")).json["revision"] == 0
     finally:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -17,31 +17,30 @@
 import pytest
 
 from tests.sockets import (
-    LARGE,
+    LARGE_BODY,
     Endpoint,
     Message,
     Sidecar,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    sidecar,
-    until,
+    run_sidecar,
+    wait_until,
 )
-from tests.sockets import request as short_request
-from woadyard.net import link as link_module
-from woadyard.net import presence
-from woadyard.net.link import Link
+from woadyard.net import endpoint_connection, presence
+from woadyard.net.endpoint_connection import EndpointConnection
 from woadyard.net.message import Attempt
 
 CLOSE, CANCEL, HALF = "close", "reset", "half-close"
 EACH_WAY = pytest.mark.parametrize("how", [CLOSE, CANCEL, HALF])
 CANCELS = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no-cancel"])
 SOON_S = 10.0  # for what comes at once, far below the requests' deadline
-come_up = Link.connection_made
+come_up = EndpointConnection.connection_made
 
 
 def request(cls: str = "page", body: bytes = b"", rid: str = "r0") -> bytes:
-    return short_request(cls, body, deadline_ms=60_000, rid=rid)
+    return http_request(cls, body, deadline_ms=60_000, rid=rid)
 
 
 class Client:
@@ -60,7 +59,7 @@
         self.socket.setblocking(False)
         while not full():
             with contextlib.suppress(BlockingIOError):
-                self.socket.send(LARGE)
+                self.socket.send(LARGE_BODY)
             await asyncio.sleep(0)
 
     def leave(self, how: str) -> None:
@@ -75,7 +74,7 @@
 async def hold_all_but_the_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     """No answer, until the connection closes."""
     if message.headers["x-request-id"] == "warm":
-        writer.write(answer())
+        writer.write(http_response())
 
 
 @dataclass
@@ -87,12 +86,12 @@
     endpoint: Endpoint
     client: Client
     timers: list[int] = field(default_factory=list)
-    late: list[tuple[Link, Any]] = field(default_factory=list)
+    late: list[tuple[EndpointConnection, Any]] = field(default_factory=list)
     sent: list[bytes] = field(default_factory=list)  # the head of each attempt
 
     def fire(self) -> None:
         for token in self.timers:
-            self.one.driver.tell(self.one.driver.balancer.timer, token)
+            self.one.driver.dispatch(self.one.driver.balancer.timer, token)
 
     def block(self) -> None:
         """No endpoint is free to take anything, until `found`."""
@@ -104,8 +103,8 @@
 
     def answered(self, raw: bytes) -> None:
         """As where the answer is read before the client's end."""
-        (link,) = (link for link in self.one.upstream.links if link.attempt is not None)
-        link.read(raw)
+        (link,) = (link for link in self.one.upstream.connections if link.attempt is not None)
+        link.feed_response(raw)
         self.fire()
 
     def arrive(self) -> None:
@@ -119,16 +118,16 @@
     async def given_up(self) -> None:
         """No request is open; attempts may still be out, where they can't be cancelled."""
         async with asyncio.timeout(SOON_S):
-            await until(lambda: not any(call.open for call in self.one.driver.calls.values()))
+            await wait_until(lambda: not any(call.open for call in self.one.driver.calls.values()))
 
     async def settled(self) -> None:
         """Nothing is owed any more to anyone."""
         async with asyncio.timeout(SOON_S):
-            await until(lambda: not self.one.driver.calls and not self.one.server.callers)
+            await wait_until(lambda: not self.one.driver.calls and not self.one.server.callers)
         balancer = self.one.driver.balancer
         assert not balancer.requests and not balancer.ended
         assert all(one.inflight == one.moving == 0 for one in balancer.endpoints.values())
-        assert all(link.attempt is None for link in self.one.upstream.links)
+        assert all(link.attempt is None for link in self.one.upstream.connections)
         assert not self.one.server.unread.clients
 
 
@@ -137,23 +136,23 @@
     monkeypatch: pytest.MonkeyPatch, cancel: bool = True, late: bool = False, endpoint: Endpoint | None = None
 ) -> AsyncIterator[Scene]:
     warm, endpoint = not (late or endpoint), endpoint or Endpoint(hold_all_but_the_first)
-    async with sidecar(endpoint, ceilings={"cancel": cancel}) as one:
+    async with run_sidecar(endpoint, ceilings={"cancel": cancel}) as one:
         if warm:
-            await one.ask(request(rid="warm"))
-            await endpoint.arrived.acquire()
-            await until(lambda: not one.server.callers)
+            await one.send(request(rid="warm"))
+            await endpoint.request_arrived.acquire()
+            await wait_until(lambda: not one.server.callers)
         it = Scene(one, endpoint, Client(one.port))
-        await until(lambda: bool(one.server.callers))
-        real = link_module.request_bytes
+        await wait_until(lambda: bool(one.server.callers))
+        real = endpoint_connection.encode_request
 
         def request_bytes(attempt: Attempt, now: int) -> bytes:
             it.sent.append(raw := real(attempt, now))
             return raw
 
-        monkeypatch.setattr(link_module, "request_bytes", request_bytes)
-        vars(one.driver.turns)["fire"] = lambda delay, token: it.timers.append(token)
+        monkeypatch.setattr(endpoint_connection, "encode_request", request_bytes)
+        vars(one.driver.dispatcher)["start_timer"] = lambda delay, token: it.timers.append(token)
         if late:
-            monkeypatch.setattr(Link, "connection_made", lambda *args: it.late.append(args))
+            monkeypatch.setattr(EndpointConnection, "connection_made", lambda *args: it.late.append(args))
         yield it
         it.client.socket.close()
 
@@ -167,47 +166,47 @@
 async def waiting_for_an_endpoint(it: Scene) -> Act:
     it.block()
     it.client.send(request())
-    await until(lambda: bool(it.timers))
+    await wait_until(lambda: bool(it.timers))
     return it.found
 
 
 async def large_body_waiting_for_an_endpoint(it: Scene) -> Act:
     it.block()
-    it.client.send(request("pay", LARGE)[:70_000])
-    await until(lambda: bool(it.timers))
+    it.client.send(request("pay", LARGE_BODY)[:70_000])
+    await wait_until(lambda: bool(it.timers))
     return it.found
 
 
 async def before_a_repeat(it: Scene) -> Act:
     it.client.send(request())
-    await it.endpoint.arrived.acquire()
-    return lambda: it.answered(answer(500))
+    await it.endpoint.request_arrived.acquire()
+    return lambda: it.answered(http_response(500))
 
 
 async def sent_ahead_of_an_answer(it: Scene) -> Act:
     it.client.send(request(rid="r0") + request(rid="r1") + request(rid="r2"))
-    await it.endpoint.arrived.acquire()
-    return lambda: it.answered(answer())
+    await it.endpoint.request_arrived.acquire()
+    return lambda: it.answered(http_response())
 
 
 async def many_sent_ahead_of_an_answer(it: Scene) -> Act:
     """More than is read ahead."""
     it.client.send(b"".join(request(rid=f"r{n}") for n in range(400)))
-    await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().paused))
-    return lambda: it.answered(answer())
+    await it.endpoint.request_arrived.acquire()
+    await wait_until(lambda: bool(it.caller().paused))
+    return lambda: it.answered(http_response())
 
 
 async def large_body_sent_ahead_of_an_answer(it: Scene) -> Act:
-    it.client.send(request(rid="r0") + request("pay", LARGE, rid="r1")[:70_000])
-    await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().incoming.large))
-    return lambda: it.answered(answer())
+    it.client.send(request(rid="r0") + request("pay", LARGE_BODY, rid="r1")[:70_000])
+    await it.endpoint.request_arrived.acquire()
+    await wait_until(lambda: bool(it.caller().incoming.large))
+    return lambda: it.answered(http_response())
 
 
 async def connecting(it: Scene) -> Act:
     it.client.send(request())
-    await until(lambda: bool(it.late))
+    await wait_until(lambda: bool(it.late))
     return it.arrive
 
 
@@ -269,7 +268,7 @@
         late.send(request())
         late.leave(how)
         it.one.server.last_joined = 0.0
-        await until(lambda: it.one.server.last_joined > 0)
+        await wait_until(lambda: it.one.server.last_joined > 0)
         first.transport.abort()
         await it.settled()
         late.socket.close()
@@ -302,9 +301,9 @@
 
 async def stream(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     """An answer too large for any buffer, whole."""
-    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * len(LARGE)))
+    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * len(LARGE_BODY)))
     for _ in range(16):
-        writer.write(LARGE)
+        writer.write(LARGE_BODY)
         await writer.drain()
 
 
@@ -317,8 +316,8 @@
 ) -> None:
     """The rest of the body never comes: no attempt of it can end well, or be left to run."""
     async with scene(monkeypatch, cancel, endpoint=Frozen() if frozen else None) as it:
-        it.client.send(request("pay", LARGE * 40)[:70_000])
-        await until(lambda: bool(it.sent))
+        it.client.send(request("pay", LARGE_BODY * 40)[:70_000])
+        await wait_until(lambda: bool(it.sent))
         if frozen:
             await it.client.fill(lambda: bool(it.caller().paused))
         it.client.leave(how)
@@ -334,7 +333,7 @@
     async with scene(monkeypatch, cancel, endpoint=Endpoint(stream)) as it:
         it.one.server.waits.relay_s = 1000.0
         it.client.send(request())
-        await until(lambda: it.caller().clogged)
+        await wait_until(lambda: it.caller().clogged)
         it.client.leave(how)
         await it.settled()
 
@@ -352,7 +351,7 @@
         it.one.server.waits.relay_s = 1000.0
         it.caller().transport.set_write_buffer_limits(high=1 << 30)  # served on all the same
         it.client.send(request(rid="r0") + request(rid="r1"))
-        await until(lambda: len(it.endpoint.got) == 2)
+        await wait_until(lambda: len(it.endpoint.received) == 2)
         assert it.caller().transport.get_write_buffer_size()
         it.one.server.waits.relay_s = 0.05
         it.client.leave(how)
@@ -366,8 +365,8 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with scene(monkeypatch, cancel=False) as it:
-        it.client.send(short_request(deadline_ms=300))
-        await it.endpoint.arrived.acquire()
+        it.client.send(http_request(deadline_ms=300))
+        await it.endpoint.request_arrived.acquire()
         it.client.leave(how)
         await it.given_up()
         assert it.one.driver.calls
@@ -384,7 +383,7 @@
         crowd = [Client(it.one.port) for _ in range(200)]
         for n, client in enumerate(crowd):
             client.send(request(rid=f"c{n}"))
-        await until(lambda: len(it.timers) >= 200)
+        await wait_until(lambda: len(it.timers) >= 200)
         for client in crowd:
             client.leave(how)
         it.found()
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.lab import Lab, Program
-from tests.sockets import SETTINGS, Endpoint, Message, Writer, answer
+from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_response
 from woadyard.errors import ConfigError
 from woadyard.net.gossip import LIST_PATH
 from woadyard.net.state import endpoint_number
@@ -21,12 +21,12 @@
 
 
 async def fails(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    writer.write(answer(500))
+    writer.write(http_response(500))
 
 
 async def serves(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     await asyncio.sleep(0.01)  # so that requests overlap and both groups are drawn from
-    writer.write(answer())
+    writer.write(http_response())
 
 
 async def sharing(
@@ -91,7 +91,7 @@
 )
 async def test_a_peer_that_lies_gets_a_log_line_and_changes_nothing(lab: Lab, lie: bytes) -> None:
     async def lies(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer(200, lie))
+        writer.write(http_response(200, lie))
 
     registry = await lab.service()
     await list_peer(lab, registry, "n9@1", (await lab.endpoint(lies)).port)
@@ -133,7 +133,7 @@
             self.most[but_killed] = max(self.most[but_killed], held)
         await asyncio.sleep(0.03)
         self.now[name] -= 1
-        writer.write(answer())
+        writer.write(http_response())
 
 
 async def test_a_limit_holds_over_all_and_a_killed_ones_share_returns_after_its_lease(lab: Lab) -> None:
@@ -184,13 +184,13 @@
             await one.shows(f"woadyard_list_version {version}.0")
         for session in range(20):
             for endpoint in found.values():
-                endpoint.got.clear()
+                endpoint.received.clear()
             for one in two:
                 back = await one.ask(
                     rid=f"a{session}-{version}-{one.name}", headers=f"X-Session: u{session}\r\n"
                 )
-                assert back.start.split()[1] == "200"
-            (name,) = (name for name, endpoint in found.items() if endpoint.got)
+                assert back.start_line.split()[1] == "200"
+            (name,) = (name for name, endpoint in found.items() if endpoint.received)
             names.append(name)
         return names
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,9 +7,18 @@
 
 import pytest
 
-from tests.sockets import Endpoint, Message, Sidecar, Writer, answer, on_loop, request, sidecar
+from tests.sockets import (
+    Endpoint,
+    Message,
+    Sidecar,
+    Writer,
+    http_request,
+    http_response,
+    on_loop,
+    run_sidecar,
+)
 from woadyard.interface import FULL, RESET
-from woadyard.net.invariants import SLACK_US, Rule
+from woadyard.net.invariants import TIME_SLACK_US, Rule
 from woadyard.net.message import Attempt, Call
 from woadyard.net.places import HELD_UP_US
 
@@ -24,7 +33,7 @@
 
 
 def attempt_of(one: Sidecar, call: Call, **changes: Any) -> Attempt:
-    endpoint = next(iter(one.driver.places))
+    endpoint = next(iter(one.driver.endpoints_by_number))
     attempt = Attempt(call, len(call.attempts), endpoint, one.driver.now(), call.expires)
     for name, value in changes.items():
         setattr(attempt, name, value)
@@ -35,31 +44,33 @@
 @on_loop
 async def test_ordinary_requests_violate_nothing() -> None:
     async def turn_away_once(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer(503, b"", "X-Not-Run: 1\r\n") if len(endpoint.got) == 1 else answer())
+        writer.write(
+            http_response(503, b"", "X-Not-Run: 1\r\n") if len(endpoint.received) == 1 else http_response()
+        )
 
     first, second = Endpoint(turn_away_once), Endpoint()
-    async with sidecar(first, second) as one:
+    async with run_sidecar(first, second) as one:
         for n, cls in enumerate(("page", "put", "pay") * 5):
-            await one.ask(request(cls, b"x" if cls != "page" else b"", rid=f"r{n}"))
+            await one.send(http_request(cls, b"x" if cls != "page" else b"", rid=f"r{n}"))
         assert not one.driver.attempts.invariants.counts
 
 
 @on_loop
 async def test_a_send_past_the_grace_or_the_lease_is_counted() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         checks, now = one.driver.attempts.invariants, one.driver.now()
         attempt = attempt_of(one, call_of(one, "page"))
-        checks.written(attempt, now)
+        checks.check_written(attempt, now)
         assert not checks.counts
-        checks.written(attempt_of(one, call_of(one, "page"), start_by=now), now + SLACK_US + 1)
+        checks.check_written(attempt_of(one, call_of(one, "page"), start_by=now), now + TIME_SLACK_US + 1)
         assert checks.counts == {Rule.SEND: 1}
-        place = one.driver.places[attempt.endpoint]
+        place = one.driver.endpoints_by_number[attempt.endpoint]
         place.left_at = now
-        grace = one.driver.force.drain_grace_us
-        checks.written(attempt, now + grace)
+        grace = one.driver.in_force.drain_grace_us
+        checks.check_written(attempt, now + grace)
         assert checks.counts == {Rule.SEND: 1}
-        checks.written(attempt, now + grace + SLACK_US)
+        checks.check_written(attempt, now + grace + TIME_SLACK_US)
         assert checks.counts == {Rule.SEND: 2}
 
 
@@ -78,22 +89,22 @@
 async def test_a_repeat_that_the_rules_forbid_is_counted(
     cls: str, outcome: int, wrote: bool, late_ms: int, violated: bool
 ) -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         checks, call = one.driver.attempts.invariants, call_of(one, cls, expires=10**18)
         attempt_of(one, call, out=False, outcome=outcome, wrote=wrote)
         second = attempt_of(one, call)
-        checks.written(second, one.driver.now() + late_ms * MS)
+        checks.check_written(second, one.driver.now() + late_ms * MS)
         assert checks.counts == ({Rule.REPEAT: 1} if violated else {})
 
 
 @on_loop
 async def test_more_time_than_is_left_and_an_answered_request_are_counted() -> None:
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         checks, call = one.driver.attempts.invariants, call_of(one, "page")
-        checks.written(attempt_of(one, call, until=call.expires + 151 * MS), one.driver.now())
+        checks.check_written(attempt_of(one, call, until=call.expires + 151 * MS), one.driver.now())
         assert checks.counts == {Rule.START: 1}
         call.open = False
-        checks.written(attempt_of(one, call), one.driver.now())
+        checks.check_written(attempt_of(one, call), one.driver.now())
         assert checks.counts == {Rule.START: 2}
 
 
@@ -104,10 +115,10 @@
         pass
 
     endpoint = Endpoint(never)
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         _, writer = await one.connect()
-        writer.write(request())
-        await endpoint.arrived.acquire()
+        writer.write(http_request())
+        await endpoint.request_arrived.acquire()
         (caller,) = one.server.callers
         getattr(one.server, how)(caller)
         assert one.driver.attempts.invariants.counts == {Rule.CLOSE: 1}
@@ -116,10 +127,10 @@
 
 @on_loop
 async def test_nothing_new_starts_in_the_part_of_the_grace_that_a_hold_up_may_take() -> None:
-    async with sidecar(Endpoint()) as one:
-        listing = one.driver.listing
+    async with run_sidecar(Endpoint()) as one:
+        listing = one.driver.listed_endpoints
         number, place = next(iter(listing.by_number.items()))
-        place.left_at, grace = 0, one.driver.force.drain_grace_us
+        place.left_at, grace = 0, one.driver.in_force.drain_grace_us
         assert listing.may_start(number, grace - HELD_UP_US - 1)
         assert not listing.may_start(number, grace - HELD_UP_US)
         assert listing.may_have_started(number, grace - 1) and not listing.may_have_started(number, grace)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -61,18 +61,18 @@
         (DROP, {}, 0), (DROP, {"way": THERE}, 0), (DROP, {"way": HERE}, 1), (RESET, {}, 0), (CUT, {}, 0),
     ]  # fmt: skip
     for mode, changes, arrive in faults:
-        before = len(endpoint.got)
+        before = len(endpoint.received)
         proxy.fault(mode, **changes)
         if arrive:
             asked = asyncio.ensure_future(passes(proxy))
-            await endpoint.arrived.acquire()
+            await endpoint.request_arrived.acquire()
             asked.cancel()
         else:
             assert not await passes(proxy, 0.2 if mode == DROP else 60.0)
-        assert len(endpoint.got) == before + arrive, (mode, changes)
+        assert len(endpoint.received) == before + arrive, (mode, changes)
         proxy.fault(PASS)
         assert await passes(proxy)
-        await endpoint.arrived.acquire()
+        await endpoint.request_arrived.acquire()
     loop = asyncio.get_running_loop()
     for fault in (Fault(DELAY, (0.1, 0.2)), Fault(rate=200.0)):
         proxy.fault(fault)
@@ -90,7 +90,7 @@
         await asyncio.sleep(0.01)
     proxy.fault(PASS)
     writer.write(b"\r\nGET /after HTTP/1.1\r\n\r\n")
-    assert await passes(proxy) and [one.start.split()[1] for one in endpoint.got] == ["/page"]
+    assert await passes(proxy) and [one.start_line.split()[1] for one in endpoint.received] == ["/page"]
 
 
 async def test_a_drawn_schedule_is_its_seeds_and_ends_healed() -> None:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,13 +11,13 @@
     Endpoint,
     Message,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    outcomes,
     read_message,
-    request,
-    sidecar,
-    until,
+    record_outcomes,
+    run_sidecar,
+    wait_until,
 )
 from woadyard.interface import (
     MOOT,
@@ -31,17 +31,17 @@
 async def test_a_request_passes_and_its_answer_comes_back_whole() -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(
-            answer(body=b"x" * 60_000, headers="Content-Type: image/png\r\nX-Load: queue=2,qps=9\r\n")
+            http_response(body=b"x" * 60_000, headers="Content-Type: image/png\r\nX-Load: queue=2,qps=9\r\n")
         )
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
-        told = outcomes(one)
-        back = await one.ask(request("put", b"b" * 50_000, "X-Other: 1\r\nConnection: X-Other\r\n"))
-        assert back.start.startswith("HTTP/1.1 200") and back.body == b"x" * 60_000
+    async with run_sidecar(endpoint) as one:
+        told = record_outcomes(one)
+        back = await one.send(http_request("put", b"b" * 50_000, "X-Other: 1\r\nConnection: X-Other\r\n"))
+        assert back.start_line.startswith("HTTP/1.1 200") and back.body == b"x" * 60_000
         assert back.headers["content-type"] == "image/png"
-        (got,) = endpoint.got
-        assert got.start == "POST /put?obj=7f3a HTTP/1.1" and got.body == b"b" * 50_000
+        (got,) = endpoint.received
+        assert got.start_line == "POST /put?obj=7f3a HTTP/1.1" and got.body == b"b" * 50_000
         assert got.headers["x-request-id"] == "r1" and got.headers["idempotency-key"] == "k1"
         assert 0 < int(got.headers["x-deadline-ms"]) <= 4000
         assert "x-other" not in got.headers, "named by Connection: it ends here"
@@ -52,12 +52,12 @@
 @on_loop
 async def test_connections_are_kept_on_both_sides(cls: str) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
         for n in range(5):
-            writer.write(request(cls, rid=f"r{n}"))
+            writer.write(http_request(cls, rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        assert endpoint.opened == 1 and len(one.server.callers) == 1
+        assert endpoint.connection_count == 1 and len(one.server.callers) == 1
         assert not one.driver.calls and not one.driver.balancer.requests
 
 
@@ -71,40 +71,40 @@
         if rid in gates:
             await gates[rid].wait()
         served.append((rid, writer.get_extra_info("peername")[1]))
-        writer.write(answer())
+        writer.write(http_response())
 
     endpoint = Endpoint(gated)
-    async with sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as one:
+    async with run_sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as one:
         asked = []
         for rid in gates:
-            asked.append(asyncio.create_task(one.ask(request(rid=rid))))
-            await endpoint.arrived.acquire()
+            asked.append(asyncio.create_task(one.send(http_request(rid=rid))))
+            await endpoint.request_arrived.acquire()
         for gate, task in zip(gates.values(), asked, strict=True):
             gate.set()
             await task
-        await one.ask(request(rid="r3"))
+        await one.send(http_request(rid="r3"))
         ports = dict(served)
         assert ports["r3"] == ports["r2"] != ports["r1"]
-        assert one.upstream.idle_s <= 24.0, "well before the endpoint's idle time"
+        assert one.upstream.idle_timeout_s <= 24.0, "well before the endpoint's idle time"
         (pool,) = one.upstream.pools.values()
-        pool.idle[0].idle_since -= 24.0
-        one.upstream._sweep()
-        await endpoint.closed.acquire()
-        assert len(one.upstream.links) == 1
+        pool.idle[0].idle_since_s -= 24.0
+        one.upstream._close_expired()
+        await endpoint.connection_closed.acquire()
+        assert len(one.upstream.connections) == 1
 
 
 @on_loop
 async def test_an_idle_connection_that_the_endpoint_closes_is_not_used() -> None:
     async def once(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(answer())
+        writer.write(http_response())
         writer.close()
 
     endpoint = Endpoint(once)
-    async with sidecar(endpoint) as one:
-        told = outcomes(one)
+    async with run_sidecar(endpoint) as one:
+        told = record_outcomes(one)
         for n in range(3):
-            await one.ask(request("pay", rid=f"r{n}"))
-            while one.upstream.links:
+            await one.send(http_request("pay", rid=f"r{n}"))
+            while one.upstream.connections:
                 await asyncio.sleep(0)
         assert [event.outcome for event in told] == [OK, OK, OK]
 
@@ -112,29 +112,29 @@
 @on_loop
 async def test_open_connections_stay_within_their_limit() -> None:
     first, second = Endpoint(), Endpoint()
-    async with sidecar(first, second) as one:
-        one.upstream.most = 1
-        one.told(first.entry("s-0"))
-        await one.ask(request())
-        one.told(first.entry("s-0"), second.entry("s-1"))
+    async with run_sidecar(first, second) as one:
+        one.upstream.max_sockets = 1
+        one.set_list(first.entry("s-0"))
+        await one.send(http_request())
+        one.set_list(first.entry("s-0"), second.entry("s-1"))
         assert one.upstream.pools[endpoint_number("s-0")].idle
-        one.told(second.entry("s-1", lifecycle="ready"), whole=False)
+        one.set_list(second.entry("s-1", lifecycle="ready"), is_full=False)
         vars(one.driver.balancer.choice)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
-        assert (await one.ask(request(rid="r2"))).body == b"ok"
-        await first.closed.acquire()  # the longest idle made room
-        assert len(one.upstream.links) == 1
+        assert (await one.send(http_request(rid="r2"))).body == b"ok"
+        await first.connection_closed.acquire()  # the longest idle made room
+        assert len(one.upstream.connections) == 1
 
 
 @on_loop
 async def test_want_of_a_socket_is_no_fault_of_the_endpoint() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-        told = outcomes(one)
-        one.upstream.most = 0
-        assert (await one.ask(request("pay"))).start.split()[1] == "503"
-        assert [event.outcome for event in told] == [MOOT] and not endpoint.got
+    async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
+        told = record_outcomes(one)
+        one.upstream.max_sockets = 0
+        assert (await one.send(http_request("pay"))).start_line.split()[1] == "503"
+        assert [event.outcome for event in told] == [MOOT] and not endpoint.received
         (known,) = one.driver.balancer.endpoints.values()
         assert all(health == 1.0 for health, _, _ in known.health)
 
@@ -144,16 +144,19 @@
 async def test_what_rested_too_long_carries_nothing(late: str) -> None:
     """Neither under settings that name a shorter time, nor where the sweep comes late."""
     endpoint = Endpoint()
-    async with sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as one:
-        await one.ask(request(rid="r1"))
-        (link,) = one.upstream.links
-        await until(lambda: link in link.pool.idle)
+    async with run_sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as one:
+        await one.send(http_request(rid="r1"))
+        (link,) = one.upstream.connections
+        await wait_until(lambda: link in link.pool.idle)
         if late == "settings":
-            link.idle_since -= 5.0
-            raw = {**one.driver.raw, "ceilings": {**one.driver.raw["ceilings"], "conn-idle-us": 6_000_000}}
-            one.driver.retune(raw, read_settings(json.dumps(raw).encode()))
+            link.idle_since_s -= 5.0
+            raw = {
+                **one.driver.raw_settings,
+                "ceilings": {**one.driver.raw_settings["ceilings"], "conn-idle-us": 6_000_000},
+            }
+            one.driver.apply_settings(raw, read_settings(json.dumps(raw).encode()))
             assert not link.pool.idle, "at once, not when the time before would have been over"
         else:
-            link.idle_since -= 24.0
-        await one.ask(request(rid="r2"))
-        assert endpoint.opened == 2
+            link.idle_since_s -= 24.0
+        await one.send(http_request(rid="r2"))
+        assert endpoint.connection_count == 2
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -9,16 +9,16 @@
 
 from tests.sockets import (
     Endpoint,
+    FakeDiscovery,
     Message,
-    Registry,
     Sidecar,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    push,
-    push_raw,
-    request,
-    sidecar,
+    push_line,
+    push_list,
+    run_sidecar,
 )
 from woadyard.interface import (
     DRAINING,
@@ -49,8 +49,8 @@
 @on_loop
 async def test_endpoint_numbers_come_from_the_name_alone() -> None:
     first, second = Endpoint(), Endpoint()
-    async with sidecar(first, second) as one, sidecar(second, first, known=False) as other:
-        other.told(second.entry("s-1"), first.entry("s-0"))
+    async with run_sidecar(first, second) as one, run_sidecar(second, first, known=False) as other:
+        other.set_list(second.entry("s-1"), first.entry("s-0"))
         assert set(one.driver.balancer.endpoints) == set(other.driver.balancer.endpoints)
         assert endpoint_number("s-0") in one.driver.balancer.endpoints
     assert endpoint_number("s-5be2a07c") == 0x850D21AD14919D0C, "the same after a restart"
@@ -59,17 +59,17 @@
 @on_loop
 async def test_a_start_in_wall_time_is_converted_once() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         wall = 1_700_000_000_000_000
-        one.driver.listing.clock.wall_us = lambda: wall
+        one.driver.listed_endpoints.clock.wall_us = lambda: wall
         started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
         before = Driver.now()
-        one.told(started)
+        one.set_list(started)
         (known,) = one.driver.balancer.endpoints.values()
         boot = known.boot
         assert before - 4_000_000 <= boot <= Driver.now() - 4_000_000
         wall += 3_600_000_000  # the wall clock is set: no restart
-        one.told(started)
+        one.set_list(started)
         assert known.boot == boot
 
 
@@ -77,23 +77,23 @@
 @on_loop
 async def test_a_new_start_or_a_drain_drops_the_idle_connections(change: dict[str, Any]) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        await one.ask(request())
-        one.told(endpoint.entry("s-0", **change), whole=False)
-        await endpoint.closed.acquire()
-        assert not one.upstream.links
+    async with run_sidecar(endpoint) as one:
+        await one.send(http_request())
+        one.set_list(endpoint.entry("s-0", **change), is_full=False)
+        await endpoint.connection_closed.acquire()
+        assert not one.upstream.connections
 
 
 @on_loop
 async def test_a_new_address_drops_the_old_pool() -> None:
     old, new = Endpoint(), Endpoint()
-    async with sidecar(old, new) as one:
-        one.told(old.entry("s-0"))
-        await one.ask(request())
-        one.told(new.entry("s-0"), whole=False)
-        await old.closed.acquire()
-        assert (await one.ask(request(rid="r2"))).body == b"ok"
-        assert len(old.got) == len(new.got) == 1
+    async with run_sidecar(old, new) as one:
+        one.set_list(old.entry("s-0"))
+        await one.send(http_request())
+        one.set_list(new.entry("s-0"), is_full=False)
+        await old.connection_closed.acquire()
+        assert (await one.send(http_request(rid="r2"))).body == b"ok"
+        assert len(old.received) == len(new.received) == 1
 
 
 @on_loop
@@ -102,32 +102,32 @@
 
     async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await release.wait()
-        writer.write(answer())
+        writer.write(http_response())
 
     endpoint = Endpoint(slow)
-    async with sidecar(endpoint) as one:
-        asked = asyncio.create_task(one.ask(request()))
-        await endpoint.arrived.acquire()
-        one.told()
+    async with run_sidecar(endpoint) as one:
+        asked = asyncio.create_task(one.send(http_request()))
+        await endpoint.request_arrived.acquire()
+        one.set_list()
         release.set()
         assert (await asked).body == b"ok", "what was sent is finished"
-        await endpoint.closed.acquire()
+        await endpoint.connection_closed.acquire()
 
 
 @on_loop
 async def test_known_goes_in_as_cached_and_the_watch_resumes_where_it_ended() -> None:
-    endpoint, registry = Endpoint(), Registry()
-    async with sidecar(endpoint, registry=registry) as one:
+    endpoint, registry = Endpoint(), FakeDiscovery()
+    async with run_sidecar(endpoint, discovery_server=registry) as one:
         told = lists(one)
-        start, watch = await registry.asked.get()
+        start, watch = await registry.watches.get()
         assert start == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
-        push(watch, 44, False, endpoint.entry("s-0", lifecycle="draining"))
+        push_list(watch, 44, False, endpoint.entry("s-0", lifecycle="draining"))
         mode, (entry,) = await told.get()
         assert (mode, entry.phase) == (LIST_DELTA, DRAINING)
         watch.close()
-        start, watch = await registry.asked.get()
+        start, watch = await registry.watches.get()
         assert "from=44 " in start
-        push(watch, 45, True, endpoint.entry("s-9"))
+        push_list(watch, 45, True, endpoint.entry("s-9"))
         mode, (entry,) = await told.get()
         assert (mode, entry.endpoint) == (LIST_FULL, endpoint_number("s-9"))
         assert list(one.driver.balancer.endpoints) == [endpoint_number("s-9")]
@@ -143,19 +143,19 @@
         return real(self, now, mode, entries)
 
     monkeypatch.setattr(Balancer, "members", members)
-    async with sidecar(Endpoint()):
+    async with run_sidecar(Endpoint()):
         pass
     assert modes == [LIST_CACHED]
 
 
 @on_loop
 async def test_a_silent_watch_is_opened_anew() -> None:
-    registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as one:
+    registry = FakeDiscovery()
+    async with run_sidecar(Endpoint(), discovery_server=registry) as one:
         assert one.driver.discovery is not None
         one.driver.discovery.silent_s = 0.05
-        await registry.asked.get()
-        start, _ = await registry.asked.get()
+        await registry.watches.get()
+        start, _ = await registry.watches.get()
         assert "from=41 " in start
 
 
@@ -174,23 +174,23 @@
 async def test_a_bad_line_is_logged_and_the_watch_restarted(
     line: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as one:
-        _, watch = await registry.asked.get()
-        push_raw(watch, line)
-        start, watch = await registry.asked.get()
+    registry = FakeDiscovery()
+    async with run_sidecar(Endpoint(), discovery_server=registry) as one:
+        _, watch = await registry.watches.get()
+        push_line(watch, line)
+        start, watch = await registry.watches.get()
         assert "from=41 " in start, "nothing of the bad line was taken"
-        assert (await one.ask(request())).body == b"ok"
+        assert (await one.send(http_request())).body == b"ok"
     assert "bad line from discovery" in caplog.messages
 
 
 @on_loop
 async def test_endpoints_that_left_are_forgotten_after_the_grace() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        one.told()
-        (place,) = one.driver.places.values()
+    async with run_sidecar(endpoint) as one:
+        one.set_list()
+        (place,) = one.driver.endpoints_by_number.values()
         assert place.left_at is not None, "kept for the grace"
         place.left_at -= 500_000
-        one.told(whole=False)
-        assert not one.driver.places and not one.upstream.pools
+        one.set_list(is_full=False)
+        assert not one.driver.endpoints_by_number and not one.upstream.pools
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from tests.process import config, free_port, open_at, start
-from tests.sockets import Registry, run
+from tests.sockets import FakeDiscovery, run_test
 from woadyard.ops.logs import BURST, WINDOW_S, RateLimit
 
 FLOOD = 1_000
@@ -50,7 +50,7 @@
 
 def test_a_flood_of_garbage_gives_few_lines_and_counts_the_rest(tmp_path: Path) -> None:
     async def main() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         async with await registry.start():
             port = free_port()
             process = await start({**config(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{port}"})
@@ -64,4 +64,4 @@
         assert len(refused) == BURST and len(lines) == BURST + len(summaries)
         assert sum(summaries) + sum(line.get("suppressed", 0) for line in refused) == FLOOD - BURST
 
-    run(main())
+    run_test(main())
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -14,12 +14,12 @@
 
 from tests.crowded_registry import CrowdedRegistry
 from tests.lab import Lab
-from tests.sockets import SETTINGS, Endpoint, Message, Writer, answer
+from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_response
 
 BINDING_S, GRACE_S, SLACK_S = 6.0, 0.25, 0.05
 INVARIANTS = {"drain-grace-us": 250_000, "ask-within-us": 3_000_000}
 ASKING: dict[str, Any] = {**SETTINGS, "discovery": "ask", "invariants": INVARIANTS}
-NOT_RUN = answer(503, b"", "X-Not-Run: 1\r\n")
+NOT_RUN = http_response(503, b"", "X-Not-Run: 1\r\n")
 
 
 @dataclass
@@ -33,7 +33,7 @@
     async def handle(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
         now = time.monotonic()
         self.arrived_at.append(now)
-        writer.write(answer() if now < self.drained_at + self.answers_for_s else NOT_RUN)
+        writer.write(http_response() if now < self.drained_at + self.answers_for_s else NOT_RUN)
 
     def late(self) -> list[float]:
         """Arrivals after the drain bound every sidecar, in seconds after discovery had it."""
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -9,7 +9,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from tests.process import call, with_door
-from tests.sockets import Endpoint, Registry, read_message, request, run
+from tests.sockets import Endpoint, FakeDiscovery, http_request, read_message, run_test
 
 REQUESTS, AT_ONCE, IDLE = 300, 30, 40
 
@@ -27,14 +27,14 @@
 async def caller(port: int, todo: list[int], done: list[bytes]) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     while todo:
-        writer.write(request(rid=f"r{todo.pop()}"))
+        writer.write(http_request(rid=f"r{todo.pop()}"))
         done.append((await read_message(reader)).body)
     writer.close()
 
 
 def test_the_counts_agree_with_what_was_sent_under_load_and_idle_callers(tmp_path: Path) -> None:
     async def main() -> None:
-        endpoint, registry = Endpoint(), Registry()
+        endpoint, registry = Endpoint(), FakeDiscovery()
         async with await endpoint.start(), await registry.start():
             process, port, door = await with_door(tmp_path, registry, endpoint)
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(IDLE)]
@@ -49,7 +49,7 @@
                 writer.close()
             process.send_signal(signal.SIGTERM)
             await process.wait()
-        assert done == [b"ok"] * REQUESTS and len(endpoint.got) == REQUESTS
+        assert done == [b"ok"] * REQUESTS and len(endpoint.received) == REQUESTS
         assert after["woadyard_requests_total"] == REQUESTS
         assert after["woadyard_answers_total{status=200}"] == REQUESTS
         assert after["woadyard_attempts_total"] == REQUESTS and after["woadyard_retries_total"] == 0
@@ -57,4 +57,4 @@
         assert after["woadyard_request_seconds_count"] == REQUESTS
         assert after["woadyard_list_version"] == 1
 
-    run(main())
+    run_test(main())
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,17 +19,17 @@
 from tests.sockets import (
     SETTINGS,
     Endpoint,
+    FakeDiscovery,
     Message,
-    Registry,
     Sidecar,
     Writer,
-    answer,
-    push,
+    http_request,
+    http_response,
+    push_list,
     read_message,
-    request,
-    run,
+    run_sidecar,
+    run_test,
     serve_ok,
-    sidecar,
 )
 from woadyard.__main__ import Reload
 from woadyard.membership.shrink import ShrinkGuard
@@ -45,9 +45,9 @@
         async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             if message.headers["x-request-id"] == "slow":
                 await release.wait()
-            writer.write(answer())
+            writer.write(http_response())
 
-        endpoint, registry = Endpoint(slow), Registry(beat_s=1.0)
+        endpoint, registry = Endpoint(slow), FakeDiscovery(heartbeat_s=1.0)
         listening = socket.create_server(("127.0.0.1", 0))
         port = listening.getsockname()[1]
         async with await endpoint.start(), await registry.start():
@@ -58,28 +58,30 @@
             doors = [free_port(), free_port()]
             old = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
             await ready(doors[0])
-            await registry.asked.get()
+            await registry.watches.get()
             kept, kept_writer = await asyncio.open_connection("127.0.0.1", port)
-            kept_writer.write(request(rid="first"))
+            kept_writer.write(http_request(rid="first"))
             assert "connection" not in (await read_message(kept)).headers
             taken, taken_writer = await asyncio.open_connection("127.0.0.1", port)
-            taken_writer.write(request(rid="slow"))
-            await endpoint.arrived.acquire()
-            await endpoint.arrived.acquire()
+            taken_writer.write(http_request(rid="slow"))
+            await endpoint.request_arrived.acquire()
+            await endpoint.request_arrived.acquire()
             new = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
-            _, watch = await registry.asked.get()
-            assert (await call(doors[1], "GET", "/_ready")).start.startswith("HTTP/1.1 503"), "no list yet"
-            push(watch, 2, True, endpoint.entry())
+            _, watch = await registry.watches.get()
+            assert (await call(doors[1], "GET", "/_ready")).start_line.startswith("HTTP/1.1 503"), (
+                "no list yet"
+            )
+            push_list(watch, 2, True, endpoint.entry())
             await ready(doors[1])
             old.send_signal(signal.SIGTERM)
-            while (await call(doors[0], "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
+            while (await call(doors[0], "GET", "/_ready")).start_line.startswith("HTTP/1.1 200"):
                 await asyncio.sleep(0.01)
             for n in range(20):  # all come to the new process, or some would see it end
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(request(rid=f"new{n}"))
+                writer.write(http_request(rid=f"new{n}"))
                 assert "connection" not in (await read_message(reader)).headers
                 writer.close()
-            kept_writer.write(request(rid="kept"))
+            kept_writer.write(http_request(rid="kept"))
             back = await read_message(kept)
             assert back.body == b"ok" and back.headers["connection"] == "close"
             release.set()
@@ -88,45 +90,45 @@
             _, errors = await old.communicate()
             assert (old.returncode, errors) == (0, b"")
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(request(rid="after"))
+            writer.write(http_request(rid="after"))
             assert (await read_message(reader)).body == b"ok", "the socket outlives the old process"
             writer.close()
             new.send_signal(signal.SIGTERM)
             _, errors = await new.communicate()
             assert (new.returncode, errors) == (0, b"")
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("descriptor", ["x", "-1", "0", "99999999999999999999"])
 def test_a_descriptor_that_is_no_listener_is_one_line_and_an_exit(tmp_path: Path, descriptor: str) -> None:
     async def main() -> None:
-        registry = Registry(beat_s=1.0)
+        registry = FakeDiscovery(heartbeat_s=1.0)
         async with await registry.start():
             process = await start({**config(tmp_path, registry), "LB_ACCEPT_FD": descriptor})
             _, errors = await process.communicate()
             assert process.returncode == 2
             assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("console", ["nowhere", "127.0.0.1:99999", "192.0.2.1:80", 5])
 def test_a_console_that_cannot_be_used_is_one_line_and_an_exit(tmp_path: Path, console: object) -> None:
     async def main() -> None:
-        registry = Registry(beat_s=1.0)
+        registry = FakeDiscovery(heartbeat_s=1.0)
         async with await registry.start():
             process = await start(config(tmp_path, registry, console=console))
             _, errors = await process.communicate()
             assert process.returncode == 2
             assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
 
-    run(main())
+    run_test(main())
 
 
 def test_a_ban_holds_over_an_upgrade_and_one_call_ends_it(tmp_path: Path) -> None:
     async def main() -> None:
-        first, second, registry = Endpoint(), Endpoint(), Registry(beat_s=1.0)
+        first, second, registry = Endpoint(), Endpoint(), FakeDiscovery(heartbeat_s=1.0)
         listening = socket.create_server(("127.0.0.1", 0))
         port = listening.getsockname()[1]
         async with await first.start(), await second.start(), await registry.start():
@@ -140,38 +142,38 @@
             async def ask(times: int) -> None:
                 for n in islice(ids, times):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(request(rid=f"r{n}"))
+                    writer.write(http_request(rid=f"r{n}"))
                     assert (await read_message(reader)).body == b"ok"
                     writer.close()
 
             async def said(door: int, what: str, body: str) -> str:
-                return (await call(door, "POST", f"/_endpoints/{what}", body)).start.split()[1]
+                return (await call(door, "POST", f"/_endpoints/{what}", body)).start_line.split()[1]
 
             doors = [free_port(), free_port()]
             old = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[0]}"}, listening.fileno())
             await ready(doors[0])
-            await registry.asked.get()
+            await registry.watches.get()
             assert await said(doors[0], "detach", "s-9") == "404"
             assert await said(doors[0], "detach", "") == "400"
             for _ in range(2):
                 assert await said(doors[0], "detach", "s-1") == "200"
             await ask(20)
             new = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{doors[1]}"}, listening.fileno())
-            _, watch = await registry.asked.get()
-            push(watch, 2, True, first.entry("s-1"), second.entry("s-2"))
+            _, watch = await registry.watches.get()
+            push_list(watch, 2, True, first.entry("s-1"), second.entry("s-2"))
             await ready(doors[1])
             old.send_signal(signal.SIGTERM)
             await old.wait()
             await ask(20)
-            assert not first.got, "no process sends it anything"
+            assert not first.received, "no process sends it anything"
             assert await said(doors[1], "attach", "s-1") == "200"
-            while not first.got:
+            while not first.received:
                 await ask(1)
             new.send_signal(signal.SIGTERM)
             _, errors = await new.communicate()
             assert (new.returncode, errors) == (0, b"")
 
-    run(main())
+    run_test(main())
 
 
 def changed(part: str, **changes: Any) -> dict[str, Any]:
@@ -197,13 +199,13 @@
 
 @contextlib.asynccontextmanager
 async def tuned(tmp_path: Path, *endpoints: Endpoint) -> AsyncIterator[Tuned]:
-    registry = Registry(beat_s=1.0)
-    async with sidecar(*endpoints, registry=registry) as one:
+    registry = FakeDiscovery(heartbeat_s=1.0)
+    async with run_sidecar(*endpoints, discovery_server=registry) as one:
         environ = config(tmp_path, registry)
         discovery = one.driver.discovery
         assert discovery is not None
         read = read_config(environ)
-        guard = ShrinkGuard(read.shrink_most, one.driver.listed, one.driver.loop.time)
+        guard = ShrinkGuard(read.shrink_most, one.driver.apply_list, one.driver.loop.time)
         yield Tuned(one, Path(environ["LB_CONFIG"]), discovery, Reload(read, one.driver, discovery, guard))
 
 
@@ -240,10 +242,10 @@
             before, address = now.one.driver.settings, now.discovery.address
             now.read(raw)
             assert now.one.driver.settings is before and now.discovery.address == address
-            assert (await now.one.ask(request())).body == b"ok"
+            assert (await now.one.send(http_request())).body == b"ok"
         assert [record.getMessage() for record in caplog.records] == ["not reloaded"]
 
-    run(main())
+    run_test(main())
 
 
 def test_classes_appear_vanish_and_change_and_calls_under_way_keep_theirs(tmp_path: Path) -> None:
@@ -251,11 +253,11 @@
         broken = asyncio.Event()
 
         async def reset(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            if len(endpoint.got) == 1:
+            if len(endpoint.received) == 1:
                 await broken.wait()
                 writer.transport.abort()
             else:
-                writer.write(answer())
+                writer.write(http_response())
 
         async with tuned(tmp_path, Endpoint(reset), Endpoint(serve_ok)) as now:
             pick = now.one.driver.balancer.endpoints
@@ -263,7 +265,7 @@
             vars(now.one.driver.balancer.membership)["due"] = (
                 lambda at, call: None if call.attempts else first
             )
-            under_way = asyncio.create_task(now.one.ask(request("page")))
+            under_way = asyncio.create_task(now.one.send(http_request("page")))
             while not now.one.driver.calls or not first.inflight:
                 await asyncio.sleep(0)
             vars(now.one.driver.balancer.membership)["due"] = lambda at, call: None
@@ -271,41 +273,41 @@
             stricter = {**page, "repeat": "fragile"}
             fresh = {**page, "name": "fresh"}
             now.read({**GOOD_FILE, "settings": {**SETTINGS, "classes": [fresh, stricter, put]}})
-            assert (await now.one.ask(request("pay"))).start.split()[1] == "404"
-            assert (await now.one.ask(request("page", rid="get"))).start.split()[1] == "405"
-            post = request("page", rid="post").replace(b"GET ", b"POST ")
-            assert (await now.one.ask(post)).body == b"ok"
-            again = request("page", rid="fresh").replace(b"page", b"fresh")
-            assert (await now.one.ask(again)).body == b"ok"
+            assert (await now.one.send(http_request("pay"))).start_line.split()[1] == "404"
+            assert (await now.one.send(http_request("page", rid="get"))).start_line.split()[1] == "405"
+            post = http_request("page", rid="post").replace(b"GET ", b"POST ")
+            assert (await now.one.send(post)).body == b"ok"
+            again = http_request("page", rid="fresh").replace(b"page", b"fresh")
+            assert (await now.one.send(again)).body == b"ok"
             broken.set()
             assert (await under_way).body == b"ok", "repeated, as its class then allowed"
             now.read({**GOOD_FILE, "settings": SETTINGS})
-            assert (await now.one.ask(request("pay", rid="back"))).body == b"ok"
+            assert (await now.one.send(http_request("pay", rid="back"))).body == b"ok"
             assert len(now.one.driver.settings.classes) == 5, "what came back has its old number"
 
-    run(main())
+    run_test(main())
 
 
 def test_fewer_attempts_hold_at_once(tmp_path: Path) -> None:
     async def main() -> None:
         async def fail(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            writer.write(answer(500))
+            writer.write(http_response(500))
 
         ends = [Endpoint(fail) for _ in range(4)]
         async with tuned(tmp_path, *ends) as now:
             now.read({**GOOD_FILE, "settings": changed("ceilings", **{"max-attempts": 1})})
-            await now.one.ask(request())
-            assert sum(len(one.got) for one in ends) == 1
+            await now.one.send(http_request())
+            assert sum(len(one.received) for one in ends) == 1
 
-    run(main())
+    run_test(main())
 
 
 def test_a_good_file_moves_discovery_with_its_settings(tmp_path: Path) -> None:
     async def main() -> None:
         async with tuned(tmp_path, Endpoint()) as now:
             now.read({**GOOD_FILE, "settings": {**SETTINGS, "invariants": {"drain-grace-us": 7}}})
-            assert now.discovery.address == "127.0.0.1:9" and now.one.driver.force.drain_grace_us == 7
+            assert now.discovery.address == "127.0.0.1:9" and now.one.driver.in_force.drain_grace_us == 7
             now.read(b"{")
             assert now.discovery.address == "127.0.0.1:9", "the last good file stays in force"
 
-    run(main())
+    run_test(main())
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -19,14 +19,14 @@
     Message,
     Sidecar,
     Writer,
+    http_request,
     on_loop,
-    request,
+    run_sidecar,
     serve_ok,
-    sidecar,
-    until,
+    wait_until,
 )
 from woadyard.net import server
-from woadyard.net.link import Link
+from woadyard.net.endpoint_connection import EndpointConnection
 from woadyard.wire import read_settings
 
 EFFECTS = ("retryable", "dedup", "fragile")
@@ -50,12 +50,12 @@
         "ceilings": {**SETTINGS["ceilings"], **(ceilings or {})},
         **more,
     }
-    one.driver.retune(raw, read_settings(json.dumps(raw).encode()))
+    one.driver.apply_settings(raw, read_settings(json.dumps(raw).encode()))
 
 
 async def settled(one: Sidecar) -> None:
     """Nothing is owed: no call is open, and no attempt out."""
-    await until(lambda: not one.driver.calls)
+    await wait_until(lambda: not one.driver.calls)
     assert all(not endpoint.inflight for endpoint in one.driver.balancer.endpoints.values())
 
 
@@ -76,33 +76,33 @@
 ) -> None:
     """The window binds when it is written, not when it was decided."""
     gate, second = asyncio.Event(), Endpoint()
-    real = Link._connect
+    real = EndpointConnection._create_connection
 
-    async def slow(link: Link, host: str, port: int) -> None:
+    async def slow(link: EndpointConnection, host: str, port: int) -> None:
         if port == second.port:
             await gate.wait()
         await real(link, host, port)
 
     async def moved(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        one.told(second.entry("s-9"))  # the only one left
+        one.set_list(second.entry("s-9"))  # the only one left
         writer.close()
 
-    monkeypatch.setattr(Link, "_connect", slow)
-    async with sidecar(first := Endpoint(moved)) as one:
+    monkeypatch.setattr(EndpointConnection, "_create_connection", slow)
+    async with run_sidecar(first := Endpoint(moved)) as one:
         listener = await second.start()
         window = 1_000_000 if late else 60_000_000
         retuned(one, a_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window}))
-        asked = asyncio.create_task(one.ask(request("put")))
-        await first.arrived.acquire()
+        asked = asyncio.create_task(one.send(http_request("put")))
+        await first.request_arrived.acquire()
         ((_, call),) = one.driver.calls.items()
-        await until(lambda: asked.done() or len(call.attempts) == 2)
+        await wait_until(lambda: asked.done() or len(call.attempts) == 2)
         if late:
             sent = call.attempts[0].sent if call.attempts else 0
             await asyncio.sleep(max(0.0, (sent + window - one.driver.now()) / 1e6) + 0.001)
         gate.set()
         back = await asked
-        assert len(second.got) == (0 if late else 1)
-        assert back.start.startswith("HTTP/1.1 200") is not late
+        assert len(second.received) == (0 if late else 1)
+        assert back.start_line.startswith("HTTP/1.1 200") is not late
         await settled(one)
         listener.close()
 
@@ -118,19 +118,21 @@
     zones, second = ["here", "there"], Endpoint()
 
     async def moved(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        one.told(second.entry("s-9", zone=zones[zone], cell=cell))
+        one.set_list(second.entry("s-9", zone=zones[zone], cell=cell))
         writer.close()
 
-    async with sidecar(first := Endpoint(moved)) as one:
+    async with run_sidecar(first := Endpoint(moved)) as one:
         listener = await second.start()
         retuned(one, a_class(effect, **{"dedup-scope": scope}), zones=zones)
-        back = await one.ask(request(NAMES[effect]))
+        back = await one.send(http_request(NAMES[effect]))
         known = {"all": True, "zone": zone == 0, "cell": cell == 1}[scope]
         may = effect == "retryable" or (effect == "dedup" and known)
-        assert (len(first.got), len(second.got)) == (1, int(may))
-        assert back.start.startswith("HTTP/1.1 200") is may
+        assert (len(first.received), len(second.received)) == (1, int(may))
+        assert back.start_line.startswith("HTTP/1.1 200") is may
         if may and effect == "dedup":
-            assert second.got[0].headers["idempotency-key"] == first.got[0].headers["idempotency-key"]
+            assert (
+                second.received[0].headers["idempotency-key"] == first.received[0].headers["idempotency-key"]
+            )
         await settled(one)
         listener.close()
 
@@ -144,10 +146,10 @@
         writer.close()
 
     endpoints = [Endpoint(late) for _ in range(3)]
-    async with sidecar(*endpoints) as one:
+    async with run_sidecar(*endpoints) as one:
         retuned(one, a_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window_ms * 1000}))
-        await one.ask(request("put"))
-        assert sum(len(endpoint.got) for endpoint in endpoints) == 1
+        await one.send(http_request("put"))
+        assert sum(len(endpoint.received) for endpoint in endpoints) == 1
         await settled(one)
 
 
@@ -155,18 +157,20 @@
 @on_loop
 async def test_another_effect_holds_for_what_comes_after_it(before: str, after: str) -> None:
     endpoints = [Endpoint(break_off) for _ in range(3)]
-    async with sidecar(*endpoints) as one:
+    async with run_sidecar(*endpoints) as one:
         for n, effect in enumerate((before, after)):
             retuned(one, a_class(effect, name="page"))
             method = b"GET" if effect == "retryable" else b"POST"
             length = b"" if effect == "retryable" else b"Content-Length: 0\r\n"
             key = b"Idempotency-Key: k\r\n" if effect == "dedup" else b""
             head = b"%b /page?obj=7 HTTP/1.1\r\nHost: b\r\nX-Request-Id: r%d\r\n%b%b\r\n"
-            back = await one.ask(head % (method, n, length, key))
-            assert back.start.split()[1] in ("502", "503")
+            back = await one.send(head % (method, n, length, key))
+            assert back.start_line.split()[1] in ("502", "503")
             if effect == "fragile":
-                assert back.start.startswith("HTTP/1.1 502")  # a refusal would say that a retry is harmless
-        runs = Counter(message.headers["x-request-id"] for each in endpoints for message in each.got)
+                assert back.start_line.startswith(
+                    "HTTP/1.1 502"
+                )  # a refusal would say that a retry is harmless
+        runs = Counter(message.headers["x-request-id"] for each in endpoints for message in each.received)
         for n, effect in enumerate((before, after)):
             assert 1 <= runs[f"r{n}"] <= (1 if effect == "fragile" else 3)
         await settled(one)
@@ -203,26 +207,26 @@
     short = classes[0]["deadline-us"] < 1_000_000
     handlers = [serve_ok, serve_ok, break_off, not_run, hold if short else serve_ok]
     endpoints = [Endpoint(handler) for handler in handlers]
-    async with sidecar(*endpoints) as one:
+    async with run_sidecar(*endpoints) as one:
         retuned(one, *classes, **more)
         asked, effects = [], {}
         for n, entry in enumerate(itertools.islice(itertools.cycle(classes), 60)):
             rid, effect = f"r{n}", entry["repeat"]
             effects[rid] = effect
-            raw = request(NAMES[effect], rid=rid, headers=f"X-Tenant: t-{n * 7 % 210}\r\n")
+            raw = http_request(NAMES[effect], rid=rid, headers=f"X-Tenant: t-{n * 7 % 210}\r\n")
             name = entry["name"]
             raw = raw.replace(f"/{NAMES[effect]}?".encode(), f"/{name}?".encode())
             raw = raw.replace(f"X-Class: {NAMES[effect]}\r\n".encode(), f"X-Class: {name}\r\n".encode())
             raw = raw.replace(
                 b"X-Deadline-Ms: 4000\r\n", b"X-Deadline-Ms: %d\r\n" % (entry["deadline-us"] // 1000)
             )
-            asked.append(one.ask(raw))
+            asked.append(one.send(raw))
         backs = await asyncio.gather(*asked)
-        assert {back.start.split()[1] for back in backs} <= {"200", "502", "503", "504"}
-        assert any(back.start.split()[1] == "200" for back in backs)
+        assert {back.start_line.split()[1] for back in backs} <= {"200", "502", "503", "504"}
+        assert any(back.start_line.split()[1] == "200" for back in backs)
         runs: Counter[str] = Counter()
         for endpoint in endpoints:
-            for message in endpoint.got:
+            for message in endpoint.received:
                 runs[message.headers["x-request-id"]] += endpoint.handler is not not_run
                 assert int(message.headers["x-deadline-ms"]) <= classes[0]["deadline-us"] // 1000
         most = more.get("ceilings", {}).get("max-attempts", 3)
@@ -237,16 +241,16 @@
 ) -> None:
     monkeypatch.setattr(server, "IDS_S", 0.05)
     endpoint = Endpoint(hold)
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         retuned(one, a_class("fragile", **{"deadline-us": 60_000_000}))
         _, writer = await one.connect()
-        writer.write(request("pay", deadline_ms=60_000, rid="r1"))
-        await endpoint.arrived.acquire()
+        writer.write(http_request("pay", deadline_ms=60_000, rid="r1"))
+        await endpoint.request_arrived.acquire()
         for _ in range(3):
             await asyncio.sleep(0.06)
-            copy = await one.ask(request("pay", deadline_ms=60_000, rid="r1"))
-            assert copy.start.startswith("HTTP/1.1 409")
-        assert len(endpoint.got) == 1
+            copy = await one.send(http_request("pay", deadline_ms=60_000, rid="r1"))
+            assert copy.start_line.startswith("HTTP/1.1 409")
+        assert len(endpoint.received) == 1
         writer.close()
         await settled(one)
 
@@ -255,10 +259,10 @@
 async def test_ids_of_requests_past_their_time_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "IDS_S", 0.05)
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         for n in range(40):
-            await one.ask(request("pay", deadline_ms=30 if n else 60_000, rid=f"r{n}"))
+            await one.send(http_request("pay", deadline_ms=30 if n else 60_000, rid=f"r{n}"))
         await asyncio.sleep(0.2)
-        await one.ask(request("pay", rid="last"))
+        await one.send(http_request("pay", rid="last"))
         assert set(one.server.ids) == {b"r0", b"last"}
         await settled(one)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.process import Process, free_port
-from tests.sockets import Registry, push, read_message, run
+from tests.sockets import FakeDiscovery, push_list, read_message, run_test
 from woadyard.lists.service import PATH
 from woadyard.net.discovery import Discovery
 
@@ -44,7 +44,7 @@
     )
     back = await read_message(reader)
     writer.close()
-    status = int(back.start.split()[1])
+    status = int(back.start_line.split()[1])
     return status, json.loads(back.body) if status == 200 and not text else back.body.decode()
 
 
@@ -100,7 +100,7 @@
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
-    run(main())
+    run_test(main())
 
 
 def test_a_lease_not_renewed_leaves_the_list_and_a_renewed_one_stays(tmp_path: Path) -> None:
@@ -117,7 +117,7 @@
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.skipif(not FULL.exists(), reason="no /dev/full here")
@@ -136,7 +136,7 @@
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
-    run(main())
+    run_test(main())
 
 
 def test_a_replica_that_lags_moves_no_client_back(tmp_path: Path) -> None:
@@ -144,24 +144,24 @@
     that lags: its older whole list is not taken, the next newer one is."""
 
     async def main() -> None:
-        stand_in = Registry()
+        stand_in = FakeDiscovery()
         async with await stand_in.start():
             watcher = Watcher(stand_in.port, 1, 0)
-            _, feed = await stand_in.asked.get()
-            push(feed, 5, True, {**ENTRY, "instanceId": "s-0"}, {**ENTRY, "instanceId": "s-1"})
+            _, feed = await stand_in.watches.get()
+            push_list(feed, 5, True, {**ENTRY, "instanceId": "s-0"}, {**ENTRY, "instanceId": "s-1"})
             await watcher.reached.wait()
             feed.close()  # cut off; the watch comes back to a replica that lags
-            start_line, feed = await stand_in.asked.get()
+            start_line, feed = await stand_in.watches.get()
             assert "from=5 " in start_line, "the watch resumes from the version held"
-            push(feed, 3, True, {**ENTRY, "instanceId": "s-0"})
-            push(feed, 6, False, {**ENTRY, "instanceId": "s-2"})
+            push_list(feed, 3, True, {**ENTRY, "instanceId": "s-0"})
+            push_list(feed, 6, False, {**ENTRY, "instanceId": "s-2"})
             watcher.wanted, watcher.reached = 6, asyncio.Event()
             await watcher.reached.wait()
             watcher.discovery.close()
         assert [version for version, _, _ in watcher.told] == [5, 6]
         assert watcher.names == {"s-0", "s-1", "s-2"}
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
@@ -185,11 +185,11 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(sent + b"x" * (2_000_000 if status == 413 else 0))
         back = await read_message(reader)
-        assert int(back.start.split()[1]) == status and json.loads(back.body)["remedy"]
+        assert int(back.start_line.split()[1]) == status and json.loads(back.body)["remedy"]
         assert (await register(port, "s-0"))[0] == 200, "and it serves on"
         writer.close()
         process.send_signal(signal.SIGTERM)
         _, lines = await process.communicate()
         assert b"Traceback" not in lines and lines.count(b"\n") <= 2, "one line for it, one at the end"
 
-    run(main())
+    run_test(main())
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -12,7 +12,7 @@
 
 from tests.lab import Lab, Program
 from tests.process import Process
-from tests.sockets import run
+from tests.sockets import run_test
 from tests.test_registry import ENTRY, Watcher, ask, service
 from woadyard.errors import RecordError
 from woadyard.lists import ListBook
@@ -95,8 +95,8 @@
         await asyncio.sleep(0.02)
     await sidecar.shows("woadyard_list_version 3.0")
     for n in range(5):
-        assert (await sidecar.ask(rid=f"r{n}")).start.split()[1] == "200"
-    assert len(new.got) == 5 and not old.got, "nothing went by the older list"
+        assert (await sidecar.ask(rid=f"r{n}")).start_line.split()[1] == "200"
+    assert len(new.received) == 5 and not old.received, "nothing went by the older list"
 
 
 async def test_a_replica_of_another_log_is_turned_down_and_says_it_does_not_follow(lab: Lab) -> None:
@@ -151,7 +151,7 @@
         again.write({"op": "expire"})
         assert not again.book(ListBook).entries, "and run out as before"
 
-    run(main())
+    run_test(main())
 
 
 def test_a_replica_too_far_behind_gets_the_state_whole(tmp_path: Path) -> None:
@@ -168,4 +168,4 @@
         with pytest.raises(RecordError):
             again.log_after(0, NO_CHAIN, "another")
 
-    run(main())
+    run_test(main())
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.process import call, config, free_port, ready, start
-from tests.sockets import Endpoint, read_message, request, run
+from tests.sockets import Endpoint, http_request, read_message, run_test
 from tests.test_registry import ask, service
 from tests.test_replicas import end
 from woadyard.errors import PeerError
@@ -116,10 +116,10 @@
 
             async def status(rid: str) -> str:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(request(rid=rid, deadline_ms=300))
+                writer.write(http_request(rid=rid, deadline_ms=300))
                 back = await read_message(reader)
                 writer.close()
-                return back.start.split()[1]
+                return back.start_line.split()[1]
 
             await shown("woadyard_list_version 3.0")
             await leases(1)
@@ -128,10 +128,10 @@
             await shown(f"woadyard_list_version {listing['generation']}.0")
             assert await status("r1") == "200"
             back = await call(door, "POST", "/_list/accept")
-            assert back.start.split()[1] == "200" and b"let go" in back.body
+            assert back.start_line.split()[1] == "200" and b"let go" in back.body
             await shown("woadyard_list_held 0.0")
             assert await status("r2") != "200", "the list is empty, on an operator's word"
-            assert (await call(door, "POST", "/_list/accept")).start.split()[1] == "409"
+            assert (await call(door, "POST", "/_list/accept")).start_line.split()[1] == "409"
         await end(registry, process)
 
-    run(main())
+    run_test(main())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,15 +15,15 @@
 from tests.sockets import (
     SETTINGS,
     Endpoint,
+    FakeDiscovery,
     Message,
-    Registry,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    push,
+    push_list,
     read_message,
-    request,
-    sidecar,
+    run_sidecar,
 )
 from woadyard.net.discovery import LOST
 
@@ -39,15 +39,15 @@
     async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if message.headers["x-request-id"] == "slow":
             await release.wait()
-        writer.write(answer())
+        writer.write(http_response())
 
-    endpoint, registry = Endpoint(slow), Registry()
+    endpoint, registry = Endpoint(slow), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         port = free_port()
         environ = {**config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
         process = await start(environ)
-        _, watch = await registry.asked.get()
-        push(watch, 2, True, endpoint.entry())
+        _, watch = await registry.watches.get()
+        push_list(watch, 2, True, endpoint.entry())
         while True:  # it watches before it listens
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -55,15 +55,15 @@
             except ConnectionError:
                 await asyncio.sleep(0)
         idle, idle_writer = await asyncio.open_connection("127.0.0.1", port)
-        idle_writer.write(request(rid="before"))
+        idle_writer.write(http_request(rid="before"))
         assert "connection" not in (await read_message(idle)).headers
-        writer.write(request(rid="slow"))
-        await endpoint.arrived.acquire()
+        writer.write(http_request(rid="slow"))
+        await endpoint.request_arrived.acquire()
         process.send_signal(signal.SIGTERM)
-        idle_writer.write(request(rid="kept"))
+        idle_writer.write(http_request(rid="kept"))
         assert "connection" not in (await read_message(idle)).headers, "callers may have no other yet"
         new, new_writer = await asyncio.open_connection("127.0.0.1", port)
-        new_writer.write(request(rid="new"))
+        new_writer.write(http_request(rid="new"))
         back = await read_message(new)
         assert back.body == b"ok"
         assert await idle.read() == await new.read() == b"", "in the end what is idle is closed"
@@ -80,29 +80,29 @@
 @on_loop
 async def test_what_is_taken_after_sigterm_is_answered_before_the_kill() -> None:
     endpoint = Endpoint(hold)
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         now = one.driver.now()
         one.server.stop(lambda: None)
         assert now + 3_000_000 < one.server.answered_by < one.driver.now() + 3_700_000
         one.server.answered_by = one.driver.now() + 50_000
-        back = await one.ask(request("pay", deadline_ms=30_000))
-        assert back.start.split()[1] == "504"
+        back = await one.send(http_request("pay", deadline_ms=30_000))
+        assert back.start_line.split()[1] == "504"
 
 
 @on_loop
 async def test_all_that_comes_on_an_open_connection_after_sigterm_is_answered() -> None:
     """Clients send on until they see the connection close, one request behind another too."""
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
-        writer.write(request(rid="before"))
+        writer.write(http_request(rid="before"))
         await read_message(reader)
         one.server.stop(lambda: None)
         for n in range(3):
-            writer.write(request(rid=f"r{n}"))
+            writer.write(http_request(rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
         one.server.closing = True  # as when the connections at rest have been closed
-        writer.write(request(rid="last") + request(rid="ahead") + request(rid="further"))
+        writer.write(http_request(rid="last") + http_request(rid="ahead") + http_request(rid="further"))
         for n in range(3):
             back = await read_message(reader)
             assert back.body == b"ok" and ("connection" in back.headers) == (n == 2)
@@ -113,27 +113,27 @@
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 @on_loop
 async def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path, discovery: str) -> None:
-    old, new = Registry(), Registry()
+    old, new = FakeDiscovery(), FakeDiscovery()
     changes = {"settings": {**SETTINGS, "discovery": discovery}}
     async with await old.start(), await new.start():
         environ = {**config(tmp_path, old, **changes), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
         environ["LB_DISCOVERY"] = f"127.0.0.1:{old.port}"
         process = await start(environ)
         assert process.stderr is not None
-        start_line, watch = await old.asked.get()
+        start_line, watch = await old.watches.get()
         assert "from=1 " in start_line
-        push(watch, 5, True)
+        push_list(watch, 5, True)
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
         line = await process.stderr.readline()
         assert json.loads(line)["event"] == "not reloaded"
         config(tmp_path, new, **changes)
         process.send_signal(signal.SIGHUP)
-        start_line, watch = await new.asked.get()
+        start_line, watch = await new.watches.get()
         assert "from=5 " in start_line
         assert json.loads(await process.stderr.readline())["event"] == "reloaded"
         watch.close()  # no list came: the new address is asked again
-        await new.asked.get()
+        await new.watches.get()
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
         assert process.returncode == 0
@@ -152,7 +152,7 @@
 )
 @on_loop
 async def test_a_bad_configuration_is_one_line_and_an_exit(tmp_path: Path, changes: dict[str, Any]) -> None:
-    registry = Registry()
+    registry = FakeDiscovery()
     registry.port = 1
     process = await start(config(tmp_path, registry, **changes))
     out, errors = await process.communicate()
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -52,7 +52,7 @@
     assert await ask("a", **{"X-Acted-On": "l.2"}) == 500
     one.become(manner("small", resets=1.0))
     reset = await lab.sidecar("n1", [one.entry()])
-    assert (await reset.ask(rid="c", cls="pay")).start.split()[1] == "502"
+    assert (await reset.ask(rid="c", cls="pay")).start_line.split()[1] == "502"
     told = (await lab.call(one.port, "GET", "/_counts")).json
     assert told["attempts"] == 4 and told["ids"] == 3
     assert told["headers"]["X-Acted-On"] == {"l.1": 2, "l.2": 1}
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -16,15 +16,15 @@
 from tests.sockets import (
     SETTINGS,
     Endpoint,
-    Listener,
+    FakeDiscovery,
+    LoopbackServer,
     Reader,
-    Registry,
     Writer,
+    http_request,
     on_loop,
     read_message,
-    request,
-    sidecar,
-    until,
+    run_sidecar,
+    wait_until,
 )
 
 READY_S = 10.0  # nine in ten restarted processes have to be ready by then
@@ -35,14 +35,14 @@
     while True:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(1.0):
-                if (await call(port, "GET", "/health/ready")).start.startswith("HTTP/1.1 200"):
+                if (await call(port, "GET", "/health/ready")).start_line.startswith("HTTP/1.1 200"):
                     return
         await asyncio.sleep(0.02)
 
 
 async def served(port: int) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(request())
+    writer.write(http_request())
     assert (await read_message(reader)).body == b"ok"
     writer.close()
 
@@ -50,8 +50,8 @@
 async def refused(port: int) -> None:
     """At once: a retry elsewhere is harmless."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(request())
-    assert (await read_message(reader)).start.startswith("HTTP/1.1 503")
+    writer.write(http_request())
+    assert (await read_message(reader)).start_line.startswith("HTTP/1.1 503")
     writer.close()
 
 
@@ -61,7 +61,7 @@
     await process.communicate()
 
 
-class Dripping(Listener):
+class Dripping(LoopbackServer):
     """Discovery that sends a byte now and then, and no list."""
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
@@ -72,14 +72,14 @@
 
 
 @contextlib.asynccontextmanager
-async def deaf(how: str) -> AsyncIterator[Listener]:
+async def deaf(how: str) -> AsyncIterator[LoopbackServer]:
     """Discovery that never tells a list."""
     if how in ("silent", "dripping"):
-        telling = Registry() if how == "silent" else Dripping()
+        telling = FakeDiscovery() if how == "silent" else Dripping()
         async with await telling.start():
             yield telling
         return
-    listener = Listener()
+    listener = LoopbackServer()
     if how == "down":
         listener.port = free_port()
         yield listener
@@ -113,7 +113,7 @@
             await served(port)
         else:  # a change may have bound by now: nothing is sent by the list from before the start
             await refused(port)
-            assert not endpoint.got
+            assert not endpoint.received
 
 
 @on_loop
@@ -129,7 +129,7 @@
 
 @on_loop
 async def test_one_that_takes_over_is_ready_in_time_though_discovery_is_silent(tmp_path: Path) -> None:
-    endpoint, registry = Endpoint(), Registry()
+    endpoint, registry = Endpoint(), FakeDiscovery()
     async with contextlib.AsyncExitStack() as stack:
         listening = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         port = listening.getsockname()[1]
@@ -181,20 +181,20 @@
 @on_loop
 async def test_who_asks_as_it_comes_is_heard_in_a_crowd_that_says_nothing() -> None:
     """Places are all taken, and nobody has owed a request for long yet."""
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         one.server.most = 64  # 48 of them for callers
         first, first_writer = await one.connect()
-        first_writer.write(request(rid="first")[:1])  # it has said something
+        first_writer.write(http_request(rid="first")[:1])  # it has said something
         crowd = [await one.connect() for _ in range(47)]
-        await until(lambda: len(one.server.callers) == 48)
+        await wait_until(lambda: len(one.server.callers) == 48)
         for n in range(20):  # each is followed by another that says nothing
             asker = await one.connect()
             crowd.append(await one.connect())
-            asker[1].write(request(rid=f"r{n}"))
+            asker[1].write(http_request(rid=f"r{n}"))
             assert (await read_message(asker[0])).body == b"ok"
             asker[1].close()
-            await until(lambda: len(one.server.callers) <= 48)
-        first_writer.write(request(rid="first")[1:])
+            await wait_until(lambda: len(one.server.callers) <= 48)
+        first_writer.write(http_request(rid="first")[1:])
         assert (await read_message(first)).body == b"ok"
         for _, writer in crowd:
             writer.close()
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -13,19 +13,19 @@
 
 from tests.process import config, free_port, open_at, start
 from tests.sockets import (
-    LARGE,
+    LARGE_BODY,
     SETTINGS,
     Endpoint,
+    FakeDiscovery,
     Message,
-    Registry,
     Sidecar,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
     read_message,
-    request,
-    sidecar,
-    until,
+    run_sidecar,
+    wait_until,
 )
 from woadyard.net.server import stop_times
 from woadyard.wire import read_settings
@@ -39,7 +39,7 @@
 
 def retune(one: Sidecar, deadline_us: int) -> None:
     raw = lasting(deadline_us)
-    one.driver.retune(raw, read_settings(json.dumps(raw).encode()))
+    one.driver.apply_settings(raw, read_settings(json.dumps(raw).encode()))
 
 
 @pytest.mark.parametrize("deadline_s", [0.05, 0.1, 0.3, 1.0, 3.0, 30.0])
@@ -53,7 +53,7 @@
 @on_loop
 async def test_classes_that_are_gone_put_off_no_kill() -> None:
     """SIGKILL follows by the deadlines in force, not by those of before a reload."""
-    async with sidecar(Endpoint()) as one:
+    async with run_sidecar(Endpoint()) as one:
         retune(one, 300_000)
         one.server.stop(lambda: None)
         assert one.server.answered_by < one.driver.now() + 1_000_000, "SIGKILL may come then"
@@ -61,13 +61,13 @@
 
 @on_loop
 async def test_new_connections_without_end_put_off_no_end(tmp_path: Path) -> None:
-    endpoint, registry = Endpoint(), Registry()
+    endpoint, registry = Endpoint(), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         port = free_port()
         changes = {"settings": lasting(300_000), "listen": f"127.0.0.1:{port}"}
         process = await start(config(tmp_path, registry, endpoint, **changes))
         reader, writer = await open_at(port)
-        writer.write(request())
+        writer.write(http_request())
         await read_message(reader)  # it heeds signals by now
         process.send_signal(signal.SIGTERM)
 
@@ -99,10 +99,10 @@
     return not one.driver.calls and not any(end.inflight for end in ends)
 
 
-HALF_HEAD = request()[:-10]
-HALF_BODY = request("pay", b"x" * 100)[:-50]
-LOADING = request("pay", LARGE)[: len(LARGE) // 2]
-PATIENT = request("pay", deadline_ms=30_000)
+HALF_HEAD = http_request()[:-10]
+HALF_BODY = http_request("pay", b"x" * 100)[:-50]
+LOADING = http_request("pay", LARGE_BODY)[: len(LARGE_BODY) // 2]
+PATIENT = http_request("pay", deadline_ms=30_000)
 
 
 @pytest.mark.parametrize(
@@ -117,18 +117,20 @@
 ) -> None:
     """A request begun, a body on its way, a deadline of before SIGTERM: SIGKILL would cut it off."""
     endpoint, ended = Endpoint(hold), asyncio.Event()
-    async with sidecar(endpoint) as one, asyncio.timeout(10.0):
+    async with run_sidecar(endpoint) as one, asyncio.timeout(10.0):
         retune(one, 300_000)
         reader, writer = await one.connect()
         if before:
             writer.write(sent)
-            await until(lambda: any(caller.call or caller.incoming.reading for caller in one.server.callers))
+            await wait_until(
+                lambda: any(caller.call or caller.incoming.reading for caller in one.server.callers)
+            )
         one.server.stop(ended.set)
         by = one.server.answered_by
         if not before:
             writer.write(sent)
         back = await read_message(reader)
-        assert int(back.start.split()[1]) == status and back.headers["connection"] == "close"
+        assert int(back.start_line.split()[1]) == status and back.headers["connection"] == "close"
         assert one.driver.now() >= by - 1000, "it had its time"
         writer.close()
         await ended.wait()
@@ -140,13 +142,13 @@
 async def test_a_request_that_crosses_the_close_is_served_or_never_sent_on(read: bool) -> None:
     """Its client sends it again only if the sidecar has not read it."""
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as one:
         reader, writer = await one.connect()
-        writer.write(request(rid="before"))
+        writer.write(http_request(rid="before"))
         await read_message(reader)
         one.server.stop(lambda: None)
         with writer.get_extra_info("socket").dup() as raw:
-            raw.send(request(rid="last"))  # with the system at once
+            raw.send(http_request(rid="last"))  # with the system at once
         if read:
             one.server._stop_keeping()
             back = await read_message(reader)
@@ -155,8 +157,8 @@
             one.server._close_resting()
             with suppress(ConnectionError):
                 assert await reader.read() == b""
-        await until(lambda: not one.server.callers)
-        assert [one.headers["x-request-id"] for one in endpoint.got] == ["before", "last"][: 1 + read]
+        await wait_until(lambda: not one.server.callers)
+        assert [one.headers["x-request-id"] for one in endpoint.received] == ["before", "last"][: 1 + read]
         assert settled(one)
         writer.close()
 
@@ -170,16 +172,16 @@
 
     async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await release.wait()
-        writer.write(answer())
+        writer.write(http_response())
 
-    endpoint, registry = Endpoint(slow), Registry()
+    endpoint, registry = Endpoint(slow), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         port = free_port()
         process = await start(config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"))
         assert process.stderr is not None
         reader, writer = await open_at(port)
-        writer.write(request(rid="held"))
-        await endpoint.arrived.acquire()
+        writer.write(http_request(rid="held"))
+        await endpoint.request_arrived.acquire()
         process.send_signal(signal.SIGTERM)
         others = {**SETTINGS, "classes": SETTINGS["classes"][1:]}  # its class is gone
         config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", settings=others)
@@ -195,10 +197,10 @@
 
 @on_loop
 async def test_sigterm_before_it_listens_ends_it_at_once(tmp_path: Path) -> None:
-    endpoint, registry = Endpoint(), Registry()
+    endpoint, registry = Endpoint(), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         process = await start(config(tmp_path, registry, endpoint))
-        await registry.asked.get()  # it waits a moment for its first list
+        await registry.watches.get()  # it waits a moment for its first list
         process.send_signal(signal.SIGTERM)
         await process.communicate()
         assert process.returncode in (0, -signal.SIGTERM), "nothing was taken yet"
