--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.process import Process, free_port
-from tests.sockets import run
+from tests.sockets import run_test
 from tests.test_registry import ENTRY, Watcher, ask, register, service
 from tests.test_replicas import caught_up, end, replica, until
 from woadyard.lists.service import PATH
@@ -20,7 +20,7 @@
 from woadyard.net.listwriter import ListWriter
 
 
-async def said(process: Process, event: str) -> dict[str, Any]:
+async def next_log_event(process: Process, event: str) -> dict[str, Any]:
     """The next line of that event in the process's log."""
     assert process.stderr is not None
     while True:
@@ -29,7 +29,7 @@
             return dict(line)
 
 
-def names(listing: dict[str, Any]) -> list[str]:
+def instance_ids(listing: dict[str, Any]) -> list[str]:
     return [one["instanceId"] for one in listing["instances"]]
 
 
@@ -56,7 +56,7 @@
         await watcher.reached.wait()
         watcher.discovery.replicas = [f"127.0.0.1:{ports[0]}"]  # and now of the older alone
         watcher.discovery.watch(True)
-        loser = await said(first, "deposed: another process writes, this one stops")
+        loser = await next_log_event(first, "deposed: another process writes, this one stops")
         assert loser["greater"] == y_2["term"] and loser["remedy"]
         status, text = await register(ports[0], "x-3")
         assert status == 503 and json.loads(text)["remedy"]
@@ -64,13 +64,13 @@
         watcher.discovery.close()
         await end(first)
         first = await replica(tmp_path / "a", ports[0], ports[1])
-        lost = await said(first, "records thrown away, the writer's state taken whole")
+        lost = await next_log_event(first, "records thrown away, the writer's state taken whole")
         assert (lost["records"], lost["lost"], lost["new_term"]) == (1, ["x-2"], y_2["term"])
         told = await until(ports[0], caught_up(2))
-        assert names(told) == ["x-1", "y-2"] and told == (await ask(ports[1], "GET", PATH))[1]
+        assert instance_ids(told) == ["x-1", "y-2"] and told == (await ask(ports[1], "GET", PATH))[1]
         await end(first, second)
 
-    run(main())
+    run_test(main())
 
 
 def test_peers_tell_each_other_and_the_loser_follows_by_itself(tmp_path: Path) -> None:
@@ -78,14 +78,14 @@
         ports = [free_port(), free_port()]
         both = "--peers", ",".join(f"127.0.0.1:{port}" for port in ports)
         first, second = await both_write(tmp_path, ports, *both)
-        await said(first, "deposed: another process writes, this one stops")
-        await said(first, "following")
+        await next_log_event(first, "deposed: another process writes, this one stops")
+        await next_log_event(first, "following")
         status, text = await register(ports[0], "x-2")
         assert status == 307 and json.loads(text)["writer"] == f"127.0.0.1:{ports[1]}"
         caller, told = ListWriter(f"127.0.0.1:{ports[0]}", Random(1)), list[Any]()
         assert await caller.write("PUT", f"{PATH}/y-2?ttl_ms=60000", ENTRY, told.append), "in one call"
         assert caller.sent_on == ("127.0.0.1", ports[1]) and caller.term is not None
-        assert names(await until(ports[0], caught_up(2))) == ["x-1", "y-2"]
+        assert instance_ids(await until(ports[0], caught_up(2))) == ["x-1", "y-2"]
         older = {"lineage": caller.term[0], "term": caller.term[1] - 1}
         assert not caller._take(json.dumps(older).encode(), told.append), "an answer of an older term"
         await end(second)  # its place is not taken back by a mere restart of the first
@@ -95,7 +95,7 @@
         assert status == 200, "it holds all of the greater term, so it may lead on"
         await end(first)
 
-    run(main())
+    run_test(main())
 
 
 def test_a_restart_does_not_take_back_a_place_that_was_lost(tmp_path: Path) -> None:
@@ -118,7 +118,7 @@
         assert (await register(port, "s-2"))[0] == 200, "another log's term, or a lie, deposes nobody"
         await end(process)
 
-    run(main())
+    run_test(main())
 
 
 def test_a_write_that_was_answered_is_at_the_replica_that_takes_the_writers_place(tmp_path: Path) -> None:
@@ -130,11 +130,11 @@
         answered = [n for n in range(20) if (await register(ports[0], f"s-{n}"))[0] == 200]
         await end(writer, second)
         second = await service(tmp_path / "b", ports[1])
-        kept = names((await ask(ports[1], "GET", PATH))[1])
+        kept = instance_ids((await ask(ports[1], "GET", PATH))[1])
         assert len(answered) > 15 and {f"s-{n}" for n in answered} <= set(kept)
         await end(second)
 
-    run(main())
+    run_test(main())
 
 
 OF: dict[str, Any] = {"lineage": "ab", "term": 5, "generation": 7}
--- a/tests/test_whatif_door.py
+++ b/tests/test_whatif_door.py
@@ -12,7 +12,16 @@
 
 from tests.faults import CUT, PASS, RESET, FaultProxy
 from tests.process import config, free_port, ready, start
-from tests.sockets import Endpoint, Message, Registry, Writer, answer, read_message, request, run
+from tests.sockets import (
+    Endpoint,
+    FakeDiscovery,
+    Message,
+    Writer,
+    http_request,
+    http_response,
+    read_message,
+    run_test,
+)
 from woadyard.errors import PeerError
 from woadyard.interface import OK
 from woadyard.whatif import doors
@@ -23,7 +32,7 @@
 
 
 async def big_or_small(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    writer.write(answer(body=b"x" * random.Random(len(endpoint.got)).randrange(10)))
+    writer.write(http_response(body=b"x" * random.Random(len(endpoint.received)).randrange(10)))
 
 
 def test_a_recording_comes_whole_through_a_link_that_is_cut_and_reset(
@@ -32,7 +41,7 @@
     monkeypatch.setattr(doors, "TRIES_MOST", 1_000)
 
     async def test() -> None:
-        endpoints, registry = [Endpoint(big_or_small) for _ in range(3)], Registry()
+        endpoints, registry = [Endpoint(big_or_small) for _ in range(3)], FakeDiscovery()
         for one in (*endpoints, registry):
             await one.start()
         door, port = free_port(), free_port()
@@ -48,7 +57,7 @@
             await ready(door)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             for number in range(ASKED):
-                writer.write(request(rid=f"r{number}"))
+                writer.write(http_request(rid=f"r{number}"))
                 await read_message(reader)
             proxy = FaultProxy(target=door)
             await proxy.start()
@@ -66,13 +75,15 @@
             await troubled
             assert [one.request for one in trace.requests] == list(range(1, ASKED + 1))
             assert all(one.status == 200 and one.tries[-1].outcome == OK for one in trace.requests)
-            assert sum(len(one.tries) for one in trace.requests) == sum(len(one.got) for one in endpoints)
+            assert sum(len(one.tries) for one in trace.requests) == sum(
+                len(one.received) for one in endpoints
+            )
             assert trace.started.sidecar == "n1" and trace.dropped == 0
         finally:
             process.kill()
             await process.wait()
 
-    run(test())
+    run_test(test())
 
 
 def test_a_door_that_is_gone_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,4 +95,4 @@
                 await Door(f"127.0.0.1:{free_port()}").pull(session, random.Random(1))
         assert failed.value.remedy
 
-    run(test())
+    run_test(test())
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -162,10 +162,10 @@
     used: list[int] = []
     weights = Weights(weighed.append, lambda revision, told: used.append(revision))
     entries = [{"instanceId": f"e{n}", "machineType": kind} for n, kind in enumerate(["old", "new", "new"])]
-    weights.listed(LIST_FULL, entries[:2])
+    weights.list_applied(LIST_FULL, entries[:2])
     told = {"revision": 3, "weights": {"machineType=old": 1.0, "e1": 4.0, "machineType=new": 2.0}}
     assert weights.direct(told) == 3 and weighed == [{"e0": 0.25, "e1": 1.0}]
-    weights.listed(LIST_DELTA, entries[2:])
+    weights.list_applied(LIST_DELTA, entries[2:])
     assert weighed[-1] == {"e0": 0.25, "e1": 1.0, "e2": 0.5}
     none: list[Any] = [{"revision": 4, "weights": {"e1": 0}}, {"revision": -1}, {"weights": {}}, [], None]
     for bad in none:
--- a/tests/test_whatif_rollout.py
+++ b/tests/test_whatif_rollout.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.lab import Lab, Program
-from tests.sockets import SETTINGS, Endpoint, Message, Writer, answer, read_message, request
+from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_request, http_response, read_message
 from woadyard.standins import CUT, DROP, PASS, RESET, FaultProxy
 
 CLASSES = [{"name": "page", "aim-us": 150_000, "deadline-us": 3_000_000, "repeat": "retryable"}]
@@ -46,7 +46,7 @@
             self.acted[name] = int(message.headers["x-acted-on"].split(".")[4])
             mean = MEAN_S["slow" if self.turned_slow else kind]
             await asyncio.sleep(mean * self.rng.uniform(0.7, 1.3))
-            writer.write(answer())
+            writer.write(http_response())
 
         return handle
 
@@ -119,7 +119,7 @@
     async def one(sidecar: Program, rid: str) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port)
-            writer.write(request(rid=rid, deadline_ms=3000))
+            writer.write(http_request(rid=rid, deadline_ms=3000))
             await read_message(reader)
             writer.close()
 
--- a/tests/test_whatif_trace.py
+++ b/tests/test_whatif_trace.py
@@ -32,18 +32,18 @@
 
 def recorder(memory_kb: int = 4096, sample: float = 1.0) -> Recorder:
     made = Recorder(RecordSettings(memory_kb, sample), "n1", 7, 1_000)
-    made.retuned(1_000, SETTINGS, {"classes": []})
-    made.listed(1_000, LIST_FULL, 1, [entry("a"), entry("b")])
+    made.settings_applied(1_000, SETTINGS, {"classes": []})
+    made.list_applied(1_000, LIST_FULL, 1, [entry("a"), entry("b")])
     return made
 
 
 def serve(made: Recorder, rid: int, at: int) -> None:
     """One request, reset at its first endpoint and answered by its second."""
-    made.taken(at, Arrival(rid, 0, at + 1_000_000))
+    made.request_accepted(at, Arrival(rid, 0, at + 1_000_000))
     for copy, outcome in enumerate((RESET, OK)):
-        made.sent(at + copy * 10, Send(rid, 5, 1_000))
-        made.ended(at + copy * 10 + 9, Outcome(rid, copy, 5, outcome, 9, copy == 1))
-    made.answered(at + 20, rid, 200)
+        made.attempt_started(at + copy * 10, Send(rid, 5, 1_000))
+        made.attempt_ended(at + copy * 10 + 9, Outcome(rid, copy, 5, outcome, 9, copy == 1))
+    made.request_answered(at + 20, rid, 200)
 
 
 def fetch(made: Recorder, data: bytes = b"", start: int = 0) -> tuple[bytes, int]:
@@ -59,9 +59,9 @@
     made = recorder()
     for rid in range(100):
         serve(made, rid, 2_000 + rid)
-    made.taken(9_000, Arrival(200, 0, 10_000))  # under way: no half of it is told
+    made.request_accepted(9_000, Arrival(200, 0, 10_000))  # under way: no half of it is told
     data, start = fetch(made)
-    made.answered(9_100, 200, 503)
+    made.request_answered(9_100, 200, 503)
     data, _ = fetch(made, data, start)
     trace = read(data)
     assert [one.request for one in trace.requests] == [*range(100), 200]
@@ -75,7 +75,7 @@
     for rid in range(5_000):
         serve(made, rid, 2_000 + rid)
         if rid == 100:
-            made.listed(3_000, LIST_DELTA, 2, [entry("a", "gone"), entry("c")])
+            made.list_applied(3_000, LIST_DELTA, 2, [entry("a", "gone"), entry("c")])
         used = made.ring.size + len(made.ring.base.data) + made.open_most * OPEN_EACH
         assert used <= 64 * 1024
     trace = read(fetch(made)[0])
@@ -87,7 +87,7 @@
 def test_requests_without_end_take_no_more_than_their_part_and_are_counted() -> None:
     made = recorder(memory_kb=64)
     for rid in range(1_000):
-        made.taken(2_000, Arrival(rid, 0, 3_000))
+        made.request_accepted(2_000, Arrival(rid, 0, 3_000))
     assert len(made.open) == made.open_most and made.skipped == 1_000 - made.open_most
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -144,7 +144,7 @@
     load = asyncio.ensure_future(sidecar.load(deadline_ms=500 if fault == DROP else 4_000))
 
     def got(zone: list[Endpoint]) -> int:
-        return sum(len(one.got) for one in zone)
+        return sum(len(one.received) for one in zone)
 
     async def only(zone: list[Endpoint], other: list[Endpoint]) -> None:
         """Until 50 requests in a row went there."""
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -36,9 +36,9 @@
 from woadyard.net.driver import Driver
 from woadyard.net.gossip import Gossip
 from woadyard.net.server import Server
-from woadyard.net.sharing import Shared
 from woadyard.net.state import LOOK_S, Seats
 from woadyard.net.upstream import Upstream
+from woadyard.net.weight_factors import SharedState
 from woadyard.ops import logs
 from woadyard.ops.metrics import Metrics
 from woadyard.shared.store import Entry
@@ -68,7 +68,7 @@
             LOG.warning("not reloaded", extra=error.fields())
             return
         self.force = raw
-        self.driver.retune(raw["settings"], settings, locality(raw))
+        self.driver.apply_settings(raw["settings"], settings, locality(raw))
         self.guard.retune(shrink_most(raw))
         self.discovery.retune(not settings.asks_discovery)
         self.discovery.move(str(raw["discovery"]))
@@ -130,7 +130,7 @@
         looks.append(seats.look)
 
     def may_serve() -> bool:
-        return since is None or driver.heard or driver.now() - since > UNHEARD_US
+        return since is None or driver.has_received_list or driver.now() - since > UNHEARD_US
 
     calls = routes(server, may_serve, guard)
     if recorder is not None:
@@ -150,7 +150,7 @@
         return None
 
     def heard(entries: list[Entry]) -> None:
-        loop.call_soon_threadsafe(driver.verdicts, entries)
+        loop.call_soon_threadsafe(driver.apply_verdicts, entries)
 
     rng = random.Random()  # not the seed's: processes of one file must differ
     gossip = Gossip(config.shared, share.name, rng, heard, driver.metrics, config.state)
@@ -158,9 +158,14 @@
     driver.affinity_header = config.shared.affinity_header.lower().encode()
     port = gossip.open()
     if config.shared.limit:
-        hooks = Hooks(driver.wanted, driver.used, driver.longest_us, driver.limit)
+        hooks = Hooks(
+            driver.preferred_endpoints,
+            driver.in_flight_counts,
+            driver.longest_deadline_us,
+            driver.apply_limits,
+        )
         budget = Budget(loop, config.shared, gossip.store.me, hooks, rng)
-        share.relimit = budget.tell
+        share.announce_limits = budget.tell
         budget.open()
     LOG.info("sharing state", extra={"as": gossip.store.me, "port": port, "peers": config.shared.peers})
     return gossip
@@ -173,7 +178,7 @@
     from woadyard.net.recorder import Recorder
 
     recorder = Recorder(config.record, name, config.seed, driver.now())
-    driver.observe(recorder)
+    driver.add_observer(recorder)
     return recorder
 
 
@@ -198,7 +203,7 @@
         if recorder is not None:
             recorder.weighed(driver.now(), revision, weights)
 
-    driver.planned = weights = Weights(driver.weigh, told)
+    driver.plan_listener = weights = Weights(driver.set_planned_weights, told)
     reporter.orders.plan = weights.direct
 
 
@@ -235,12 +240,12 @@
     metrics = Metrics() if config.console else None
     # The same over restarts; two sidecars that share state have names of their own.
     name = os.environ.get("LB_NAME") or str(config.raw.get("name", ""))
-    share = Shared(name, config.shared.eject_share) if config.shared else None
+    share = SharedState(name, config.shared.eject_share) if config.shared else None
     driver = Driver(
         loop, config.seed, config.settings, raw, upstream,
         state=config.state, metrics=metrics, shared=share, locality=config.locality,
     )  # fmt: skip
-    guard = ShrinkGuard(config.shrink_most, driver.listed, loop.time)
+    guard = ShrinkGuard(config.shrink_most, driver.apply_list, loop.time)
     guard.on_held = driver.metrics.held_back
     discovery = driver.discovery = Discovery(
         loop,
@@ -265,7 +270,10 @@
         alone = seats is None or seats.alone  # one that takes over has a lease, and is owed a yes soon
         if config.known["instances"] and (alone or discovery.pushed):
             await discovery.first()  # that list may be old, and newer ones bind from the start
-    upstream.others, upstream.give_way = lambda: len(server.callers), server.give_way
+    upstream.count_client_connections, upstream.close_client_connection = (
+        lambda: len(server.callers),
+        server.give_way,
+    )
     try:
         if config.accept is None:
             await server.listen(*config.listen)
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -5,39 +5,43 @@
 from collections.abc import Callable
 
 from woadyard.interface import CANCELLED, MOOT, NO_CONNECT, OK, TIMEOUT, Outcome, Send
-from woadyard.net.invariants import Invariants
+from woadyard.net.event_dispatcher import EventDispatcher, now_us
+from woadyard.net.invariants import InvariantChecker
 from woadyard.net.message import Answer, Attempt
 from woadyard.net.names import InForce
 from woadyard.net.places import Places
 from woadyard.net.requests import Requests
-from woadyard.net.turns import Turns, now_us
 from woadyard.net.upstream import Upstream
 
 
-class Attempts:
+class AttemptRunner:
     def __init__(
         self,
-        turns: Turns,
+        turns: EventDispatcher,
         requests: Requests,
         places: Places,
         force: InForce,
         upstream: Upstream,
     ) -> None:
-        self.turns, self.requests, self.places = turns, requests, places
-        self.force, self.upstream = force, upstream
+        self.dispatcher, self.requests, self.listed_endpoints = turns, requests, places
+        self.in_force, self.upstream = force, upstream
         requests.stop = self.stop
         # The audit is told of attempts that no endpoint saw: request and endpoint.
-        self.unsent: Callable[[int, int], None] | None = None
-        self.invariants = Invariants(force, places, turns.metrics)
-        upstream.ended, upstream.may_start, upstream.relay = self.ended, self.may_start, self.relay
-        upstream.written = self.invariants.written
+        self.on_unsent: Callable[[int, int], None] | None = None
+        self.invariants = InvariantChecker(force, places, turns.metrics)
+        upstream.on_outcome, upstream.may_start, upstream.begin_relay = (
+            self.record_outcome,
+            self.may_start,
+            self.begin_relay,
+        )
+        upstream.on_written = self.invariants.check_written
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
         if not attempt.call.open or now >= min(attempt.until, attempt.start_by):
             return False
         if not attempt.call.relay.there():  # where the client has left, that ends the call
             return False
-        return self.places.may_start(attempt.endpoint, now)
+        return self.listed_endpoints.may_start(attempt.endpoint, now)
 
     def send(self, action: Send) -> None:
         now, call = now_us(), self.requests.calls.get(action.request)
@@ -47,18 +51,18 @@
         until = min(call.expires, now + left)
         attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
         call.attempts.append(attempt)
-        self.turns.metrics.sent(attempt.copy)
-        if (observer := self.turns.observer) is not None:
-            attempt.extra = observer.sent(now, action)
-        if self.force.locality is not None:
-            place = self.places.by_number.get(action.endpoint)
+        self.dispatcher.metrics.sent(attempt.copy)
+        if (observer := self.dispatcher.observer) is not None:
+            attempt.extra = observer.attempt_started(now, action)
+        if self.in_force.locality is not None:
+            place = self.listed_endpoints.by_number.get(action.endpoint)
             if place is not None:
-                self.turns.metrics.zone(place.zone)
-        if attempt.copy >= self.force.settings.max_attempts or not self.may_start(attempt, now):
-            self.ended(attempt, MOOT, None, b"")
+                self.dispatcher.metrics.zone(place.zone)
+        if attempt.copy >= self.in_force.settings.max_attempts or not self.may_start(attempt, now):
+            self.record_outcome(attempt, MOOT, None, b"")
             return
         if attempt.until < call.expires:
-            attempt.timer = self.turns.at(attempt.until, self.stop, attempt, TIMEOUT)
+            attempt.timer = self.dispatcher.call_at(attempt.until, self.stop, attempt, TIMEOUT)
         self.upstream.send(attempt)
 
     def cancel(self, request: int, copy: int) -> None:
@@ -71,9 +75,9 @@
             never_left = self.upstream.cancel(attempt)
             # The wait for a connection that is not there yet, or takes no more, proves that it never ran.
             proven = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
-            self.ended(attempt, proven, None, b"")
+            self.record_outcome(attempt, proven, None, b"")
 
-    def relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool:
+    def begin_relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool:
         """An answer too large to hold has begun: it is the caller's from now on,
         and neither the attempt's time nor the caller's runs any longer."""
         call = attempt.call
@@ -86,11 +90,11 @@
                 timer.cancel()
         call.timer = attempt.timer = None
         event = Outcome(call.id, attempt.copy, attempt.endpoint, OK, attempt.head_us)
-        self.turns.tell(self.turns.balancer.head, event, call=call)
+        self.dispatcher.dispatch(self.dispatcher.balancer.head, event, call=call)
         call.relay.begin(answer, length, attempt.link)
         return True
 
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
+    def record_outcome(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
         """The one outcome of an attempt."""
         if not attempt.out:
             return
@@ -99,7 +103,7 @@
             attempt.timer.cancel()
             attempt.timer = None
         call = attempt.call
-        self.turns.metrics.ended(outcome, now_us() - attempt.sent)
+        self.dispatcher.metrics.ended(outcome, now_us() - attempt.sent)
         if outcome == OK and answer is not None and call.open:
             self.requests.answer(call, answer)
         if call.relayed is attempt and call.open:
@@ -113,12 +117,12 @@
             outcome,
             attempt.head_us or now - attempt.sent,
             over,
-            self.force.names.report(load),
+            self.in_force.names.report(load),
             call.upload is not None and call.upload.spent,
         )
-        if self.unsent is not None and not attempt.wrote:
-            self.unsent(call.id, attempt.endpoint)
-        if (observer := self.turns.observer) is not None:
-            observer.ended(now, event)
-        self.turns.tell(self.turns.balancer.outcome, event, call=call)
+        if self.on_unsent is not None and not attempt.wrote:
+            self.on_unsent(call.id, attempt.endpoint)
+        if (observer := self.dispatcher.observer) is not None:
+            observer.attempt_ended(now, event)
+        self.dispatcher.dispatch(self.dispatcher.balancer.outcome, event, call=call)
         self.requests.drop(call)
--- a/woadyard/net/auditing.py
+++ b/woadyard/net/auditing.py
@@ -13,10 +13,10 @@
 from woadyard.audit.position import token
 from woadyard.errors import PeerError
 from woadyard.interface import Split
-from woadyard.net.arms import Arms
 from woadyard.net.discovery import Discovery
 from woadyard.net.driver import Driver
 from woadyard.net.evidence import EvidenceCounts
+from woadyard.net.experiment_arms import ExperimentArms
 from woadyard.net.reporter import Orders, Reporter
 from woadyard.net.server import Server
 from woadyard.net.stream import LISTS
@@ -40,15 +40,15 @@
     def shut_out(out: bool) -> None:
         server.shut_out = out
 
-    orders = Orders(listed, discovery.again, shut_out, driver.distrust)
+    orders = Orders(listed, discovery.again, shut_out, driver.ignore_verdicts)
     trials = trials_of(driver, orders)
     # Not the seed's chance: processes of one file must not report in step.
     reporter = Reporter(
         settings, name, token(woadyard.__version__), lambda: discovery.telling, orders, random.Random()
     )
-    driver.observe(reporter)
+    driver.add_observer(reporter)
     trials.held = lambda: reporter.experiment(0)
-    driver.attempts.unsent = reporter.unsent
+    driver.attempts.on_unsent = reporter.unsent
     return reporter
 
 
@@ -56,11 +56,11 @@
     """Experiments go by the audit's reports and answers; with none of them nothing is split."""
 
     def tell(split: Split | None) -> None:
-        driver.tell(driver.balancer.split, split)
+        driver.dispatch(driver.balancer.split, split)
 
-    arms = Arms(tell)
-    counts = EvidenceCounts(arms.assigned, lists=arms.listed)
-    trials = Trials(counts, arms.follow, driver.now())
+    arms = ExperimentArms(tell)
+    counts = EvidenceCounts(arms.assigned_arm, lists=arms.list_applied)
+    trials = Trials(counts, arms.follow_directive, driver.now())
 
     def look() -> None:
         trials.look(driver.now())
@@ -80,5 +80,5 @@
 
     orders.experiment, orders.acked = follow, acked
     orders.evidence = lambda: counts.report(driver.now())
-    driver.observe(counts)
+    driver.add_observer(counts)
     return trials
--- a/woadyard/net/caller.py
+++ b/woadyard/net/caller.py
@@ -10,11 +10,11 @@
 import httptools
 
 from woadyard.net.asked import BadRequestError, ask, final
+from woadyard.net.event_dispatcher import now_us
 from woadyard.net.incoming import Incoming
 from woadyard.net.message import READ_SIZE, Answer, Call, Carrier, Upload
 from woadyard.net.passing import Passing
 from woadyard.net.presence import Presence, reset
-from woadyard.net.turns import now_us
 from woadyard.net.waits import LOAD_LEAST, LOADING_US, STUCK_LOOKS
 
 if TYPE_CHECKING:
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -31,17 +31,17 @@
     Verdict,
     Watch,
 )
-from woadyard.net.attempts import Attempts
+from woadyard.net.attempts import AttemptRunner
 from woadyard.net.discovery import Discovery
+from woadyard.net.event_dispatcher import EventDispatcher, now_us
 from woadyard.net.message import Answer, Call
 from woadyard.net.names import InForce, Names
-from woadyard.net.observe import Listener, Observer, Observers
+from woadyard.net.observers import ListListener, Observer, ObserverGroup
 from woadyard.net.places import Place, Places
 from woadyard.net.requests import Requests
-from woadyard.net.sharing import Shared, Trust
 from woadyard.net.state import Bans
-from woadyard.net.turns import Turns, now_us
 from woadyard.net.upstream import Upstream
+from woadyard.net.weight_factors import SharedState, WeightFactors
 from woadyard.ops.metrics import Quiet
 from woadyard.policy import Balancer
 from woadyard.shared.store import Entry as VerdictEntry
@@ -61,38 +61,40 @@
         upstream: Upstream,
         state: Path | None = None,
         metrics: Quiet | None = None,
-        shared: Shared | None = None,
+        shared: SharedState | None = None,
         locality: Locality | None = None,
     ) -> None:
         self.loop, self.upstream, self.shared = loop, upstream, shared
         self.metrics = metrics or Quiet()
-        self.raw = raw
-        self.force = InForce(shared is not None)
-        self._settle(settings, locality)
+        self.raw_settings = raw
+        self.in_force = InForce(shared is not None)
+        self._put_in_force(settings, locality)
         self.balancer = Balancer(seed, self.settings)
-        self.bans = Bans(state, self._banned)
-        self.listing = Places(upstream, self.bans, self.force)
-        self.trust = Trust(shared, self.metrics)
-        self.turns = Turns(loop, self.balancer, self._do, self._failed, self.metrics)
-        self.requests = Requests(self.turns, shared)
-        self.attempts = Attempts(self.turns, self.requests, self.listing, self.force, upstream)
-        self.tell = self.turns.tell
+        self.bans = Bans(state, self._on_ban_changed)
+        self.listed_endpoints = Places(upstream, self.bans, self.in_force)
+        self.weight_factors = WeightFactors(shared, self.metrics)
+        self.dispatcher = EventDispatcher(loop, self.balancer, self._execute, self._on_fault, self.metrics)
+        self.requests = Requests(self.dispatcher, shared)
+        self.attempts = AttemptRunner(
+            self.dispatcher, self.requests, self.listed_endpoints, self.in_force, upstream
+        )
+        self.dispatch = self.dispatcher.dispatch
         self.affinity_header = b""  # requests alike in it go to one endpoint, lower case
-        self.planned: Listener | None = None  # a plan's weights, resolved for each list
+        self.plan_listener: ListListener | None = None  # a plan's weights, resolved for each list
         self.discovery: Discovery | None = None
-        self.heard = False  # a list of discovery, since the start
+        self.has_received_list = False  # a list of discovery, since the start
 
     @property
     def settings(self) -> Settings:
-        return self.force.settings
+        return self.in_force.settings
 
     @property
     def names(self) -> Names:
-        return self.force.names
+        return self.in_force.names
 
     @property
-    def places(self) -> dict[int, Place]:
-        return self.listing.by_number
+    def endpoints_by_number(self) -> dict[int, Place]:
+        return self.listed_endpoints.by_number
 
     @property
     def calls(self) -> dict[int, Call]:
@@ -101,143 +103,143 @@
     @property
     def observer(self) -> Observer | None:
         """Told all that happens from now on; set before `start`, it hears the first settings."""
-        return self.turns.observer
+        return self.dispatcher.observer
 
     @observer.setter
     def observer(self, observer: Observer | None) -> None:
-        self.turns.observer = observer
+        self.dispatcher.observer = observer
 
-    def observe(self, observer: Observer) -> None:
+    def add_observer(self, observer: Observer) -> None:
         """One more, beside those there are."""
-        self.observer = observer if self.observer is None else Observers(self.observer, observer)
+        self.observer = observer if self.observer is None else ObserverGroup(self.observer, observer)
 
     def start(self, known: dict[str, Any] | None, alone: bool = True) -> None:
-        self._retuned()
-        self.tell(self.balancer.start, alone, self.discovery is not None)
+        self._notify_settings()
+        self.dispatch(self.balancer.start, alone, self.discovery is not None)
         if known is not None:
-            self._list(LIST_CACHED, int(known["generation"]), known["instances"])
+            self._apply_entries(LIST_CACHED, int(known["generation"]), known["instances"])
         if self.discovery is not None:
             self.discovery.generation = int(known["generation"]) if known else 0
-            self.discovery.on_failed = self._list_failed
-            self.discovery.on_anew = self.listing.left.clear
-            self._lease_from(self.discovery)
+            self.discovery.on_failed = self._on_list_failed
+            self.discovery.on_anew = self.listed_endpoints.left.clear
+            self._subscribe_lease_events(self.discovery)
             if self.discovery.pushed:
                 self.discovery.watch(True)
 
-    def _lease_from(self, discovery: Discovery) -> None:
+    def _subscribe_lease_events(self, discovery: Discovery) -> None:
         """The membership lease follows what discovery is heard of."""
         balancer = self.balancer
-        discovery.on_confirmed = lambda: self.tell(balancer.confirmed)
-        discovery.on_silent = lambda: self.tell(balancer.silent)
-        discovery.on_moved = lambda: self.tell(balancer.moved)
-        discovery.on_unreachable = lambda since_s: self.tell(balancer.unreachable, round(since_s * 1e6))
+        discovery.on_confirmed = lambda: self.dispatch(balancer.confirmed)
+        discovery.on_silent = lambda: self.dispatch(balancer.silent)
+        discovery.on_moved = lambda: self.dispatch(balancer.moved)
+        discovery.on_unreachable = lambda since_s: self.dispatch(balancer.unreachable, round(since_s * 1e6))
 
     # --- Settings ---------------------------------------------------------------------
 
-    def retune(self, raw: dict[str, Any], read: Settings, locality: Locality | None = None) -> None:
-        self.raw = raw
-        self._settle(read, locality)
-        self._retuned()
-        self.tell(self.balancer.retune, self.settings)
+    def apply_settings(self, raw: dict[str, Any], read: Settings, locality: Locality | None = None) -> None:
+        self.raw_settings = raw
+        self._put_in_force(read, locality)
+        self._notify_settings()
+        self.dispatch(self.balancer.retune, self.settings)
 
-    def _settle(self, read: Settings, locality: Locality | None) -> None:
-        self.force.settle(self.raw, read, locality)
-        self.upstream.retune(read.idle_us, read.connect_timeout_us)
+    def _put_in_force(self, read: Settings, locality: Locality | None) -> None:
+        self.in_force.settle(self.raw_settings, read, locality)
+        self.upstream.set_timeouts(read.idle_us, read.connect_timeout_us)
 
-    def _retuned(self) -> None:
+    def _notify_settings(self) -> None:
         if self.observer is not None:
-            self.observer.retuned(now_us(), self.settings, self.raw)
+            self.observer.settings_applied(now_us(), self.settings, self.raw_settings)
 
     # --- Lists and weights ------------------------------------------------------------
 
-    def listed(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
+    def apply_list(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         """A list of discovery; PeerError, and nothing of it used, where it is none."""
-        self._list(LIST_FULL if whole else LIST_DELTA, version, entries)
-        self.heard = True
+        self._apply_entries(LIST_FULL if whole else LIST_DELTA, version, entries)
+        self.has_received_list = True
 
-    def _list_failed(self) -> None:
+    def _on_list_failed(self) -> None:
         self.metrics.listed(LIST_FAILED, 0)
-        self.tell(self.balancer.members, LIST_FAILED, ())
+        self.dispatch(self.balancer.members, LIST_FAILED, ())
 
-    def _list(self, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        read = self.listing.read(version, raw)
+    def _apply_entries(self, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
+        read = self.listed_endpoints.read(version, raw)
         self.metrics.listed(mode, version)
-        self.listing.apply(version, mode != LIST_DELTA, read)
-        self.tell(self.balancer.members, mode, [entry for entry, _ in read])
+        self.listed_endpoints.apply(version, mode != LIST_DELTA, read)
+        self.dispatch(self.balancer.members, mode, [entry for entry, _ in read])
         if self.observer is not None:
-            self.observer.listed(now_us(), mode, version, raw)
-        if self.planned is not None:
-            self.planned.listed(mode, raw)
-        if self.shared is not None or self.trust.planned:
-            self._trust()
+            self.observer.list_applied(now_us(), mode, version, raw)
+        if self.plan_listener is not None:
+            self.plan_listener.list_applied(mode, raw)
+        if self.shared is not None or self.weight_factors.planned_factors:
+            self._dispatch_weight_factors()
         if self.shared is not None:
-            self.shared.relimit()
+            self.shared.announce_limits()
 
-    def verdicts(self, entries: list[VerdictEntry]) -> None:
+    def apply_verdicts(self, entries: list[VerdictEntry]) -> None:
         """The other sidecars' verdicts by now, all that are within their bound."""
         if self.shared is not None:
-            self.shared.entries = entries
-            self._trust()
+            self.shared.verdict_entries = entries
+            self._dispatch_weight_factors()
 
-    def distrust(self, names: frozenset[str]) -> None:
+    def ignore_verdicts(self, names: frozenset[str]) -> None:
         """The verdicts of sidecars of these names do not count, until they are left out again."""
         if self.shared is not None:
-            self.shared.distrusted = names
-            self._trust()
+            self.shared.ignored_sidecars = names
+            self._dispatch_weight_factors()
 
-    def weigh(self, factors: Mapping[str, float]) -> None:
+    def set_planned_weights(self, factors: Mapping[str, float]) -> None:
         """A plan's weights by instance id, each above 0 and up to 1, from now on and over all
         lists; they lower what the list says. Who is not named keeps its weight whole."""
-        self.trust.plan(factors)
-        self._trust()
+        self.weight_factors.set_planned(factors)
+        self._dispatch_weight_factors()
 
-    def _trust(self) -> None:
-        self.tell(self.balancer.trust, self.trust.factors(self.listing.ready()))
+    def _dispatch_weight_factors(self) -> None:
+        self.dispatch(self.balancer.trust, self.weight_factors.combined(self.listed_endpoints.ready()))
 
     # --- Limits kept together -----------------------------------------------------------
 
-    def wanted(self) -> list[int]:
+    def preferred_endpoints(self) -> list[int]:
         """The endpoints that the module sends to from here."""
         return [one.id for one in self.balancer.endpoints.values() if one.own and one.ready]
 
-    def used(self) -> dict[int, int]:
+    def in_flight_counts(self) -> dict[int, int]:
         return {one.id: one.inflight for one in self.balancer.endpoints.values() if one.inflight}
 
-    def longest_us(self) -> int:
+    def longest_deadline_us(self) -> int:
         return max(cls.deadline_us for cls in self.settings.classes)
 
-    def limit(self, caps: dict[int, int], others: int) -> None:
+    def apply_limits(self, caps: dict[int, int], others: int) -> None:
         """This process's shares of the limits that all sidecars keep together."""
         self.metrics.shares(sum(caps.values()))
-        self.tell(self.balancer.limit, caps, others)
+        self.dispatch(self.balancer.limit, caps, others)
 
     # --- Operators --------------------------------------------------------------------
 
-    def _banned(self, number: int, out: bool) -> None:
+    def _on_ban_changed(self, number: int, out: bool) -> None:
         """Told on any thread; `may_start` heeds the ban from before this on."""
         self.loop.call_soon_threadsafe(self._detach if out else self._attach, number)
 
     def _detach(self, number: int) -> None:
         self.metrics.banned(True)
-        self.upstream.remove(number)
-        self.tell(self.balancer.detach, number)
+        self.upstream.close_pool(number)
+        self.dispatch(self.balancer.detach, number)
 
     def _attach(self, number: int) -> None:
         self.metrics.banned(False)
-        self.listing.reopen(number)
-        self.tell(self.balancer.attach, number)
+        self.listed_endpoints.reopen(number)
+        self.dispatch(self.balancer.attach, number)
 
     # --- Actions ----------------------------------------------------------------------
 
-    def _failed(self, call: Call) -> None:
+    def _on_fault(self, call: Call) -> None:
         self.requests.answer(call, Answer(500))
 
-    def _do(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send():
                 self.attempts.send(action)
             case Timer(token, delay_us):
-                self.turns.fire(delay_us, token)
+                self.dispatcher.start_timer(delay_us, token)
             case Refuse(request, after_us):
                 self.requests.refuse(request, after_us)
             case Fail(request):
@@ -245,7 +247,7 @@
             case Cancel(request, copy):
                 self.attempts.cancel(request, copy)
             case Close(endpoint):
-                self.upstream.free(endpoint)
+                self.upstream.close_idle(endpoint)
             case Watch(on):
                 # Asked for after a wait: by now a new address may have begun another one.
                 if self.discovery is not None and not (on and self.discovery.watching):
--- a/woadyard/net/link.py
+++ b/woadyard/net/endpoint_connection.py
@@ -29,133 +29,133 @@
 )
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """Whose connection it is: told of its ends, asked before each start."""
 
     loop: asyncio.AbstractEventLoop
-    buffer: memoryview
-    connect_s: float
+    read_buffer: memoryview
+    connect_timeout_s: float
 
     def now(self) -> int: ...
     def may_start(self, attempt: Attempt, now: int) -> bool: ...
     @property
-    def written(self) -> Callable[[Attempt, int], None]: ...
-    def relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool: ...
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None: ...
-    def gone(self, link: Link) -> None: ...
-    def arm(self, since: float) -> None: ...
+    def on_written(self) -> Callable[[Attempt, int], None]: ...
+    def begin_relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool: ...
+    def on_outcome(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None: ...
+    def on_connection_lost(self, link: EndpointConnection) -> None: ...
+    def schedule_sweep(self, since: float) -> None: ...
 
 
-class Pool:
+class ConnectionPool:
     """The idle connections to one process at one address, the last used last."""
 
-    __slots__ = ("closed", "host", "idle", "port")
+    __slots__ = ("host", "idle", "is_closed", "port")
 
     def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
-        self.idle: list[Link] = []
-        self.closed = False
+        self.idle: list[EndpointConnection] = []
+        self.is_closed = False
 
-    def free(self) -> None:
+    def close_idle(self) -> None:
         links, self.idle = self.idle, []
         for link in links:
             link.close()
 
     def close(self) -> None:
-        self.closed = True
-        self.free()
+        self.is_closed = True
+        self.close_idle()
 
 
-class Link(asyncio.BufferedProtocol):
+class EndpointConnection(asyncio.BufferedProtocol):
     """One connection, carrying one attempt at a time."""
 
-    def __init__(self, owner: Owner, pool: Pool, attempt: Attempt) -> None:
+    def __init__(self, owner: ConnectionOwner, pool: ConnectionPool, attempt: Attempt) -> None:
         self.owner, self.pool = owner, pool
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
-        self.opening: asyncio.Task[None] | None = None
-        self.late: asyncio.TimerHandle | None = None  # runs while it opens
-        self.lost = False
-        self.idle_since = 0.0
-        self.unwritten = True  # the request's last byte is not yet with the system
+        self.connect_task: asyncio.Task[None] | None = None
+        self.connect_timer: asyncio.TimerHandle | None = None  # runs while it opens
+        self.is_lost = False
+        self.idle_since_s = 0.0
+        self.is_request_unwritten = True  # the request's last byte is not yet with the system
         self.upload: Upload | None = None  # a body on its way out
         self.parser = httptools.HttpResponseParser(self)
-        self._begin()
+        self._reset_response()
 
-    def _begin(self) -> None:
+    def _reset_response(self) -> None:
         self.headers: Headers = []
-        self.body: list[bytes] = []
-        self.size = self.fed = 0  # of the body, and of what came since its last byte
-        self.load = b""
+        self.body_parts: list[bytes] = []
+        self.body_size = self.bytes_since_body = 0  # of the body, and of what came since its last byte
+        self.load_report = b""
         self.status = 0  # of an answer whose head has come
-        self.length: int | None = None
-        self.chunked = False
-        self.relaying = False  # the answer is passed on as it comes
-        self.not_run = self.whole = self.keep = False
+        self.content_length: int | None = None
+        self.is_chunked = False
+        self.is_relaying = False  # the answer is passed on as it comes
+        self.is_marked_not_run = self.is_complete = self.allows_keep_alive = False
 
     # --- Connection -----------------------------------------------------------
 
-    def open(self) -> None:
+    def connect(self) -> None:
         loop, pool = self.owner.loop, self.pool
-        self.opening = loop.create_task(self._connect(pool.host, pool.port))
+        self.connect_task = loop.create_task(self._create_connection(pool.host, pool.port))
         # Not within the task: one called off before its first step runs nothing at all.
-        self.opening.add_done_callback(self._opened)
-        self.late = loop.call_later(self.owner.connect_s, self._too_late)
+        self.connect_task.add_done_callback(self._on_connect_done)
+        self.connect_timer = loop.call_later(self.owner.connect_timeout_s, self._on_connect_timeout)
 
-    async def _connect(self, host: str, port: int) -> None:
+    async def _create_connection(self, host: str, port: int) -> None:
         await self.owner.loop.create_connection(lambda: self, host, port)
 
-    def _too_late(self) -> None:
-        if self.transport is None and self.opening is not None:
-            self.opening.cancel()
+    def _on_connect_timeout(self) -> None:
+        if self.transport is None and self.connect_task is not None:
+            self.connect_task.cancel()
 
-    def _opened(self, opening: asyncio.Task[None]) -> None:
+    def _on_connect_done(self, opening: asyncio.Task[None]) -> None:
         """It came up, or failed, or was called off; of the latter two uvloop tells no
         `connection_lost`, even where it came up in the same turn and told of that."""
-        if self.late is not None:
-            self.late.cancel()
-        if not self.lost and (opening.cancelled() or opening.exception() is not None):
+        if self.connect_timer is not None:
+            self.connect_timer.cancel()
+        if not self.is_lost and (opening.cancelled() or opening.exception() is not None):
             self.connection_lost(None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)  # `pause_writing` tells of unwritten bytes
         # Called off, or too late by the same turn: nothing may be written any more.
-        if self.attempt is None or (self.opening is not None and self.opening.cancelling()):
+        if self.attempt is None or (self.connect_task is not None and self.connect_task.cancelling()):
             self.transport.abort()
         else:
-            self.write()
+            self.write_request()
 
     def pause_writing(self) -> None:
-        self.unwritten = True
+        self.is_request_unwritten = True
         if self.upload is not None:
             self.upload.hold(True)
 
     def resume_writing(self) -> None:
-        self.unwritten = self.upload is not None
+        self.is_request_unwritten = self.upload is not None
         if self.upload is not None:
             self.upload.hold(False)
 
-    def write(self) -> None:
+    def write_request(self) -> None:
         attempt, transport = self.attempt, self.transport
         assert attempt is not None and transport is not None
         now = self.owner.now()
-        if self.pool.closed or not self.owner.may_start(attempt, now):
+        if self.pool.is_closed or not self.owner.may_start(attempt, now):
             # Guards the rules after a slow connect: past the drain grace, the deadline or
             # the final answer nothing may start, nor at a process that another has replaced.
             self.attempt = None
-            self.rest()
-            self.owner.ended(attempt, MOOT, None, b"")
+            self.release()
+            self.owner.on_outcome(attempt, MOOT, None, b"")
             return
         self.upload = attempt.call.upload
-        self.unwritten = self.upload is not None
+        self.is_request_unwritten = self.upload is not None
         attempt.wrote = True
-        transport.write(request_bytes(attempt, now))
-        self.owner.written(attempt, self.owner.now())
+        transport.write(encode_request(attempt, now))
+        self.owner.on_written(attempt, self.owner.now())
         if self.upload is not None:
             self.upload.attach(self)
         if transport.is_closing():
-            self.unwritten = True  # the first write failed: nothing left
+            self.is_request_unwritten = True  # the first write failed: nothing left
 
     def load_part(self, data: bytes) -> None:
         assert self.transport is not None and self.upload is not None
@@ -166,25 +166,25 @@
         chunked, self.upload = self.upload.length is None, None
         if chunked:
             self.transport.write(LAST_CHUNK)
-        self.unwritten = self.transport.get_write_buffer_size() > 0
+        self.is_request_unwritten = self.transport.get_write_buffer_size() > 0
 
-    def unload(self) -> None:
+    def detach_upload(self) -> None:
         """The attempt is over before its body was."""
         if self.upload is not None:
             self.upload.detach()
             self.upload = None
 
-    def rest(self) -> None:
+    def release(self) -> None:
         """The connection carries nothing now: keep it for the next attempt."""
-        if self.pool.closed or self.transport is None or self.transport.is_closing():
+        if self.pool.is_closed or self.transport is None or self.transport.is_closing():
             self.close()
             return
-        self._begin()
+        self._reset_response()
         self.pool.idle.append(self)
-        self.idle_since = self.owner.loop.time()
-        self.owner.arm(self.idle_since)
+        self.idle_since_s = self.owner.loop.time()
+        self.owner.schedule_sweep(self.idle_since_s)
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether it may carry a request: an end of the endpoint's, or bytes that nobody asked for,
         may lie in the system since the loop last looked, and would be taken for the answer."""
         if self.transport is None or self.transport.is_closing():
@@ -196,66 +196,68 @@
     def close(self) -> None:
         if self.transport is not None:
             self.transport.abort()
-        elif self.opening is not None:
-            self.opening.cancel()
+        elif self.connect_task is not None:
+            self.connect_task.cancel()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
+        self.is_lost = True
         if self in self.pool.idle:
             self.pool.idle.remove(self)
-        self.owner.gone(self)
+        self.owner.on_connection_lost(self)
         # Where an answer has begun, the request was read whatever is still unwritten.
-        self._end(NO_CONNECT if self.unwritten and not self.relaying else RESET)
+        self._report_outcome(NO_CONNECT if self.is_request_unwritten and not self.is_relaying else RESET)
         del self.parser  # it holds the link in turn
 
-    def _end(self, outcome: int, answer: Answer | None = None) -> None:
-        self.unload()
+    def _report_outcome(self, outcome: int, answer: Answer | None = None) -> None:
+        self.detach_upload()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            self.owner.ended(attempt, outcome, answer, self.load)
+            self.owner.on_outcome(attempt, outcome, answer, self.load_report)
 
     # --- Answers ------------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.owner.buffer
+        return self.owner.read_buffer
 
     def buffer_updated(self, size: int) -> None:
-        self.read(bytes(self.owner.buffer[:size]))
+        self.feed_response(bytes(self.owner.read_buffer[:size]))
 
     def eof_received(self) -> None:
         """A clean end ends a body that has no other."""
-        if self.attempt is not None and self.status and self.length is None and not self.chunked:
-            self.whole = True
-            self._finish()
+        if self.attempt is not None and self.status and self.content_length is None and not self.is_chunked:
+            self.is_complete = True
+            self._finish_response()
 
-    def read(self, data: bytes) -> None:
+    def feed_response(self, data: bytes) -> None:
         if self.attempt is None:  # nobody asked: whatever it is, it ends the connection
             self.close()
             return
-        self.fed += len(data)
+        self.bytes_since_body += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             # Bytes after a whole answer take nothing from it, but nobody asked
             # for them: what follows on this connection can't be told apart.
-            self.keep = False
-            if not self.whole:
-                self._fail()
+            self.allows_keep_alive = False
+            if not self.is_complete:
+                self._fail_response()
                 return
-        if self.whole:
-            self._finish()
-        elif self.fed > HEAD_MAX:  # a head, or trailers, that the parser would gather without an end
-            self._fail()
-        elif self.size > HOLD_MAX and not self.relaying:
-            self._finish()  # no answer to pass on: the rest of it tells nothing
-
-    def _fail(self) -> None:
+        if self.is_complete:
+            self._finish_response()
+        elif (
+            self.bytes_since_body > HEAD_MAX
+        ):  # a head, or trailers, that the parser would gather without an end
+            self._fail_response()
+        elif self.body_size > HOLD_MAX and not self.is_relaying:
+            self._finish_response()  # no answer to pass on: the rest of it tells nothing
+
+    def _fail_response(self) -> None:
         """No answer of this protocol: it ends as a reset."""
         self.close()
-        self._end(RESET)
+        self._report_outcome(RESET)
 
     def on_message_begin(self) -> None:
-        if self.whole:
+        if self.is_complete:
             raise FramingError("a second answer to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -263,36 +265,36 @@
             return  # a trailer: it is not passed on
         lower, value = name.lower(), value.strip(b" \t")
         if lower == b"x-load":
-            self.load = value
+            self.load_report = value
         elif lower == b"x-not-run":
-            self.not_run = value == b"1"
+            self.is_marked_not_run = value == b"1"
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         status = self.parser.get_status_code()
         if status >= 200:
-            self.length, self.chunked = framing(self.headers)
+            self.content_length, self.is_chunked = framing(self.headers)
             self.status = status
-            if (self.length or 0) > HOLD_MAX:
-                self._relay()
+            if (self.content_length or 0) > HOLD_MAX:
+                self._begin_relay()
 
     def on_body(self, data: bytes) -> None:
-        self.size += len(data)
-        self.fed = 0
-        if self.relaying:
+        self.body_size += len(data)
+        self.bytes_since_body = 0
+        if self.is_relaying:
             assert self.attempt is not None
             self.attempt.call.relay.part(data)
         else:
-            self.body.append(data)
-            if self.size > HOLD_MAX:
-                self._relay()
+            self.body_parts.append(data)
+            if self.body_size > HOLD_MAX:
+                self._begin_relay()
 
-    def _relay(self) -> None:
+    def _begin_relay(self) -> None:
         """Too large to be held whole: from here on it is passed on as it comes."""
         if self.status == 200 and self.attempt is not None:
-            answer = Answer(200, pass_on(self.headers), b"".join(self.body))
-            self.body.clear()
-            self.relaying = self.owner.relay(self.attempt, answer, self.length)
+            answer = Answer(200, pass_on(self.headers), b"".join(self.body_parts))
+            self.body_parts.clear()
+            self.is_relaying = self.owner.begin_relay(self.attempt, answer, self.content_length)
 
     def pace(self, paused: bool) -> None:
         """Read no faster than the caller does."""
@@ -306,30 +308,32 @@
         if not self.status:  # an interim answer; the real one follows
             self.headers.clear()
         else:
-            self.whole, self.keep = True, self.parser.should_keep_alive()
+            self.is_complete, self.allows_keep_alive = True, self.parser.should_keep_alive()
 
-    def _finish(self) -> None:
+    def _finish_response(self) -> None:
         outcome, answer = ERROR, None
-        if self.relaying:
+        if self.is_relaying:
             outcome = OK
         elif self.status == 200:
-            outcome = OK if self.whole else RESET
-            answer = Answer(200, pass_on(self.headers), b"".join(self.body)) if self.whole else None
-        elif self.whole and self.status in (503, 504) and self.not_run:
+            outcome = OK if self.is_complete else RESET
+            answer = (
+                Answer(200, pass_on(self.headers), b"".join(self.body_parts)) if self.is_complete else None
+            )
+        elif self.is_complete and self.status in (503, 504) and self.is_marked_not_run:
             outcome = FULL
-        attempt, load = self.attempt, self.load
+        attempt, load = self.attempt, self.load_report
         self.attempt = None
-        self.unload()
+        self.detach_upload()
         # A request not yet read whole leaves the connection unfit for the next.
-        if self.keep and self.whole and not self.unwritten:
-            self.rest()
+        if self.allows_keep_alive and self.is_complete and not self.is_request_unwritten:
+            self.release()
         else:
             self.close()
         if attempt is not None:
-            self.owner.ended(attempt, outcome, answer, load)
+            self.owner.on_outcome(attempt, outcome, answer, load)
 
 
-def request_bytes(attempt: Attempt, now: int) -> bytes:
+def encode_request(attempt: Attempt, now: int) -> bytes:
     """The head, with the body where that is held whole."""
     call, upload = attempt.call, attempt.call.upload
     # Rounded down: the endpoint must not work on past the sidecar's patience.
--- a/woadyard/net/turns.py
+++ b/woadyard/net/event_dispatcher.py
@@ -17,12 +17,12 @@
 
 from woadyard.interface import Action
 from woadyard.net.message import Call
-from woadyard.net.observe import Observer
+from woadyard.net.observers import Observer
 from woadyard.ops.metrics import Quiet
 from woadyard.policy import Balancer
 
 LOG = logging.getLogger(__name__)
-Event = Callable[..., list[Action]]
+EventMethod = Callable[..., list[Action]]
 
 
 def now_us() -> int:
@@ -30,7 +30,7 @@
     return time.monotonic_ns() // 1000
 
 
-class Turns:
+class EventDispatcher:
     """`act` carries out an action; `failed` is told whose event the module had a fault over."""
 
     def __init__(
@@ -42,47 +42,47 @@
         metrics: Quiet,
     ) -> None:
         self.loop, self.balancer, self.metrics = loop, balancer, metrics
-        self.act, self.failed = act, failed
+        self.execute, self.on_fault = act, failed
         self.observer: Observer | None = None
-        self.todo: deque[tuple[Event, tuple[Any, ...], Call | None]] = deque()
-        self.busy = False
+        self.pending: deque[tuple[EventMethod, tuple[Any, ...], Call | None]] = deque()
+        self.is_dispatching = False
 
-    def at(self, due: int, call: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
+    def call_at(self, due: int, call: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
         """Call no sooner than due: loops round delays, so the time is checked."""
         delay = ceil(max(0, due - now_us()) / 1000) / 1000
-        return self.loop.call_later(delay, self._due, due, call, args)
+        return self.loop.call_later(delay, self._call_when_due, due, call, args)
 
-    def _due(self, due: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def _call_when_due(self, due: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         if now_us() < due:
-            self.at(due, call, *args)
+            self.call_at(due, call, *args)
         else:
             call(*args)
 
-    def fire(self, delay_us: int, token: int) -> None:
+    def start_timer(self, delay_us: int, token: int) -> None:
         """The module's timer."""
-        self.at(now_us() + delay_us, self._fired, token)
+        self.call_at(now_us() + delay_us, self._on_timer, token)
 
-    def _fired(self, token: int) -> None:
-        self.tell(self.balancer.timer, token)
+    def _on_timer(self, token: int) -> None:
+        self.dispatch(self.balancer.timer, token)
 
-    def tell(self, event: Event, *args: Any, call: Call | None = None) -> None:
-        self.todo.append((event, args, call))
-        if self.busy:
+    def dispatch(self, event: EventMethod, *args: Any, call: Call | None = None) -> None:
+        self.pending.append((event, args, call))
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
-            while self.todo:
-                self._step(*self.todo.popleft())
+            while self.pending:
+                self._dispatch_one(*self.pending.popleft())
         finally:
-            self.busy = False
+            self.is_dispatching = False
 
-    def _step(self, event: Event, args: tuple[Any, ...], call: Call | None) -> None:
+    def _dispatch_one(self, event: EventMethod, args: tuple[Any, ...], call: Call | None) -> None:
         try:
             for action in event(now_us(), *args):
-                self.act(action)
+                self.execute(action)
         except Exception:
             # Guards the process and its callers against a fault of the module.
             LOG.exception("fault in the module")
             self.balancer.out.clear()
             if call is not None and call.open:
-                self.failed(call)
+                self.on_fault(call)
--- a/woadyard/net/evidence.py
+++ b/woadyard/net/evidence.py
@@ -62,7 +62,7 @@
 
     # --- What the driver tells --------------------------------------------------------
 
-    def taken(self, now: int, event: Arrival) -> None:
+    def request_accepted(self, now: int, event: Arrival) -> None:
         told = self.directive
         if told is None or (arm := self.assigned(event)) is None:
             return
@@ -75,7 +75,7 @@
         cell.told = 0
         self.open[event.request] = key, now
 
-    def answered(self, now: int, request: int, status: int) -> None:
+    def request_answered(self, now: int, request: int, status: int) -> None:
         found = self.open.pop(request, None)
         if found is None or self.settings is None:
             return
@@ -100,19 +100,19 @@
             cell = self.cells[key] = Cell(self.k, told.revision, began, told.arms[key[2]].name, cls)
         return cell
 
-    def sent(self, now: int, action: Send) -> bytes:
+    def attempt_started(self, now: int, action: Send) -> bytes:
         return b""
 
-    def ended(self, now: int, event: Outcome) -> None:
+    def attempt_ended(self, now: int, event: Outcome) -> None:
         pass
 
-    def refused(self, now: int, request: int) -> None:
+    def request_refused(self, now: int, request: int) -> None:
         pass
 
-    def listed(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
+    def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         self.lists(mode, raw)
 
-    def retuned(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
+    def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         self.settings = settings
 
     # --- Reports ----------------------------------------------------------------------
--- a/woadyard/net/arms.py
+++ b/woadyard/net/experiment_arms.py
@@ -13,23 +13,23 @@
 from woadyard.policy import arm_of
 
 
-class Arms:
+class ExperimentArms:
     """Hears of lists and directives; `tell` puts a split in force at the module, None: none."""
 
     def __init__(self, tell: Callable[[Split | None], None]) -> None:
-        self.tell = tell
+        self.apply_split = tell
         self.directive: Directive | None = None
         self.split: Split | None = None
         self.entries: dict[int, dict[str, Any]] = {}
 
-    def follow(self, directive: Directive | None) -> None:
+    def follow_directive(self, directive: Directive | None) -> None:
         self.directive = directive
         self._apply()
 
-    def assigned(self, event: Arrival) -> int | None:
+    def assigned_arm(self, event: Arrival) -> int | None:
         return None if self.split is None else arm_of(self.split, event.affinity, event.request)
 
-    def listed(self, mode: int, raw: list[dict[str, Any]]) -> None:
+    def list_applied(self, mode: int, raw: list[dict[str, Any]]) -> None:
         """A list was put to use."""
         if mode == LIST_FAILED:
             return
@@ -49,7 +49,7 @@
         if told is None:
             if self.split is not None:
                 self.split = None
-                self.tell(None)
+                self.apply_split(None)
             return
         names = [arm.name for arm in told.arms]
         found: dict[int, int] = {}
@@ -62,4 +62,4 @@
             shares = tuple(float(name == told.serve) for name in names)
         salt = xxhash.xxh3_64_intdigest(told.salt.encode())
         self.split = Split(told.revision, salt, shares, names.index(told.control), found)
-        self.tell(self.split)
+        self.apply_split(self.split)
--- a/woadyard/net/invariants.py
+++ b/woadyard/net/invariants.py
@@ -24,7 +24,7 @@
 LOG = logging.getLogger(__name__)
 # The rules allow so much on their time limits (PROTOCOL), and a deadline passed on may exceed what the
 # client has left by the second (STANDING.md).
-SLACK_US, DEADLINE_SLACK_US = 50_000, 150_000
+TIME_SLACK_US, DEADLINE_SLACK_US = 50_000, 150_000
 
 
 class Rule(StrEnum):
@@ -36,34 +36,34 @@
     CLOSE = "close"  # of a connection that is still owed an answer
 
 
-class Invariants:
+class InvariantChecker:
     """Counts violations by rule."""
 
     def __init__(self, force: InForce, places: Places, metrics: Quiet) -> None:
-        self.force, self.places, self.metrics = force, places, metrics
+        self.in_force, self.listed_endpoints, self.metrics = force, places, metrics
         self.counts: Counter[Rule] = Counter()
 
-    def written(self, attempt: Attempt, now: int) -> None:
+    def check_written(self, attempt: Attempt, now: int) -> None:
         """The first bytes of an attempt were given to the system by now."""
-        if not self.places.may_have_started(attempt.endpoint, now - SLACK_US):
-            self._violated(Rule.SEND, "the endpoint drains or is gone", attempt)
-        if now > attempt.start_by + SLACK_US:
-            self._violated(Rule.SEND, "its lease, window or time has run out", attempt)
+        if not self.listed_endpoints.may_have_started(attempt.endpoint, now - TIME_SLACK_US):
+            self._report_violation(Rule.SEND, "the endpoint drains or is gone", attempt)
+        if now > attempt.start_by + TIME_SLACK_US:
+            self._report_violation(Rule.SEND, "its lease, window or time has run out", attempt)
         if not attempt.call.open:
-            self._violated(Rule.START, "the request has its answer", attempt)
+            self._report_violation(Rule.START, "the request has its answer", attempt)
         if attempt.until > attempt.call.expires + DEADLINE_SLACK_US:
-            self._violated(Rule.START, "it is given more time than the client has left", attempt)
-        if why := self._repeated(attempt, now):
-            self._violated(Rule.REPEAT, why, attempt)
+            self._report_violation(Rule.START, "it is given more time than the client has left", attempt)
+        if why := self._forbidden_repeat_reason(attempt, now):
+            self._report_violation(Rule.REPEAT, why, attempt)
 
-    def closed(self, call: Call | None) -> None:
+    def check_closed(self, call: Call | None) -> None:
         """This process ends a connection whose client is there, with this request read and unanswered."""
         if call is not None and call.open:
             self._count(Rule.CLOSE, "a request that was read has no answer", request=call.id)
 
-    def _repeated(self, attempt: Attempt, now: int) -> str:
+    def _forbidden_repeat_reason(self, attempt: Attempt, now: int) -> str:
         """Why an attempt is a repeat that the rules forbid; empty where it is none."""
-        settings, call = self.force.settings, attempt.call
+        settings, call = self.in_force.settings, attempt.call
         before = [one for one in call.attempts[: attempt.copy] if one.wrote]
         if attempt.copy >= settings.max_attempts:
             return "more attempts than allowed"
@@ -76,10 +76,10 @@
             return ""
         if cls.effect != KEYED:
             return "an earlier attempt may have run"
-        late = now > maybe.sent + cls.window_us + SLACK_US
+        late = now > maybe.sent + cls.window_us + TIME_SLACK_US
         return "the window for repeats is over" if late else ""
 
-    def _violated(self, rule: Rule, why: str, attempt: Attempt) -> None:
+    def _report_violation(self, rule: Rule, why: str, attempt: Attempt) -> None:
         self._count(rule, why, request=attempt.call.id, copy=attempt.copy, endpoint=attempt.endpoint)
 
     def _count(self, rule: Rule, why: str, **fields: int) -> None:
--- a/woadyard/net/places.py
+++ b/woadyard/net/places.py
@@ -6,9 +6,9 @@
 
 from woadyard.errors import PeerError
 from woadyard.interface import DRAINING, GONE, READY, Entry
+from woadyard.net.event_dispatcher import now_us
 from woadyard.net.names import InForce
 from woadyard.net.state import Bans, endpoint_number
-from woadyard.net.turns import now_us
 from woadyard.net.upstream import Upstream
 from woadyard.net.wallclock import WallClock
 
@@ -141,7 +141,7 @@
     def _open(self, number: int, place: Place) -> None:
         if number not in self.bans.out:
             host, _, port = place.address.rpartition(":")
-            self.upstream.place(number, host, int(port))
+            self.upstream.open_pool(number, host, int(port))
 
     def _leave(self, now: int, version: int, number: int, place: Place) -> None:
         self.left[number] = max(version, self.left.get(number, (0, 0))[0]), place.started_ms
@@ -149,4 +149,4 @@
             del self.left[next(iter(self.left))]
         if place.left_at is None:
             place.left_at = now
-            self.upstream.remove(number)
+            self.upstream.close_pool(number)
--- a/woadyard/net/recorder.py
+++ b/woadyard/net/recorder.py
@@ -68,7 +68,7 @@
 
     # --- What the driver tells ----------------------------------------------------
 
-    def taken(self, now: int, event: Arrival) -> None:
+    def request_accepted(self, now: int, event: Arrival) -> None:
         rid = event.request
         if self.below < WHOLE and mix(rid) >= self.below:
             return
@@ -80,12 +80,12 @@
             event.home, [],
         )  # fmt: skip
 
-    def sent(self, now: int, action: Send) -> bytes:
+    def attempt_started(self, now: int, action: Send) -> bytes:
         if (asked := self.open.get(action.request)) is not None:
             asked.tries.append(Tried(now, action.endpoint))
         return b""
 
-    def ended(self, now: int, event: Outcome) -> None:
+    def attempt_ended(self, now: int, event: Outcome) -> None:
         asked = self.open.get(event.request)
         if asked is None or event.copy >= len(asked.tries):
             return
@@ -94,19 +94,19 @@
         if asked.status != OUT and settled(asked):
             self._close(asked)
 
-    def answered(self, now: int, request: int, status: int) -> None:
+    def request_answered(self, now: int, request: int, status: int) -> None:
         if (asked := self.open.get(request)) is not None:
             asked.status, asked.answered = status, now
             if settled(asked):
                 self._close(asked)
 
-    def refused(self, now: int, request: int) -> None:
+    def request_refused(self, now: int, request: int) -> None:
         """`answered` follows, with the status."""
 
-    def listed(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
+    def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         self._state(Listed(now, mode, version, raw))
 
-    def retuned(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
+    def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         names = [str(one["name"]) for one in raw["classes"]]
         tenants = [str(one["name"]) for one in raw.get("accounts", ())]
         zones, kinds = ([str(one) for one in raw.get(part, ())] for part in ("zones", "kinds"))
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -77,30 +77,30 @@
 
     # --- What the driver tells --------------------------------------------------------
 
-    def taken(self, now: int, event: Arrival) -> None:
+    def request_accepted(self, now: int, event: Arrival) -> None:
         pass
 
-    def sent(self, now: int, action: Send) -> bytes:
+    def attempt_started(self, now: int, action: Send) -> bytes:
         return self.spans.attempt(now, action.request, action.endpoint)
 
-    def ended(self, now: int, event: Outcome) -> None:
+    def attempt_ended(self, now: int, event: Outcome) -> None:
         self.spans.ended(event.request, event.endpoint, event.outcome != MOOT)
 
     def unsent(self, request: int, endpoint: int) -> None:
         """An attempt is about to end of which no byte was written."""
         self.spans.ended(request, endpoint, False)
 
-    def answered(self, now: int, request: int, status: int) -> None:
+    def request_answered(self, now: int, request: int, status: int) -> None:
         pass
 
-    def refused(self, now: int, request: int) -> None:
+    def request_refused(self, now: int, request: int) -> None:
         self.spans.refused(now)
 
-    def listed(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
+    def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         lineage, term = self.named()
         self._act(now, lineage=lineage, term=term, generation=version)
 
-    def retuned(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
+    def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         self._act(now, settings=digest(raw))
 
     def experiment(self, revision: int) -> None:
--- a/woadyard/net/requests.py
+++ b/woadyard/net/requests.py
@@ -7,15 +7,15 @@
 from xxhash import xxh3_64_intdigest
 
 from woadyard.interface import CANCELLED, NO_CONNECT, TIMEOUT, Arrival
+from woadyard.net.event_dispatcher import EventDispatcher, now_us
 from woadyard.net.message import Answer, Attempt, Call
-from woadyard.net.sharing import Shared
-from woadyard.net.turns import Turns, now_us
+from woadyard.net.weight_factors import SharedState
 
 
 class Requests:
     """Those taken and not yet forgotten, by number."""
 
-    def __init__(self, turns: Turns, shared: Shared | None) -> None:
+    def __init__(self, turns: EventDispatcher, shared: SharedState | None) -> None:
         self.turns, self.shared = turns, shared
         self.calls: dict[int, Call] = {}
         self.next_id = 0
@@ -28,7 +28,7 @@
         self.calls[call.id] = call
         loading = call.upload is not None and not call.upload.whole
         if not loading:
-            call.timer = self.turns.at(call.expires, self._expire, call)
+            call.timer = self.turns.call_at(call.expires, self._expire, call)
         home = self.shared.affinity.home(call.affinity) if self.shared and call.affinity else None
         affinity = xxh3_64_intdigest(call.affinity) if call.affinity else 0
         event = Arrival(
@@ -36,8 +36,8 @@
             loading, affinity,
         )  # fmt: skip
         if (observer := self.turns.observer) is not None:
-            observer.taken(call.taken, event)
-        self.turns.tell(self.turns.balancer.request, event, call=call)
+            observer.request_accepted(call.taken, event)
+        self.turns.dispatch(self.turns.balancer.request, event, call=call)
 
     def whole(self, call: Call, expires: int) -> None:
         """The last byte of a body that was passed on as it came: time runs from now."""
@@ -45,10 +45,10 @@
             return
         call.expires = expires
         if call.relayed is None:
-            call.timer = self.turns.at(expires, self._expire, call)
+            call.timer = self.turns.call_at(expires, self._expire, call)
         for attempt in call.attempts:
             attempt.until = min(attempt.until, expires)
-        self.turns.tell(self.turns.balancer.whole, call.id, expires, call=call)
+        self.turns.dispatch(self.turns.balancer.whole, call.id, expires, call=call)
 
     def stuck(self, call: Call) -> None:
         """The endpoint takes no more of a body: it can't have run what it has not."""
@@ -60,9 +60,9 @@
         if not call.open:
             return
         if (observer := self.turns.observer) is not None and call.relayed is None:
-            observer.answered(now_us(), call.id, 0)
+            observer.request_answered(now_us(), call.id, 0)
         self.over(call)
-        self.turns.tell(self.turns.balancer.gone, call.id)
+        self.turns.dispatch(self.turns.balancer.gone, call.id)
         if call.relayed is not None:
             self.stop(call.relayed, CANCELLED)
         elif call.upload is not None and not call.upload.whole:
@@ -74,7 +74,7 @@
         if call.open and call.relayed is None:
             begun = any(attempt.wrote for attempt in call.attempts)
             self.answer(call, Answer(504 if begun else 503))
-            self.turns.tell(self.turns.balancer.gone, call.id)
+            self.turns.dispatch(self.turns.balancer.gone, call.id)
 
     def _expire(self, call: Call) -> None:
         """The client's deadline: what is out timed out, and the module answers."""
@@ -82,7 +82,7 @@
             self.stop(attempt, TIMEOUT)
         if call.open:  # guards the caller should the module have held it to the end
             self.answer(call, Answer(504))
-            self.turns.tell(self.turns.balancer.gone, call.id)
+            self.turns.dispatch(self.turns.balancer.gone, call.id)
 
     def refuse(self, request: int, after_us: int) -> None:
         """The module's word; `after_us` above 0 is told to the caller."""
@@ -90,7 +90,7 @@
             return
         self.turns.metrics.refused()
         if (observer := self.turns.observer) is not None:
-            observer.refused(now_us(), request)
+            observer.request_refused(now_us(), request)
         after = b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us > 0 else b""
         self.answer(call, Answer(503, after))
 
@@ -108,7 +108,7 @@
         now = now_us()
         self.turns.metrics.answered(status, now - call.taken)
         if (observer := self.turns.observer) is not None:
-            observer.answered(now, call.id, status)
+            observer.request_answered(now, call.id, status)
 
     def over(self, call: Call) -> None:
         call.open = False
@@ -118,7 +118,7 @@
         for attempt in call.attempts:
             # One that may not be cancelled had the call's timer so far; a relayed one has none.
             if attempt.out and attempt.timer is None and attempt is not call.relayed:
-                attempt.timer = self.turns.at(attempt.until, self.stop, attempt, TIMEOUT)
+                attempt.timer = self.turns.call_at(attempt.until, self.stop, attempt, TIMEOUT)
         self.drop(call)
 
     def drop(self, call: Call) -> None:
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -139,14 +139,14 @@
             self.cut(last)
 
     def _crowded(self) -> bool:
-        both = len(self.callers) + len(self.driver.upstream.links)
+        both = len(self.callers) + len(self.driver.upstream.connections)
         return both > self.most or len(self.callers) > max(1, CALLERS_PART * self.most)
 
     def share(self, part: float) -> None:
         """With a second process of this sidecar each has half of all descriptors,
         and in its half what each has besides the sockets of both sides."""
         most = int((self.whole + self.aside) * part) - self.aside
-        self.most = self.driver.upstream.most = max(16, most)
+        self.most = self.driver.upstream.max_sockets = max(16, most)
         while self._crowded() and self.give_way():
             pass
 
@@ -241,7 +241,7 @@
 
     def _check_owed(self, caller: Caller) -> None:
         if caller.presence is not None and not caller.presence.has_left():
-            self.driver.attempts.invariants.closed(caller.call)
+            self.driver.attempts.invariants.check_closed(caller.call)
 
     def cut(self, caller: Caller) -> None:
         """Break a connection off at once, whatever is unwritten."""
--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -9,16 +9,16 @@
 from collections.abc import Callable
 
 from woadyard.interface import MOOT, NO_CONNECT
-from woadyard.net.link import Link, Pool
+from woadyard.net.endpoint_connection import ConnectionPool, EndpointConnection
 from woadyard.net.message import READ_SIZE, Answer, Attempt
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
 # against a request that crosses the endpoint's own close.
-IDLE_PART = 0.8
+IDLE_TIMEOUT_FRACTION = 0.8
 # Where the settings name none.
-IDLE_DEFAULT_US, CONNECT_DEFAULT_US = 10_000_000, 1_000_000
+DEFAULT_IDLE_TIMEOUT_US, DEFAULT_CONNECT_TIMEOUT_US = 10_000_000, 1_000_000
 
-Ended = Callable[[Attempt, int, Answer | None, bytes], None]
+OutcomeCallback = Callable[[Attempt, int, Answer | None, bytes], None]
 
 
 class Upstream:
@@ -31,108 +31,108 @@
         most: int,
     ) -> None:
         self.loop, self.now = loop, now
-        self.most = most  # sockets of both sides
-        self.others: Callable[[], int] = lambda: 0  # those of the callers
-        self.give_way: Callable[[], bool] = lambda: False  # asks them for one
-        self.pools: dict[int, Pool] = {}
-        self.links: set[Link] = set()
-        self.sweeping: asyncio.TimerHandle | None = None
-        self.retune(0, 0)
-        self.buffer = memoryview(bytearray(READ_SIZE))  # one read at a time, whoever reads
-        self.ended: Ended = lambda *_: None
-        self.relay: Callable[[Attempt, Answer, int | None], bool] = lambda *_: False
+        self.max_sockets = most  # sockets of both sides
+        self.count_client_connections: Callable[[], int] = lambda: 0  # those of the callers
+        self.close_client_connection: Callable[[], bool] = lambda: False  # asks them for one
+        self.pools: dict[int, ConnectionPool] = {}
+        self.connections: set[EndpointConnection] = set()
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.set_timeouts(0, 0)
+        self.read_buffer = memoryview(bytearray(READ_SIZE))  # one read at a time, whoever reads
+        self.on_outcome: OutcomeCallback = lambda *_: None
+        self.begin_relay: Callable[[Attempt, Answer, int | None], bool] = lambda *_: False
         self.may_start: Callable[[Attempt, int], bool] = lambda *_: True
-        self.written: Callable[[Attempt, int], None] = lambda *_: None  # checks what was sent
+        self.on_written: Callable[[Attempt, int], None] = lambda *_: None  # checks what was sent
 
-    def retune(self, idle_us: int, connect_us: int) -> None:
-        self.idle_s = IDLE_PART * (idle_us or IDLE_DEFAULT_US) / 1e6
-        self.connect_s = (connect_us or CONNECT_DEFAULT_US) / 1e6
-        if self.sweeping is not None:  # it was set by the time that held before
-            self.sweeping.cancel()
-            self._sweep()
+    def set_timeouts(self, idle_us: int, connect_us: int) -> None:
+        self.idle_timeout_s = IDLE_TIMEOUT_FRACTION * (idle_us or DEFAULT_IDLE_TIMEOUT_US) / 1e6
+        self.connect_timeout_s = (connect_us or DEFAULT_CONNECT_TIMEOUT_US) / 1e6
+        if self.sweep_timer is not None:  # it was set by the time that held before
+            self.sweep_timer.cancel()
+            self._close_expired()
 
-    def place(self, endpoint: int, host: str, port: int) -> None:
+    def open_pool(self, endpoint: int, host: str, port: int) -> None:
         """A new process or address: what was open to the old one is of no use."""
-        self.remove(endpoint)
-        self.pools[endpoint] = Pool(host, port)
+        self.close_pool(endpoint)
+        self.pools[endpoint] = ConnectionPool(host, port)
 
-    def remove(self, endpoint: int) -> None:
+    def close_pool(self, endpoint: int) -> None:
         if (pool := self.pools.pop(endpoint, None)) is not None:
             pool.close()
 
-    def free(self, endpoint: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         if (pool := self.pools.get(endpoint)) is not None:
-            pool.free()
+            pool.close_idle()
 
     def send(self, attempt: Attempt) -> None:
         pool = self.pools.get(attempt.endpoint)
         if pool is None:
-            self.ended(attempt, NO_CONNECT, None, b"")
+            self.on_outcome(attempt, NO_CONNECT, None, b"")
             return
         while pool.idle:
             link = pool.idle.pop()
             # The sweep may be late on a loaded machine.
-            if self.loop.time() - link.idle_since < self.idle_s and link.quiet():
+            if self.loop.time() - link.idle_since_s < self.idle_timeout_s and link.is_reusable():
                 link.attempt, attempt.link = attempt, link
-                link.write()
+                link.write_request()
                 return
             link.close()
-        self._open(pool, attempt)
+        self._open_connection(pool, attempt)
 
-    def _open(self, pool: Pool, attempt: Attempt) -> None:
+    def _open_connection(self, pool: ConnectionPool, attempt: Attempt) -> None:
         # Callers at rest go first: a new connection costs them less than an endpoint.
-        if len(self.links) + self.others() >= self.most:
-            self.give_way()
-        if len(self.links) + self.others() >= self.most:
-            self._drop_oldest()
-        if len(self.links) + self.others() >= self.most:
-            self.ended(attempt, MOOT, None, b"")  # for want of a socket: no endpoint's fault
+        if len(self.connections) + self.count_client_connections() >= self.max_sockets:
+            self.close_client_connection()
+        if len(self.connections) + self.count_client_connections() >= self.max_sockets:
+            self._close_longest_idle()
+        if len(self.connections) + self.count_client_connections() >= self.max_sockets:
+            self.on_outcome(attempt, MOOT, None, b"")  # for want of a socket: no endpoint's fault
             return
-        link = attempt.link = Link(self, pool, attempt)
-        self.links.add(link)
-        link.open()
+        link = attempt.link = EndpointConnection(self, pool, attempt)
+        self.connections.add(link)
+        link.connect()
 
-    def _drop_oldest(self) -> None:
+    def _close_longest_idle(self) -> None:
         resting = [pool.idle[0] for pool in self.pools.values() if pool.idle]
         if resting:
-            oldest = min(resting, key=lambda link: link.idle_since)
+            oldest = min(resting, key=lambda link: link.idle_since_s)
             oldest.pool.idle.remove(oldest)
             oldest.close()
-            self.gone(oldest)
+            self.on_connection_lost(oldest)
 
     def cancel(self, attempt: Attempt) -> bool:
         """Stop waiting for an attempt: the endpoint sees its connection close. Whether
         its last byte had not left by then, and so never will."""
         link, attempt.link = attempt.link, None
-        if not isinstance(link, Link) or link.attempt is not attempt:
+        if not isinstance(link, EndpointConnection) or link.attempt is not attempt:
             return not attempt.wrote
         link.attempt = None
-        link.unload()
+        link.detach_upload()
         link.close()
-        return link.unwritten
+        return link.is_request_unwritten
 
-    def gone(self, link: Link) -> None:
-        self.links.discard(link)
+    def on_connection_lost(self, link: EndpointConnection) -> None:
+        self.connections.discard(link)
 
     # --- Idle connections -----------------------------------------------------------
 
-    def arm(self, since: float) -> None:
-        if self.sweeping is None:
-            self.sweeping = self.loop.call_at(since + self.idle_s, self._sweep)
+    def schedule_sweep(self, since: float) -> None:
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.call_at(since + self.idle_timeout_s, self._close_expired)
 
-    def _sweep(self) -> None:
+    def _close_expired(self) -> None:
         """Drop what rested too long; one timer serves all connections."""
-        self.sweeping = None
-        limit = self.loop.time() - self.idle_s
+        self.sweep_timer = None
+        limit = self.loop.time() - self.idle_timeout_s
         oldest = None
         for pool in self.pools.values():
-            while pool.idle and pool.idle[0].idle_since <= limit:
+            while pool.idle and pool.idle[0].idle_since_s <= limit:
                 pool.idle.pop(0).close()
-            if pool.idle and (oldest is None or pool.idle[0].idle_since < oldest):
-                oldest = pool.idle[0].idle_since
+            if pool.idle and (oldest is None or pool.idle[0].idle_since_s < oldest):
+                oldest = pool.idle[0].idle_since_s
         if oldest is not None:
-            self.arm(oldest)
+            self.schedule_sweep(oldest)
 
     def close(self) -> None:
-        for link in list(self.links):
+        for link in list(self.connections):
             link.close()
--- a/woadyard/net/sharing.py
+++ b/woadyard/net/weight_factors.py
@@ -14,21 +14,21 @@
 LOG = logging.getLogger(__name__)
 
 
-class Shared:
+class SharedState:
     """What the driver keeps of the state shared with other sidecars."""
 
     def __init__(self, name: str, eject_share: float) -> None:
         self.name, self.eject_share = name, eject_share
         self.publish: Callable[[int, str | None], None] = lambda endpoint, state: None
-        self.entries: list[Entry] = []
-        self.distrusted: frozenset[str] = frozenset()  # names whose verdicts do not count
+        self.verdict_entries: list[Entry] = []
+        self.ignored_sidecars: frozenset[str] = frozenset()  # names whose verdicts do not count
         self.factors: dict[int, float] = {}
         self.affinity = Affinity()
-        self.relimit: Callable[[], None] = lambda: None  # tells the caps anew
+        self.announce_limits: Callable[[], None] = lambda: None  # tells the caps anew
 
-    def judge(self, ready: set[int], metrics: Quiet) -> dict[int, float]:
+    def update_factors(self, ready: set[int], metrics: Quiet) -> dict[int, float]:
         """Factors below 1 that the other sidecars' verdicts leave, by endpoint."""
-        entries = [one for one in self.entries if one.name not in self.distrusted]
+        entries = [one for one in self.verdict_entries if one.name not in self.ignored_sidecars]
         factors = trusts(entries, self.name, ready, self.eject_share)
         if factors != self.factors:
             self.factors = factors
@@ -39,21 +39,23 @@
         return factors
 
 
-class Trust:
+class WeightFactors:
     """One factor for each endpoint, from all that has a say."""
 
-    def __init__(self, shared: Shared | None, metrics: Quiet) -> None:
+    def __init__(self, shared: SharedState | None, metrics: Quiet) -> None:
         self.shared, self.metrics = shared, metrics
-        self.planned: dict[int, float] = {}  # below 1, by endpoint number
+        self.planned_factors: dict[int, float] = {}  # below 1, by endpoint number
 
-    def plan(self, factors: Mapping[str, float]) -> None:
+    def set_planned(self, factors: Mapping[str, float]) -> None:
         """A plan's weights by instance id, each above 0 and up to 1; who is not named has 1."""
-        self.planned = {endpoint_number(name): factor for name, factor in factors.items() if factor < 1.0}
+        self.planned_factors = {
+            endpoint_number(name): factor for name, factor in factors.items() if factor < 1.0
+        }
 
-    def factors(self, ready: set[int]) -> dict[int, float]:
+    def combined(self, ready: set[int]) -> dict[int, float]:
         """Below 1, by endpoint number."""
-        factors = {} if self.shared is None else self.shared.judge(ready, self.metrics)
-        if not self.planned:
+        factors = {} if self.shared is None else self.shared.update_factors(ready, self.metrics)
+        if not self.planned_factors:
             return factors
-        both = self.planned.keys() | factors.keys()
-        return {number: self.planned.get(number, 1.0) * factors.get(number, 1.0) for number in both}
+        both = self.planned_factors.keys() | factors.keys()
+        return {number: self.planned_factors.get(number, 1.0) * factors.get(number, 1.0) for number in both}
--- a/woadyard/net/weights.py
+++ b/woadyard/net/weights.py
@@ -48,7 +48,7 @@
             self.told(told.revision, weights)
         return self.revision
 
-    def listed(self, mode: int, raw: list[dict[str, Any]]) -> None:
+    def list_applied(self, mode: int, raw: list[dict[str, Any]]) -> None:
         """A list was put to use."""
         if mode == LIST_FAILED:
             return
