--- a/woadyard/net/endpoint_table.py
+++ b/woadyard/net/endpoint_table.py
@@ -7,8 +7,8 @@
 from woadyard.errors import PeerError
 from woadyard.interface import DRAINING, GONE, READY, Entry
 from woadyard.net.active_settings import ActiveSettings
+from woadyard.net.event_dispatcher import now_us
 from woadyard.net.state import Bans, endpoint_number
-from woadyard.net.turns import now_us
 from woadyard.net.upstream import Upstream
 from woadyard.net.wallclock import WallClock
 
@@ -141,7 +141,7 @@
     def _open_pool(self, number: int, place: ListedEndpoint) -> None:
         if number not in self.bans.out:
             host, _, port = place.address.rpartition(":")
-            self.upstream.place(number, host, int(port))
+            self.upstream.open_pool(number, host, int(port))
 
     def _remove(self, now: int, version: int, number: int, place: ListedEndpoint) -> None:
         self.removed[number] = max(version, self.removed.get(number, (0, 0))[0]), place.started_ms
@@ -149,4 +149,4 @@
             del self.removed[next(iter(self.removed))]
         if place.removed_at_us is None:
             place.removed_at_us = now
-            self.upstream.remove(number)
+            self.upstream.close_pool(number)
