--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -51,13 +51,13 @@
         until = min(call.expires_us, now + left)
         attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
         call.attempts.append(attempt)
-        self.dispatcher.metrics.sent(attempt.index)
+        self.dispatcher.metrics.attempt_sent(attempt.index)
         if (observer := self.dispatcher.observer) is not None:
             attempt.extra_headers = observer.attempt_started(now, action)
         if self.in_force.locality is not None:
             place = self.listed_endpoints.by_number.get(action.endpoint)
             if place is not None:
-                self.dispatcher.metrics.zone(place.zone)
+                self.dispatcher.metrics.zone_attempt_sent(place.zone)
         if attempt.index >= self.in_force.settings.max_attempts or not self.may_start(attempt, now):
             self.record_outcome(attempt, MOOT, None, b"")
             return
@@ -103,7 +103,7 @@
             attempt.timer.cancel()
             attempt.timer = None
         call = attempt.call
-        self.dispatcher.metrics.ended(outcome, now_us() - attempt.sent_us)
+        self.dispatcher.metrics.attempt_ended(outcome, now_us() - attempt.sent_us)
         if outcome == OK and answer is not None and call.is_open:
             self.requests.send_response(call, answer)
         if call.streaming_attempt is attempt and call.is_open:
--- a/woadyard/net/client_connection.py
+++ b/woadyard/net/client_connection.py
@@ -349,7 +349,7 @@
     def reject(self, error: BadRequestError) -> None:
         """Respond with a plain 4xx or 501, and close the connection."""
         LOG.info("request refused", extra={"status": error.status, "why": str(error)})
-        self.server.driver.metrics.malformed(error.status)
+        self.server.driver.metrics.request_malformed(error.status)
         if self.discards_body:  # there was a response already
             self._linger()
             return
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -42,7 +42,7 @@
 from woadyard.net.state import Bans
 from woadyard.net.upstream import Upstream
 from woadyard.net.weight_factors import SharedState, WeightFactors
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.policy import Balancer
 from woadyard.shared.store import Entry as VerdictEntry
 
@@ -60,12 +60,12 @@
         raw: dict[str, Any],
         upstream: Upstream,
         state: Path | None = None,
-        metrics: Quiet | None = None,
+        metrics: NullMetrics | None = None,
         shared: SharedState | None = None,
         locality: Locality | None = None,
     ) -> None:
         self.loop, self.upstream, self.shared = loop, upstream, shared
-        self.metrics = metrics or Quiet()
+        self.metrics = metrics or NullMetrics()
         self.raw_settings = raw
         self.in_force = ActiveSettings(shared is not None)
         self._put_in_force(settings, locality)
@@ -158,12 +158,12 @@
         self.has_received_list = True
 
     def _on_list_failed(self) -> None:
-        self.metrics.listed(LIST_FAILED, 0)
+        self.metrics.list_received(LIST_FAILED, 0)
         self.dispatch(self.balancer.members, LIST_FAILED, ())
 
     def _apply_entries(self, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         read = self.listed_endpoints.parse(version, raw)
-        self.metrics.listed(mode, version)
+        self.metrics.list_received(mode, version)
         self.listed_endpoints.apply(version, mode != LIST_DELTA, read)
         self.dispatch(self.balancer.members, mode, [entry for entry, _ in read])
         if self.observer is not None:
@@ -212,7 +212,7 @@
 
     def apply_limits(self, caps: dict[int, int], others: int) -> None:
         """This process's shares of the limits that all sidecars keep together."""
-        self.metrics.shares(sum(caps.values()))
+        self.metrics.set_shares(sum(caps.values()))
         self.dispatch(self.balancer.limit, caps, others)
 
     # --- Operators --------------------------------------------------------------------
@@ -222,12 +222,12 @@
         self.loop.call_soon_threadsafe(self._detach if out else self._attach, number)
 
     def _detach(self, number: int) -> None:
-        self.metrics.banned(True)
+        self.metrics.ban_changed(True)
         self.upstream.close_pool(number)
         self.dispatch(self.balancer.detach, number)
 
     def _attach(self, number: int) -> None:
-        self.metrics.banned(False)
+        self.metrics.ban_changed(False)
         self.listed_endpoints.reattach(number)
         self.dispatch(self.balancer.attach, number)
 
--- a/woadyard/net/endpoint_table.py
+++ b/woadyard/net/endpoint_table.py
@@ -47,7 +47,7 @@
             read = [self._parse_entry(one) for one in raw]
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
             raise PeerError(f"no entry: {error!r}") from None
-        self.bans.note(one["instanceId"] for one in raw)
+        self.bans.add_listed(one["instanceId"] for one in raw)
         return [one for one in read if not self._is_outdated(version, *one)]
 
     def apply(self, version: int, is_full: bool, parsed: ParsedEntries) -> None:
@@ -71,14 +71,14 @@
     def may_start(self, endpoint: int, now: int) -> bool:
         """Whether anything may be sent there now: it is listed, or left within the grace."""
         place = self.by_number.get(endpoint)
-        if place is None or endpoint in self.bans.out:
+        if place is None or endpoint in self.bans.banned_numbers:
             return False
         return place.removed_at_us is None or now < place.removed_at_us + self._start_grace_us()
 
     def may_have_started(self, endpoint: int, now: int) -> bool:
         """Whether something that is on its way by now may have been: the whole grace counts."""
         place = self.by_number.get(endpoint)
-        if place is None or endpoint in self.bans.out:
+        if place is None or endpoint in self.bans.banned_numbers:
             return False
         return place.removed_at_us is None or now < place.removed_at_us + self.active_settings.drain_grace_us
 
@@ -139,7 +139,7 @@
             self._open_pool(number, place)
 
     def _open_pool(self, number: int, place: ListedEndpoint) -> None:
-        if number not in self.bans.out:
+        if number not in self.bans.banned_numbers:
             host, _, port = place.address.rpartition(":")
             self.upstream.open_pool(number, host, int(port))
 
--- a/woadyard/net/weight_factors.py
+++ b/woadyard/net/weight_factors.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from woadyard.net.state import endpoint_number
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.shared.affinity import Affinity
 from woadyard.shared.store import Entry
 from woadyard.shared.verdicts import TRUST_ONE, trusts
@@ -26,13 +26,13 @@
         self.affinity = Affinity()
         self.announce_limits: Callable[[], None] = lambda: None  # tells the caps anew
 
-    def update_factors(self, ready: set[int], metrics: Quiet) -> dict[int, float]:
+    def update_factors(self, ready: set[int], metrics: NullMetrics) -> dict[int, float]:
         """Factors below 1 that the other sidecars' verdicts leave, by endpoint."""
         entries = [one for one in self.verdict_entries if one.name not in self.ignored_sidecars]
         factors = trusts(entries, self.name, ready, self.eject_share)
         if factors != self.factors:
             self.factors = factors
-            metrics.lowered(len(factors))
+            metrics.set_lowered_endpoints(len(factors))
             LOG.info("others' verdicts", extra={"lowered": len(factors), "of": len(ready)})
         # A key stays at its home on one sidecar's word; two move it, at all alike.
         self.affinity.settle(number for number in ready if factors.get(number, 1.0) >= TRUST_ONE)
@@ -42,7 +42,7 @@
 class WeightFactors:
     """One factor for each endpoint, from all that has a say."""
 
-    def __init__(self, shared: SharedState | None, metrics: Quiet) -> None:
+    def __init__(self, shared: SharedState | None, metrics: NullMetrics) -> None:
         self.shared, self.metrics = shared, metrics
         self.planned_factors: dict[int, float] = {}  # below 1, by endpoint number
 
