--- a/tests/process.py
+++ b/tests/process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from tests.sockets import SETTINGS, Endpoint, Message, Reader, Registry, Writer, read_message
+from tests.sockets import SETTINGS, Endpoint, FakeDiscovery, Message, Reader, Writer, read_message
 
 
 class HasPort(Protocol):
@@ -77,12 +77,12 @@
 
 async def wait_until_ready(port: int) -> None:
     """Wait until the admin listener at this port reports the sidecar ready."""
-    while not (await http_call(port, "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
+    while not (await http_call(port, "GET", "/_ready")).start_line.startswith("HTTP/1.1 200"):
         await asyncio.sleep(0.01)
 
 
 async def start_ready_sidecar(
-    folder: Path, registry: Registry, *endpoints: Endpoint
+    folder: Path, registry: FakeDiscovery, *endpoints: Endpoint
 ) -> tuple[Process, int, int]:
     """Start a sidecar and wait until it is ready; return it, its port and its admin port."""
     port, admin_port = free_port(), free_port()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.process import free_port, sidecar_environ, start_sidecar
-from tests.sockets import SETTINGS, Registry, run
+from tests.sockets import SETTINGS, FakeDiscovery, run_test
 
 CLASS = SETTINGS["classes"][0]
 # SIGHUP rejects each of them; the last three stop a start too.
@@ -54,7 +54,7 @@
     """The process keeps running and accepts a valid file afterwards."""
 
     async def main() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         async with await registry.start():
             environ = {**sidecar_environ(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
             path = Path(environ["LB_CONFIG"])
@@ -64,7 +64,7 @@
             assert await check_config(path) == (0, [f"{path}: good"])
             process = await start_sidecar(environ)
             assert process.stderr is not None
-            await registry.asked.get()
+            await registry.watches.get()
             for bad in BAD_RELOADS:
                 write_config(path, good, bad)
                 status, lines = await check_config(path, "--in-force", str(in_force))
@@ -77,13 +77,13 @@
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("bad", BAD_STARTS)
 def test_check_config_prints_the_error_that_stops_a_start(tmp_path: Path, bad: dict[str, Any]) -> None:
     async def main() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         environ = sidecar_environ(tmp_path, registry, **bad)
         status, lines = await check_config(Path(environ["LB_CONFIG"]))
         process = await start_sidecar(environ)
@@ -91,7 +91,7 @@
         assert (status, process.returncode) == (2, 2)
         assert json.loads(errors)["error"] == lines[0]
 
-    run(main())
+    run_test(main())
 
 
 def test_each_command_has_help() -> None:
@@ -103,4 +103,4 @@
             output, _ = await process.communicate()
             assert process.returncode == 0 and output.startswith(b"usage: woadyard")
 
-    run(main())
+    run_test(main())
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from tests.process import connect_when_open, free_port, sidecar_environ, start_sidecar
-from tests.sockets import Registry, run
+from tests.sockets import FakeDiscovery, run_test
 from woadyard.ops.logs import BURST, WINDOW_S, RateLimitFilter
 
 FLOOD = 1_000
@@ -52,7 +52,7 @@
 
 def test_a_flood_of_invalid_requests_is_logged_in_few_lines_and_counted(tmp_path: Path) -> None:
     async def main() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         async with await registry.start():
             port = free_port()
             process = await start_sidecar(
@@ -68,4 +68,4 @@
         assert len(refused) == BURST and len(lines) == BURST + len(summaries)
         assert sum(summaries) + sum(line.get("suppressed", 0) for line in refused) == FLOOD - BURST
 
-    run(main())
+    run_test(main())
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,17 +19,17 @@
 from tests.sockets import (
     SETTINGS,
     Endpoint,
+    FakeDiscovery,
     Message,
-    Registry,
     Sidecar,
     Writer,
-    answer,
-    push,
+    http_request,
+    http_response,
+    push_list,
     read_message,
-    request,
-    run,
+    run_sidecar,
+    run_test,
     serve_ok,
-    sidecar,
 )
 from woadyard.__main__ import ConfigReloader
 from woadyard.membership.shrink import ShrinkGuard
@@ -45,9 +45,9 @@
         async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             if message.headers["x-request-id"] == "slow":
                 await release.wait()
-            writer.write(answer())
+            writer.write(http_response())
 
-        endpoint, registry = Endpoint(slow), Registry(beat_s=1.0)
+        endpoint, registry = Endpoint(slow), FakeDiscovery(heartbeat_s=1.0)
         listener = socket.create_server(("127.0.0.1", 0))
         port = listener.getsockname()[1]
         async with await endpoint.start(), await registry.start():
@@ -60,32 +60,32 @@
                 {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[0]}"}, listener.fileno()
             )
             await wait_until_ready(admin_ports[0])
-            await registry.asked.get()
+            await registry.watches.get()
             idle, idle_writer = await asyncio.open_connection("127.0.0.1", port)
-            idle_writer.write(request(rid="first"))
+            idle_writer.write(http_request(rid="first"))
             assert "connection" not in (await read_message(idle)).headers
             busy, busy_writer = await asyncio.open_connection("127.0.0.1", port)
-            busy_writer.write(request(rid="slow"))
-            await endpoint.arrived.acquire()
-            await endpoint.arrived.acquire()
+            busy_writer.write(http_request(rid="slow"))
+            await endpoint.request_arrived.acquire()
+            await endpoint.request_arrived.acquire()
             new = await start_sidecar(
                 {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[1]}"}, listener.fileno()
             )
-            _, watch = await registry.asked.get()
-            assert (await http_call(admin_ports[1], "GET", "/_ready")).start.startswith("HTTP/1.1 503"), (
+            _, watch = await registry.watches.get()
+            assert (await http_call(admin_ports[1], "GET", "/_ready")).start_line.startswith("HTTP/1.1 503"), (
                 "no list yet"
             )
-            push(watch, 2, True, endpoint.entry())
+            push_list(watch, 2, True, endpoint.entry())
             await wait_until_ready(admin_ports[1])
             old.send_signal(signal.SIGTERM)
-            while (await http_call(admin_ports[0], "GET", "/_ready")).start.startswith("HTTP/1.1 200"):
+            while (await http_call(admin_ports[0], "GET", "/_ready")).start_line.startswith("HTTP/1.1 200"):
                 await asyncio.sleep(0.01)
             for n in range(20):  # all must reach the new process: the old one would send `Connection: close`
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(request(rid=f"new{n}"))
+                writer.write(http_request(rid=f"new{n}"))
                 assert "connection" not in (await read_message(reader)).headers
                 writer.close()
-            idle_writer.write(request(rid="kept"))
+            idle_writer.write(http_request(rid="kept"))
             response = await read_message(idle)
             assert response.body == b"ok" and response.headers["connection"] == "close"
             release.set()
@@ -94,7 +94,7 @@
             _, errors = await old.communicate()
             assert (old.returncode, errors) == (0, b"")
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(request(rid="after"))
+            writer.write(http_request(rid="after"))
             assert (await read_message(reader)).body == b"ok", (
                 "the socket stays open after the old process ends"
             )
@@ -103,7 +103,7 @@
             _, errors = await new.communicate()
             assert (new.returncode, errors) == (0, b"")
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("descriptor", ["x", "-1", "0", "99999999999999999999"])
@@ -111,14 +111,14 @@
     tmp_path: Path, descriptor: str
 ) -> None:
     async def main() -> None:
-        registry = Registry(beat_s=1.0)
+        registry = FakeDiscovery(heartbeat_s=1.0)
         async with await registry.start():
             process = await start_sidecar({**sidecar_environ(tmp_path, registry), "LB_ACCEPT_FD": descriptor})
             _, errors = await process.communicate()
             assert process.returncode == 2
             assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("console", ["nowhere", "127.0.0.1:99999", "192.0.2.1:80", 5])
@@ -126,19 +126,19 @@
     tmp_path: Path, console: object
 ) -> None:
     async def main() -> None:
-        registry = Registry(beat_s=1.0)
+        registry = FakeDiscovery(heartbeat_s=1.0)
         async with await registry.start():
             process = await start_sidecar(sidecar_environ(tmp_path, registry, console=console))
             _, errors = await process.communicate()
             assert process.returncode == 2
             assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
 
-    run(main())
+    run_test(main())
 
 
 def test_a_ban_outlives_an_upgrade_and_one_call_lifts_it(tmp_path: Path) -> None:
     async def main() -> None:
-        first, second, registry = Endpoint(), Endpoint(), Registry(beat_s=1.0)
+        first, second, registry = Endpoint(), Endpoint(), FakeDiscovery(heartbeat_s=1.0)
         listener = socket.create_server(("127.0.0.1", 0))
         port = listener.getsockname()[1]
         async with await first.start(), await second.start(), await registry.start():
@@ -152,19 +152,19 @@
             async def send_requests(request_count: int) -> None:
                 for n in islice(ids, request_count):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(request(rid=f"r{n}"))
+                    writer.write(http_request(rid=f"r{n}"))
                     assert (await read_message(reader)).body == b"ok"
                     writer.close()
 
             async def change_ban(admin_port: int, action: str, body: str) -> str:
-                return (await http_call(admin_port, "POST", f"/_endpoints/{action}", body)).start.split()[1]
+                return (await http_call(admin_port, "POST", f"/_endpoints/{action}", body)).start_line.split()[1]
 
             admin_ports = [free_port(), free_port()]
             old = await start_sidecar(
                 {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[0]}"}, listener.fileno()
             )
             await wait_until_ready(admin_ports[0])
-            await registry.asked.get()
+            await registry.watches.get()
             assert await change_ban(admin_ports[0], "detach", "s-9") == "404"
             assert await change_ban(admin_ports[0], "detach", "") == "400"
             for _ in range(2):
@@ -173,21 +173,21 @@
             new = await start_sidecar(
                 {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[1]}"}, listener.fileno()
             )
-            _, watch = await registry.asked.get()
-            push(watch, 2, True, first.entry("s-1"), second.entry("s-2"))
+            _, watch = await registry.watches.get()
+            push_list(watch, 2, True, first.entry("s-1"), second.entry("s-2"))
             await wait_until_ready(admin_ports[1])
             old.send_signal(signal.SIGTERM)
             await old.wait()
             await send_requests(20)
-            assert not first.got, "neither process sends requests to a detached endpoint"
+            assert not first.received, "neither process sends requests to a detached endpoint"
             assert await change_ban(admin_ports[1], "attach", "s-1") == "200"
-            while not first.got:
+            while not first.received:
                 await send_requests(1)
             new.send_signal(signal.SIGTERM)
             _, errors = await new.communicate()
             assert (new.returncode, errors) == (0, b"")
 
-    run(main())
+    run_test(main())
 
 
 def changed_settings(part: str, **changes: Any) -> dict[str, Any]:
@@ -213,13 +213,13 @@
 
 @contextlib.asynccontextmanager
 async def reloadable_sidecar(tmp_path: Path, *endpoints: Endpoint) -> AsyncIterator[ReloadableSidecar]:
-    registry = Registry(beat_s=1.0)
-    async with sidecar(*endpoints, registry=registry) as running:
+    registry = FakeDiscovery(heartbeat_s=1.0)
+    async with run_sidecar(*endpoints, discovery_server=registry) as running:
         environ = sidecar_environ(tmp_path, registry)
         discovery = running.driver.discovery
         assert discovery is not None
         loaded = read_config(environ)
-        guard = ShrinkGuard(loaded.max_list_shrink, running.driver.listed, running.driver.loop.time)
+        guard = ShrinkGuard(loaded.max_list_shrink, running.driver.apply_list, running.driver.loop.time)
         yield ReloadableSidecar(
             running,
             Path(environ["LB_CONFIG"]),
@@ -264,10 +264,10 @@
             before, address = running.sidecar.driver.settings, running.discovery.address
             running.reload_with(raw)
             assert running.sidecar.driver.settings is before and running.discovery.address == address
-            assert (await running.sidecar.ask(request())).body == b"ok"
+            assert (await running.sidecar.send(http_request())).body == b"ok"
         assert [record.getMessage() for record in caplog.records] == ["not reloaded"]
 
-    run(main())
+    run_test(main())
 
 
 def test_classes_are_added_removed_and_changed_and_requests_in_flight_keep_theirs(tmp_path: Path) -> None:
@@ -275,11 +275,11 @@
         may_reset = asyncio.Event()
 
         async def reset(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            if len(endpoint.got) == 1:
+            if len(endpoint.received) == 1:
                 await may_reset.wait()
                 writer.transport.abort()
             else:
-                writer.write(answer())
+                writer.write(http_response())
 
         async with reloadable_sidecar(tmp_path, Endpoint(reset), Endpoint(serve_ok)) as running:
             by_number = running.sidecar.driver.balancer.endpoints
@@ -287,7 +287,7 @@
             vars(running.sidecar.driver.balancer.membership)["pick_trial"] = (
                 lambda at, call: None if call.attempts else first_endpoint
             )
-            in_flight = asyncio.create_task(running.sidecar.ask(request("page")))
+            in_flight = asyncio.create_task(running.sidecar.send(http_request("page")))
             while not running.sidecar.driver.calls or not first_endpoint.inflight:
                 await asyncio.sleep(0)
             vars(running.sidecar.driver.balancer.membership)["pick_trial"] = lambda at, call: None
@@ -297,37 +297,37 @@
             running.reload_with(
                 {**GOOD_FILE, "settings": {**SETTINGS, "classes": [added, without_retries, put]}}
             )
-            assert (await running.sidecar.ask(request("pay"))).start.split()[1] == "404"
-            assert (await running.sidecar.ask(request("page", rid="get"))).start.split()[1] == "405"
-            post = request("page", rid="post").replace(b"GET ", b"POST ")
-            assert (await running.sidecar.ask(post)).body == b"ok"
-            added_request = request("page", rid="fresh").replace(b"page", b"fresh")
-            assert (await running.sidecar.ask(added_request)).body == b"ok"
+            assert (await running.sidecar.send(http_request("pay"))).start_line.split()[1] == "404"
+            assert (await running.sidecar.send(http_request("page", rid="get"))).start_line.split()[1] == "405"
+            post = http_request("page", rid="post").replace(b"GET ", b"POST ")
+            assert (await running.sidecar.send(post)).body == b"ok"
+            added_request = http_request("page", rid="fresh").replace(b"page", b"fresh")
+            assert (await running.sidecar.send(added_request)).body == b"ok"
             may_reset.set()
             assert (await in_flight).body == b"ok", "retried, as its class allowed when it came"
             running.reload_with({**GOOD_FILE, "settings": SETTINGS})
-            assert (await running.sidecar.ask(request("pay", rid="back"))).body == b"ok"
+            assert (await running.sidecar.send(http_request("pay", rid="back"))).body == b"ok"
             assert len(running.sidecar.driver.settings.classes) == 5, (
                 "a class that is added again keeps its number"
             )
 
-    run(main())
+    run_test(main())
 
 
 def test_a_lower_attempt_limit_applies_at_once(tmp_path: Path) -> None:
     async def main() -> None:
         async def fail(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            writer.write(answer(500))
+            writer.write(http_response(500))
 
         endpoints = [Endpoint(fail) for _ in range(4)]
         async with reloadable_sidecar(tmp_path, *endpoints) as running:
             running.reload_with(
                 {**GOOD_FILE, "settings": changed_settings("ceilings", **{"max-attempts": 1})}
             )
-            await running.sidecar.ask(request())
-            assert sum(len(target.got) for target in endpoints) == 1
+            await running.sidecar.send(http_request())
+            assert sum(len(target.received) for target in endpoints) == 1
 
-    run(main())
+    run_test(main())
 
 
 def test_a_valid_file_changes_discovery_and_settings_together(tmp_path: Path) -> None:
@@ -336,9 +336,9 @@
             running.reload_with({**GOOD_FILE, "settings": {**SETTINGS, "invariants": {"drain-grace-us": 7}}})
             assert (
                 running.discovery.address == "127.0.0.1:9"
-                and running.sidecar.driver.force.drain_grace_us == 7
+                and running.sidecar.driver.in_force.drain_grace_us == 7
             )
             running.reload_with(b"{")
             assert running.discovery.address == "127.0.0.1:9", "the last valid file stays in force"
 
-    run(main())
+    run_test(main())
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.process import free_port, http_call, sidecar_environ, start_sidecar, wait_until_ready
-from tests.sockets import Endpoint, read_message, request, run
+from tests.sockets import Endpoint, http_request, read_message, run_test
 from tests.test_registry import ask, service
 from tests.test_replicas import end
 from woadyard.errors import PeerError
@@ -116,10 +116,10 @@
 
             async def status(rid: str) -> str:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(request(rid=rid, deadline_ms=300))
+                writer.write(http_request(rid=rid, deadline_ms=300))
                 response = await read_message(reader)
                 writer.close()
-                return response.start.split()[1]
+                return response.start_line.split()[1]
 
             await wait_for_metric("woadyard_list_version 3.0")
             await renew_leases(1)
@@ -128,10 +128,10 @@
             await wait_for_metric(f"woadyard_list_version {listing['generation']}.0")
             assert await status("r1") == "200"
             response = await http_call(admin_port, "POST", "/_list/accept")
-            assert response.start.split()[1] == "200" and b"let go" in response.body
+            assert response.start_line.split()[1] == "200" and b"let go" in response.body
             await wait_for_metric("woadyard_list_held 0.0")
             assert await status("r2") != "200", "the operator accepted the empty list"
-            assert (await http_call(admin_port, "POST", "/_list/accept")).start.split()[1] == "409"
+            assert (await http_call(admin_port, "POST", "/_list/accept")).start_line.split()[1] == "409"
         await end(registry, process)
 
-    run(main())
+    run_test(main())
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -35,10 +35,10 @@
 from woadyard.net.driver import Driver
 from woadyard.net.gossip import Gossip
 from woadyard.net.server import Server
-from woadyard.net.sharing import Shared
 from woadyard.net.state import SYNC_INTERVAL_S, ProcessSlots
 from woadyard.net.threaded_http import RESERVED_DESCRIPTORS, HttpError, Route, Routes, ThreadedHttpServer
 from woadyard.net.upstream import Upstream
+from woadyard.net.weight_factors import SharedState
 from woadyard.ops import logs
 from woadyard.ops.metrics import Metrics
 from woadyard.shared.store import Entry
@@ -46,7 +46,6 @@
 if TYPE_CHECKING:
     from woadyard.net.recorder import Recorder
     from woadyard.net.reporter import Reporter
-
 LOG = logging.getLogger("woadyard")
 LIST_PATH = "/registry/instances"
 # Sockets of the listener, the watch of discovery and the event loop.
@@ -69,7 +68,7 @@
             LOG.warning("not reloaded", extra=error.fields())
             return
         self.raw_in_force = raw
-        self.driver.retune(raw["settings"], settings, read_locality(raw))
+        self.driver.apply_settings(raw["settings"], settings, read_locality(raw))
         self.guard.set_max_loss_share(read_max_list_shrink(raw))
         self.discovery.set_push_mode(not settings.asks_discovery)
         self.discovery.change_address(str(raw["discovery"]))
@@ -136,7 +135,9 @@
 
     def may_serve() -> bool:
         return (
-            waiting_since_us is None or driver.heard or driver.now() - waiting_since_us > FIRST_LIST_WAIT_US
+            waiting_since_us is None
+            or driver.has_received_list
+            or driver.now() - waiting_since_us > FIRST_LIST_WAIT_US
         )
 
     routes = build_admin_routes(server, may_serve, guard)
@@ -157,7 +158,7 @@
         return None
 
     def verdicts_received(entries: list[Entry]) -> None:
-        loop.call_soon_threadsafe(driver.verdicts, entries)
+        loop.call_soon_threadsafe(driver.apply_verdicts, entries)
 
     rng = random.Random()  # not seeded: processes with the same configuration must differ
     gossip = Gossip(
@@ -167,9 +168,14 @@
     driver.affinity_header = config.shared.affinity_header.lower().encode()
     port = gossip.open()
     if config.shared.limit:
-        hooks = Hooks(driver.wanted, driver.used, driver.longest_us, driver.limit)
+        hooks = Hooks(
+            driver.preferred_endpoints,
+            driver.in_flight_counts,
+            driver.longest_deadline_us,
+            driver.apply_limits,
+        )
         budget = Budget(loop, config.shared, gossip.store.me, hooks, rng)
-        shared_state.relimit = budget.tell
+        shared_state.announce_limits = budget.tell
         budget.open()
     LOG.info("sharing state", extra={"as": gossip.store.me, "port": port, "peers": config.shared.peers})
     return gossip
@@ -182,7 +188,7 @@
     from woadyard.net.recorder import Recorder
 
     recorder = Recorder(config.record, name, config.seed, driver.now())
-    driver.observe(recorder)
+    driver.add_observer(recorder)
     return recorder
 
 
@@ -207,7 +213,7 @@
         if recorder is not None:
             recorder.weighed(driver.now(), revision, new_weights)
 
-    driver.planned = weights = Weights(driver.weigh, weights_changed)
+    driver.plan_listener = weights = Weights(driver.set_planned_weights, weights_changed)
     reporter.orders.plan = weights.direct
 
 
@@ -245,12 +251,12 @@
     metrics = Metrics() if config.console else None
     # The name is the same over restarts; sidecars that share state have different names.
     name = os.environ.get("LB_NAME") or str(config.raw.get("name", ""))
-    shared_state = Shared(name, config.shared.eject_share) if config.shared else None
+    shared_state = SharedState(name, config.shared.eject_share) if config.shared else None
     driver = Driver(
         loop, config.seed, config.settings, raw_settings, upstream,
         state=config.state_file, metrics=metrics, shared=shared_state, locality=config.locality,
     )  # fmt: skip
-    guard = ShrinkGuard(config.max_list_shrink, driver.listed, loop.time)
+    guard = ShrinkGuard(config.max_list_shrink, driver.apply_list, loop.time)
     guard.on_held_change = driver.metrics.set_held_endpoints
     discovery = driver.discovery = Discovery(
         loop,
@@ -277,7 +283,10 @@
         if config.known_list["instances"] and (is_alone or discovery.uses_push):
             # The known list may be old, and a newer one applies from the start.
             await discovery.wait_for_first_list()
-    upstream.others, upstream.give_way = lambda: len(server.connections), server.release_connection
+    upstream.count_client_connections, upstream.close_client_connection = (
+        lambda: len(server.connections),
+        server.release_connection,
+    )
     try:
         if config.accept_fd is None:
             await server.listen(*config.listen)
