--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -72,9 +72,9 @@
                 {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_ports[1]}"}, listener.fileno()
             )
             _, watch = await registry.watches.get()
-            assert (await http_call(admin_ports[1], "GET", "/_ready")).start_line.startswith("HTTP/1.1 503"), (
-                "no list yet"
-            )
+            assert (await http_call(admin_ports[1], "GET", "/_ready")).start_line.startswith(
+                "HTTP/1.1 503"
+            ), "no list yet"
             push_list(watch, 2, True, endpoint.entry())
             await wait_until_ready(admin_ports[1])
             old.send_signal(signal.SIGTERM)
@@ -157,7 +157,9 @@
                     writer.close()
 
             async def change_ban(admin_port: int, action: str, body: str) -> str:
-                return (await http_call(admin_port, "POST", f"/_endpoints/{action}", body)).start_line.split()[1]
+                return (
+                    await http_call(admin_port, "POST", f"/_endpoints/{action}", body)
+                ).start_line.split()[1]
 
             admin_ports = [free_port(), free_port()]
             old = await start_sidecar(
@@ -298,7 +300,9 @@
                 {**GOOD_FILE, "settings": {**SETTINGS, "classes": [added, without_retries, put]}}
             )
             assert (await running.sidecar.send(http_request("pay"))).start_line.split()[1] == "404"
-            assert (await running.sidecar.send(http_request("page", rid="get"))).start_line.split()[1] == "405"
+            assert (await running.sidecar.send(http_request("page", rid="get"))).start_line.split()[
+                1
+            ] == "405"
             post = http_request("page", rid="post").replace(b"GET ", b"POST ")
             assert (await running.sidecar.send(post)).body == b"ok"
             added_request = http_request("page", rid="fresh").replace(b"page", b"fresh")
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -46,6 +46,7 @@
 if TYPE_CHECKING:
     from woadyard.net.recorder import Recorder
     from woadyard.net.reporter import Reporter
+
 LOG = logging.getLogger("woadyard")
 LIST_PATH = "/registry/instances"
 # Sockets of the listener, the watch of discovery and the event loop.
