--- a/woadyard/net/__init__.py
+++ b/woadyard/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar round the decision module: sockets, timers and names, no decisions."""
+"""The sidecar's network layer: sockets, timers and HTTP. All decisions are made in `woadyard.policy`."""
--- a/woadyard/net/disconnects.py
+++ b/woadyard/net/disconnects.py
@@ -1,4 +1,4 @@
-"""Whether the client at the other end of a connection is still there."""
+"""Detects that the client of a connection has disconnected."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 import struct
 from typing import Protocol
 
-# The other side has ended its sending; told also while unread bytes lie before that end.
+# The other side has shut down its sending; reported also while unread bytes precede that.
 HALF_CLOSED = getattr(select, "POLLRDHUP", 0)
 DISCONNECT_EVENTS = HALF_CLOSED | select.POLLHUP | select.POLLERR
-CHECK_INTERVAL_S = 0.05  # between looks at who is not read: an attempt may begin 0.1 s after its client left
+# For connections that are not read: an attempt may begin 0.1 s after its client disconnected.
+CHECK_INTERVAL_S = 0.05
 
 
 class DisconnectDetector:
-    """Of the client of one connection. Asks the system: the loop hears of an end only in
-    its turn, and of none while it does not read. Where the system can't tell, the loop's
-    word is all there is."""
+    """Detects the disconnect of one connection's client by polling the socket.
+
+    The event loop reports a disconnect only in its next iteration, and never while reading is
+    paused. Where the system has no POLLRDHUP, the event loop's report is all there is.
+    """
 
     __slots__ = ("poll", "transport")
 
@@ -29,28 +32,28 @@
         if self.transport.is_closing():
             return True
         try:
-            told = self.poll.poll(0)
+            events = self.poll.poll(0)
         except OSError:
             return False
-        return bool(told) and bool(told[0][1] & DISCONNECT_EVENTS)
+        return bool(events) and bool(events[0][1] & DISCONNECT_EVENTS)
 
 
 def reset_connection(transport: asyncio.Transport) -> None:
-    """End a connection so that its client sees that an answer broke off."""
+    """Abort a connection with a TCP reset, so that its client sees that the response is incomplete."""
     linger = struct.pack("ii", 1, 0)
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     transport.abort()
 
 
 class PausedClient(Protocol):
-    """One end of a connection that may be left at the other."""
+    """A client connection that is not being read."""
 
     def check_connected(self) -> bool:
-        """Looks whether it was left; if so, all that it asked for ends."""
+        """Return whether the client is connected; if it is not, cancel its requests."""
 
 
 class PausedClients:
-    """The clients that are not read for now, whose ends the loop would not hear of."""
+    """The client connections with paused reading, whose disconnects the event loop does not report."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -66,8 +69,8 @@
         self.clients.pop(client, None)
 
     def _check_all(self) -> None:
-        """One timer serves all, and runs only while there are any."""
+        """One timer serves all connections, and runs only while there are any."""
         self.timer = self.loop.call_later(CHECK_INTERVAL_S, self._check_all) if self.clients else None
         for client in list(self.clients):
-            if client in self.clients:  # one that ends may let another be read again
+            if client in self.clients:  # cancelling one client's requests may resume another's reading
                 client.check_connected()
--- a/woadyard/net/message.py
+++ b/woadyard/net/message.py
@@ -1,4 +1,4 @@
-"""What the HTTP sides share: limits, header rules and the messages themselves."""
+"""HTTP limits, header rules and message types shared by the client and endpoint connections."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from woadyard.errors import PeerError
 
 MAX_HEAD_BYTES = 64 * 1024
-# Bodies up to this are held whole before they are passed on, so that an attempt
-# can be repeated; larger ones are passed on as they come.
+# Bodies up to this size are buffered whole before they are forwarded, so that an
+# attempt can be repeated; larger ones are streamed.
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
-# No caller has a larger body to send: the largest are 32 MB.
+# The largest bodies that clients send are 32 MB.
 MAX_BODY_BYTES = 48 * 1024 * 1024
-# Read at a time; what one connection of a stream holds is a small multiple of it.
+# Bytes per read; a streaming connection buffers a small multiple of it.
 READ_SIZE = 32 * 1024
-# What concerns one connection alone, or is set anew on each side.
+# Headers that concern a single connection, or that each side sets itself.
 HOP_BY_HOP_HEADERS = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
      b"expect", b"content-length", b"x-deadline-ms", b"proxy-authenticate", b"proxy-authorization")
@@ -26,22 +26,25 @@
 
 
 class FramingError(PeerError):
-    """Headers that leave open where the body ends."""
+    """The headers leave open where the body ends."""
 
 
 def parse_framing(headers: Headers) -> tuple[int | None, bool]:
-    """The length that the headers tell, and whether the body is chunked. The
-    parser has turned down lengths that are doubled, bad, or beside a coding."""
-    length, chunked = None, False
+    """Return the Content-Length, if any, and whether the body is chunked.
+
+    The parser has already rejected lengths that are duplicated, malformed, or
+    combined with a transfer coding. Raises FramingError on codings other than chunked.
+    """
+    length, is_chunked = None, False
     for name, value in headers:
-        lower = name.lower()
-        if lower == b"content-length":
+        lower_name = name.lower()
+        if lower_name == b"content-length":
             length = int(value)
-        elif lower == b"transfer-encoding":
-            if chunked or value.strip().lower() != b"chunked":
-                raise FramingError("only chunked is known of Transfer-Encoding")
-            chunked = True
-    return length, chunked
+        elif lower_name == b"transfer-encoding":
+            if is_chunked or value.strip().lower() != b"chunked":
+                raise FramingError("Transfer-Encoding: only a single 'chunked' coding is supported")
+            is_chunked = True
+    return length, is_chunked
 
 
 def encode_chunk(data: bytes) -> bytes:
@@ -52,18 +55,18 @@
 
 
 def end_to_end_headers(headers: Headers) -> bytes:
-    """The lines of the headers that travel end to end."""
-    named: set[bytes] = set()
+    """Serialize the headers to forward: all but the hop-by-hop ones and those that Connection names."""
+    connection_options: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
-            named.update(token.strip().lower() for token in value.split(b","))
-    kept = (pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS)
-    return b"".join(b"%b: %b\r\n" % (n, v) for n, v in kept if n.lower() not in named)
+            connection_options.update(token.strip().lower() for token in value.split(b","))
+    forwarded = (pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS)
+    return b"".join(b"%b: %b\r\n" % (n, v) for n, v in forwarded if n.lower() not in connection_options)
 
 
 @dataclass(slots=True)
 class Response:
-    """A final answer to a caller, or the start of one; `head` holds further header lines."""
+    """A final response to a client, or its first part; `header_lines` holds further headers, serialized."""
 
     status: int
     header_lines: bytes = b""
@@ -71,7 +74,7 @@
 
 
 class EndpointStream(Protocol):
-    """A connection to an endpoint, as far as those see it whose bodies it carries."""
+    """An endpoint connection, as seen by the sources of the request bodies it carries."""
 
     def send_body_part(self, data: bytes) -> None: ...
     def end_body(self) -> None: ...
@@ -80,7 +83,7 @@
 
 
 class ClientStream(Protocol):
-    """A caller: it gets one whole answer, or one too large to hold, passed on as it comes."""
+    """A client connection: it receives one whole response, or one streamed in parts."""
 
     def check_connected(self) -> bool: ...
     def send_response(self, response: Response) -> None: ...
@@ -90,15 +93,17 @@
 
 
 class Upload:
-    """A body too large to hold, on its way from a caller to an endpoint. The
-    caller is read only while there is an endpoint that takes it."""
+    """A request body that is too large to buffer, streamed from a client to an endpoint.
+
+    The client is read only while an endpoint connection accepts the body.
+    """
 
     __slots__ = ("is_complete", "length", "partly_sent", "parts", "set_paused", "stream")
 
-    def __init__(self, length: int | None, parts: list[bytes], hold: Callable[[bool], None]) -> None:
-        self.length, self.parts, self.set_paused = length, parts, hold  # no length: chunked
-        self.is_complete = False  # the last byte has come
-        self.partly_sent = False  # some of it was passed on and is gone
+    def __init__(self, length: int | None, parts: list[bytes], set_paused: Callable[[bool], None]) -> None:
+        self.length, self.parts, self.set_paused = length, parts, set_paused  # without a length: chunked
+        self.is_complete = False  # the last byte was received
+        self.partly_sent = False  # sent bytes are not kept, so no other attempt can send them
         self.stream: EndpointStream | None = None
 
     def feed(self, data: bytes) -> None:
@@ -109,18 +114,20 @@
             self.stream.send_body_part(data)
 
     def finish(self) -> None:
+        """The last byte was received."""
         self.is_complete = True
         if self.stream is not None:
             self.stream.end_body()
 
-    def attach(self, sink: EndpointStream) -> None:
-        self.stream = sink
+    def attach(self, stream: EndpointStream) -> None:
+        """Forward what was buffered, and all further parts, to this endpoint connection."""
+        self.stream = stream
         self.set_paused(False)
-        parts, self.parts = self.parts, []
-        for part in parts:
+        buffered, self.parts = self.parts, []
+        for part in buffered:
             self.feed(part)
         if self.is_complete:
-            sink.end_body()
+            stream.end_body()
 
     def detach(self) -> None:
         self.stream = None
@@ -129,30 +136,32 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request of a caller, taken and not yet forgotten."""
+    """A client's request and its attempts, from acceptance until the last attempt has ended."""
 
     cls: int
-    expires_us: int  # on the driver's clock, µs
-    method_and_target: bytes  # method and target as they came
-    header_lines: bytes  # header lines to pass on
+    expires_us: int  # on the driver's clock
+    method_and_target: bytes  # as received
+    header_lines: bytes  # the headers to forward, serialized
     body: bytes
     client: ClientStream
-    timeout_us: int  # from the last byte on
+    timeout_us: int  # from the last byte of the request on
     upload: Upload | None = None
-    streaming_attempt: Attempt | None = None  # whose answer is being passed on
+    streaming_attempt: Attempt | None = None  # the attempt whose response is being streamed
     tenant: int = 0
     key: int = 0
-    affinity: bytes = b""  # requests with the same go to the same endpoint
+    affinity: bytes = b""  # requests with equal values go to the same endpoint
     work_us: int = 0
     is_retry: bool = False
     id: int = 0
-    received_us: int = 0  # on the driver's clock, µs
-    is_open: bool = True  # no final answer yet, and its client is there
+    received_us: int = 0  # on the driver's clock
+    is_open: bool = True  # no final response yet, and the client is connected
     attempts: list[Attempt] = field(default_factory=list)
     timer: TimerHandle | None = None
 
 
 class Attempt:
+    """One attempt of a call at an endpoint. Times are on the driver's clock, in µs."""
+
     __slots__ = (
         "call", "connection", "endpoint", "extra_headers", "head_us", "in_flight", "index", "outcome",
         "sent_us", "start_by_us", "timeout_at_us", "timer", "was_written",
@@ -171,6 +180,6 @@
         self.outcome: int | None = None
         self.extra_headers = b""  # header lines of this attempt alone
         self.was_written = False  # a byte of it may have reached the endpoint
-        self.head_us = 0  # until its answer began to be passed on
+        self.head_us = 0  # until its response began to be streamed
         self.connection: EndpointStream | None = None
         self.timer: TimerHandle | None = None
--- a/woadyard/net/request_head.py
+++ b/woadyard/net/request_head.py
@@ -1,4 +1,4 @@
-"""What a caller asks: a request's head, checked and made a `Call`; and how an answer is written."""
+"""Validates the head of a client's request and makes a `Call` of it; serializes responses."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class BadRequestError(PeerError):
-    """A request that is answered with a plain 4xx, or a 501."""
+    """A request that is rejected with a plain 4xx or 501 response."""
 
-    remedy = "send what the protocol has; the text says what is wrong"
+    remedy = "send a request that follows the protocol; the message says what is wrong"
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -34,17 +34,17 @@
     if raw is None:
         return None
     if not raw.isdigit() or len(raw) > 15:
-        raise BadRequestError(400, f"{name.decode()} is no number")
+        raise BadRequestError(400, f"{name.decode()} is not a number")
     return int(raw)
 
 
 def parse_cost_hint(raw: bytes) -> int:
-    """A guess may be missing or unreadable; that is no reason to refuse."""
+    """Return the hint, or 0: a missing or malformed hint is no reason to reject a request."""
     return int(raw) if raw.isdigit() and len(raw) <= 15 else 0
 
 
 def parse_key(query: bytes) -> int:
-    """The number of what a request is about; 0 = nothing named."""
+    """Return a number for the object that the query names as `obj`; 0 where it names none."""
     for part in query.split(b"&"):
         if part.startswith(b"obj="):
             value = part[4:]
@@ -56,41 +56,49 @@
 
 
 def request_id(headers: Headers) -> bytes:
-    """Empty where it is missing or doubled."""
+    """Return X-Request-Id; empty where it is missing or duplicated."""
     ids = [value for key, value in headers if key.lower() == b"x-request-id"]
     return ids[0] if len(ids) == 1 else b""
 
 
 def parse_call(
-    driver: Driver, method: bytes, target: bytes, raw: Headers, client: ClientStream, responses_due_us: int
+    driver: Driver,
+    method: bytes,
+    target: bytes,
+    raw_headers: Headers,
+    client: ClientStream,
+    responses_due_us: int,
 ) -> Call:
-    """The request of this head, its body still to be set, with its final answer due no
-    later than `answered_by` (driver's µs); BadRequestError where it is none."""
+    """Make a call, still without its body, of a request head.
+
+    The call expires no later than `responses_due_us`, on the driver's clock.
+    Raises BadRequestError on an invalid head.
+    """
     path, _, query = target.partition(b"?")
-    headers = {name.lower(): value for name, value in raw}
+    headers = {name.lower(): value for name, value in raw_headers}
     if method not in (b"GET", b"POST"):
-        raise BadRequestError(405, "GET and POST only")
-    name = path.split(b"/")[1] if path.startswith(b"/") else b""
-    cls = driver.names.classes.get(name.decode("latin-1"))
+        raise BadRequestError(405, "the method must be GET or POST")
+    class_name = path.split(b"/")[1] if path.startswith(b"/") else b""
+    cls = driver.names.classes.get(class_name.decode("latin-1"))
     if cls is None:
-        raise BadRequestError(404, "unknown class")
-    if headers.get(b"x-class", name) != name:
-        raise BadRequestError(400, "X-Class is not the path's")
+        raise BadRequestError(404, "unknown request class")
+    if headers.get(b"x-class", class_name) != class_name:
+        raise BadRequestError(400, "X-Class differs from the class in the path")
     if (method == b"GET") != (driver.settings.classes[cls].effect == SAFE):
-        raise BadRequestError(405, "the class has the other method")
+        raise BadRequestError(405, "the method does not fit the request class")
     if driver.names.keyed[cls] != (b"idempotency-key" in headers):
-        raise BadRequestError(400, "Idempotency-Key is missing, or not of the class")
-    wait_ms = parse_number(headers, b"x-deadline-ms")
-    wait_us = driver.settings.classes[cls].deadline_us if wait_ms is None else wait_ms * 1000
+        raise BadRequestError(400, "Idempotency-Key is missing, or not allowed for the request class")
+    timeout_ms = parse_number(headers, b"x-deadline-ms")
+    timeout_us = driver.settings.classes[cls].deadline_us if timeout_ms is None else timeout_ms * 1000
     tenant = headers.get(b"x-tenant", b"").decode("latin-1")
     return Call(
         cls=cls,
-        expires_us=min(driver.now() + wait_us, responses_due_us),
+        expires_us=min(driver.now() + timeout_us, responses_due_us),
         method_and_target=method + b" " + target,
-        header_lines=end_to_end_headers(raw),
+        header_lines=end_to_end_headers(raw_headers),
         body=b"",
         client=client,
-        timeout_us=wait_us,
+        timeout_us=timeout_us,
         tenant=driver.names.tenants.get(tenant, 0),
         key=parse_key(query),
         affinity=headers.get(driver.affinity_header, b"") if driver.affinity_header else b"",
@@ -99,20 +107,24 @@
     )
 
 
-def accept_request(server: Server, read: RequestParser, relay: ClientStream) -> Call | Response:
-    """What the request that was read asks for, or the answer that it gets at once."""
-    if read.is_health_check:
+def accept_request(server: Server, parser: RequestParser, client: ClientStream) -> Call | Response:
+    """Return the call for the request just parsed, or the response that it gets at once.
+
+    Raises BadRequestError on an invalid request or a request id that was used before.
+    """
+    if parser.is_health_check:
         return Response(200 if server.is_ready else 503)
-    call = parse_call(server.driver, read.method, read.target, read.headers, relay, server.responses_due_us)
-    server.claim_request_id(request_id(read.headers), call.expires_us)
-    call.body = b"".join(read.body_parts)
+    call = parse_call(
+        server.driver, parser.method, parser.target, parser.headers, client, server.responses_due_us
+    )
+    server.claim_request_id(request_id(parser.headers), call.expires_us)
+    call.body = b"".join(parser.body_parts)
     return call if not server.rejects_requests else server.reject_request()
 
 
-def serialize_response(answer: Response, keep: bool) -> bytes:
-    """A whole answer as it is written."""
-    close = b"" if keep else b"Connection: close\r\n"
+def serialize_response(response: Response, keep_alive: bool) -> bytes:
+    close = b"" if keep_alive else b"Connection: close\r\n"
     return b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n%b" % (
-        answer.status, REASONS.get(answer.status, b""), len(answer.body), answer.header_lines, close,
-        answer.body,
+        response.status, REASONS.get(response.status, b""), len(response.body), response.header_lines, close,
+        response.body,
     )  # fmt: skip
--- a/woadyard/net/request_parser.py
+++ b/woadyard/net/request_parser.py
@@ -1,4 +1,4 @@
-"""Requests as they are read from one connection: the head, and the body that is held."""
+"""Parses the requests of one client connection: heads, and bodies that are buffered."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 
 class RequestHandler(Protocol):
-    """Whose requests they are; `over` where nothing more is taken."""
+    """Receives the parser's events; once `is_closed` is set it receives none."""
 
     is_closed: bool
 
     def on_expect_continue(self) -> None:
-        """The caller waits for a word before it sends the body."""
+        """The client expects a 100 Continue before it sends the body."""
 
     def on_body_part(self, data: bytes) -> bool:
-        """A part of the body; False where it is to be held."""
+        """Return whether the handler consumed the part; otherwise the parser buffers it."""
 
     def on_request_complete(self) -> None:
-        """The last byte has come."""
+        """The last byte of a request was parsed."""
 
 
 class RequestParser:
-    """The request that is being read, or the last one."""
+    """Holds the request that is being parsed, or the last one."""
 
-    def __init__(self, reader: RequestHandler) -> None:
-        self.handler = reader
+    def __init__(self, handler: RequestHandler) -> None:
+        self.handler = handler
         self.http_parser = httptools.HttpRequestParser(self)
-        self.bytes_since_request = 0  # bytes since the last whole request
+        self.bytes_since_request = 0  # since the end of the last whole request
         self._reset()
 
     def _reset(self) -> None:
@@ -52,14 +52,19 @@
         self.in_body = self.is_reading = False
 
     def feed(self, data: bytes) -> None:
-        """httptools' errors, and as their cause BadRequestError, on what is no request."""
+        """Parse received bytes.
+
+        Raises BadRequestError or one of httptools' errors on a bad request. The latter have a
+        BadRequestError as their context if a callback of this class raised it.
+        """
         self.bytes_since_request += len(data)
         self.http_parser.feed_data(data)
         if not self.in_body and self.bytes_since_request > MAX_HEAD_BYTES:
-            raise BadRequestError(431, "the head is too large")
+            raise BadRequestError(431, "the request head is too large")
 
     def close(self) -> None:
-        del self.http_parser, self.handler  # they hold each other
+        """Break the reference cycles of parser and handler, so that no garbage collection is needed."""
+        del self.http_parser, self.handler
 
     @property
     def method(self) -> bytes:
@@ -67,17 +72,17 @@
 
     @property
     def wants_keep_alive(self) -> bool:
-        """Whether the caller means to use its connection again."""
+        """Whether the client means to reuse its connection."""
         return self.http_parser.should_keep_alive()
 
     @property
     def is_http_10(self) -> bool:
-        """Whether chunks are unknown to the caller."""
+        """Whether the client uses HTTP/1.0, which has no chunked coding."""
         return self.http_parser.get_http_version() == "1.0"
 
     @property
     def is_silent(self) -> bool:
-        """Whether the caller has not brought a byte yet."""
+        """Whether the client has not sent a byte yet."""
         return not (self.bytes_since_request or self.target)
 
     @property
@@ -86,18 +91,18 @@
 
     @property
     def has_large_body(self) -> bool:
-        """Whether the body that is coming is too large to be held whole."""
+        """Whether the body being received is too large to buffer."""
         return self.in_body and max(self.body_size, self.content_length or 0) > MAX_BUFFERED_BODY_BYTES
 
     def take_body_parts(self) -> list[bytes]:
+        """Return the buffered parts and keep none."""
         parts, self.body_parts = self.body_parts, []
         return parts
 
     def finish_request(self) -> None:
-        """The request is whole."""
         self.in_body, self.is_reading, self.bytes_since_request = False, False, 0
 
-    # --- Told by httptools ----------------------------------------------------------
+    # --- Callbacks of httptools -----------------------------------------------------
 
     def on_message_begin(self) -> None:
         self._reset()
@@ -110,23 +115,23 @@
     def _count_head_bytes(self, size: int) -> None:
         self.head_size += size
         if self.head_size > MAX_HEAD_BYTES:
-            raise BadRequestError(431, "the head is too large")
+            raise BadRequestError(431, "the request head is too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.in_body:
-            return  # a trailer: it is not passed on
-        self.headers.append((name, value.strip(b" \t")))  # white space around it is no part of it
+            return  # trailers are not forwarded
+        self.headers.append((name, value.strip(b" \t")))  # surrounding whitespace is no part of a value
         self._count_head_bytes(len(name) + len(value))
 
     def on_headers_complete(self) -> None:
         self.in_body = True
         try:
-            length, chunked = parse_framing(self.headers)
+            length, is_chunked = parse_framing(self.headers)
         except FramingError as error:
             raise BadRequestError(501, str(error)) from None
         if (length or 0) > MAX_BODY_BYTES:
-            raise BadRequestError(413, "the body is too large")
-        self.content_length = None if chunked else length or 0
+            raise BadRequestError(413, "the request body is too large")
+        self.content_length = None if is_chunked else length or 0
         if any(n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self.headers):
             self.handler.on_expect_continue()
 
@@ -135,7 +140,7 @@
             return
         self.body_size += len(data)
         if self.body_size > MAX_BODY_BYTES:
-            raise BadRequestError(413, "the body is too large")
+            raise BadRequestError(413, "the request body is too large")
         if not self.handler.on_body_part(data):
             self.body_parts.append(data)
 
--- a/woadyard/net/requests.py
+++ b/woadyard/net/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests, from their arrival to the final answer."""
+"""Clients' requests, from their acceptance to the final response."""
 
 from __future__ import annotations
 
@@ -13,34 +13,36 @@
 
 
 class Requests:
-    """Those taken and not yet forgotten, by number."""
+    """The calls that are open or have attempts in flight, by request number."""
 
     def __init__(self, turns: Turns, shared: Shared | None) -> None:
         self.turns, self.shared = turns, shared
         self.calls: dict[int, Call] = {}
         self.next_id = 0
-        self.stop_attempt: Callable[[Attempt, int], None] = lambda attempt, outcome: None  # with this outcome
+        # Ends an attempt with this outcome.
+        self.stop_attempt: Callable[[Attempt, int], None] = lambda attempt, outcome: None
 
     def accept(self, call: Call) -> None:
+        """Number the request, start its deadline and pass it to the decision module."""
         self.next_id += 1
         call.id, call.received_us = self.next_id, now_us()
         self.turns.metrics.taken()
         self.calls[call.id] = call
-        loading = call.upload is not None and not call.upload.is_complete
-        if not loading:
+        is_uploading = call.upload is not None and not call.upload.is_complete
+        if not is_uploading:
             call.timer = self.turns.at(call.expires_us, self._expire, call)
         home = self.shared.affinity.home(call.affinity) if self.shared and call.affinity else None
         affinity = xxh3_64_intdigest(call.affinity) if call.affinity else 0
         event = Arrival(
             call.id, call.cls, call.expires_us, call.tenant, call.key, call.work_us, call.is_retry, home,
-            loading, affinity,
+            is_uploading, affinity,
         )  # fmt: skip
         if (observer := self.turns.observer) is not None:
             observer.taken(call.received_us, event)
         self.turns.tell(self.turns.balancer.request, event, call=call)
 
     def body_complete(self, call: Call, expires_us: int) -> None:
-        """The last byte of a body that was passed on as it came: time runs from now."""
+        """The last byte of a streamed body was received: the request's deadline runs from now."""
         if not call.is_open:
             return
         call.expires_us = expires_us
@@ -51,12 +53,12 @@
         self.turns.tell(self.turns.balancer.whole, call.id, expires_us, call=call)
 
     def upload_stalled(self, call: Call) -> None:
-        """The endpoint takes no more of a body: it can't have run what it has not."""
-        for attempt in [*call.attempts]:  # not the next, which the module may begin upon this
+        """The endpoint accepts no more of a body: it cannot have run a request that it does not have."""
+        # A copy of the list: the module may start the next attempt upon the end of this one.
+        for attempt in [*call.attempts]:
             self.stop_attempt(attempt, NO_CONNECT)
 
     def client_disconnected(self, call: Call) -> None:
-        """The client closed its connection."""
         if not call.is_open:
             return
         if (observer := self.turns.observer) is not None and call.streaming_attempt is None:
@@ -66,66 +68,68 @@
         if call.streaming_attempt is not None:
             self.stop_attempt(call.streaming_attempt, CANCELLED)
         elif call.upload is not None and not call.upload.is_complete:
-            for attempt in call.attempts:  # what is still missing of the body never comes
+            for attempt in call.attempts:  # the rest of the body will never arrive
                 self.stop_attempt(attempt, CANCELLED)
 
     def respond_before_exit(self, call: Call) -> None:
-        """Answered now, whatever is out: the process ends."""
+        """Respond now, whatever is in flight: the process is about to end."""
         if call.is_open and call.streaming_attempt is None:
-            begun = any(attempt.was_written for attempt in call.attempts)
-            self.send_response(call, Response(504 if begun else 503))
+            may_have_run = any(attempt.was_written for attempt in call.attempts)
+            self.send_response(call, Response(504 if may_have_run else 503))
             self.turns.tell(self.turns.balancer.gone, call.id)
 
     def _expire(self, call: Call) -> None:
-        """The client's deadline: what is out timed out, and the module answers."""
+        """The client's deadline: attempts in flight time out, and the module decides on the response."""
         for attempt in call.attempts:
             self.stop_attempt(attempt, TIMEOUT)
-        if call.is_open:  # guards the caller should the module have held it to the end
+        if call.is_open:  # the module queued the request up to the end; the client still gets a response
             self.send_response(call, Response(504))
             self.turns.tell(self.turns.balancer.gone, call.id)
 
     def reject(self, request_id: int, after_us: int) -> None:
-        """The module's word; `after_us` above 0 is told to the caller."""
+        """Carry out the module's refusal; `after_us` above 0 is sent to the client as Retry-After."""
         if (call := self.open_call(request_id)) is None:
             return
         self.turns.metrics.refused()
         if (observer := self.turns.observer) is not None:
             observer.refused(now_us(), request_id)
-        after = b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us > 0 else b""
-        self.send_response(call, Response(503, after))
+        retry_after = b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us > 0 else b""
+        self.send_response(call, Response(503, retry_after))
 
     def fail(self, request_id: int) -> None:
+        """Carry out the module's decision to attempt no more."""
         if (call := self.open_call(request_id)) is not None:
             self.send_response(call, Response(504 if now_us() >= call.expires_us else 502))
 
-    def send_response(self, call: Call, answer: Response) -> None:
-        self.record_response(call, answer.status)
+    def send_response(self, call: Call, response: Response) -> None:
+        self.record_response(call, response.status)
         self.close(call)
-        call.client.send_response(answer)
+        call.client.send_response(response)
 
     def record_response(self, call: Call, status: int) -> None:
-        """Its final answer is known."""
+        """Report the status of the final response to the metrics and the observer."""
         now = now_us()
         self.turns.metrics.answered(status, now - call.received_us)
         if (observer := self.turns.observer) is not None:
             observer.answered(now, call.id, status)
 
     def close(self, call: Call) -> None:
+        """The call needs no more attempts; those in flight may still end."""
         call.is_open = False
         if call.timer is not None:
             call.timer.cancel()
             call.timer = None
         for attempt in call.attempts:
-            # One that may not be cancelled had the call's timer so far; a relayed one has none.
+            # An attempt that may not be cancelled relied on the call's timer; a streaming one has none.
             if attempt.in_flight and attempt.timer is None and attempt is not call.streaming_attempt:
                 attempt.timer = self.turns.at(attempt.timeout_at_us, self.stop_attempt, attempt, TIMEOUT)
         self.discard_if_finished(call)
 
     def discard_if_finished(self, call: Call) -> None:
-        """Forget it once nothing of it is left."""
+        """Forget a closed call without attempts in flight."""
         if not call.is_open and not any(attempt.in_flight for attempt in call.attempts):
             self.calls.pop(call.id, None)
-            # They name each other: without this only the collector would free them.
+            # Breaks the reference cycles, which only the garbage collector would free.
             call.attempts.clear()
 
     def open_call(self, request_id: int) -> Call | None:
--- a/woadyard/net/streamed_response.py
+++ b/woadyard/net/streamed_response.py
@@ -1,4 +1,4 @@
-"""An answer too large to hold, on its way to its caller as it comes."""
+"""A response that is too large to buffer, streamed to its client."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class StreamedResponse:
-    """It may stand still for `still_s`, whoever is to blame; then it is broken off."""
+    """Writes the body parts to the client.
+
+    Breaks off once there was no progress for `stall_s`, whichever side holds it up.
+    """
 
     __slots__ = (
         "chunked", "last_checked_bytes", "loop", "relayed", "source", "stall_s", "timer", "transport",
@@ -20,11 +23,12 @@
         transport: asyncio.Transport,
         source: EndpointStream,
         chunked: bool,
-        still_s: float,
+        stall_s: float,
     ) -> None:
         self.loop, self.transport, self.source = loop, transport, source
-        self.chunked, self.stall_s = chunked, still_s
-        self.relayed, self.last_checked_bytes = 0, -1  # bytes so far, and by the last look
+        self.chunked, self.stall_s = chunked, stall_s
+        # Bytes received from the endpoint, and of them sent to the client by the last check.
+        self.relayed, self.last_checked_bytes = 0, -1
         self.timer: asyncio.TimerHandle | None = None
 
     def send_part(self, data: bytes) -> None:
@@ -33,19 +37,19 @@
             self.transport.write(encode_chunk(data) if self.chunked else data)
 
     def check_progress(self) -> None:
-        """Look now and then whether it still gets on."""
-        gone = self.relayed - self.transport.get_write_buffer_size()
-        if gone != self.last_checked_bytes:
-            self.last_checked_bytes = gone
+        """Check periodically that bytes reach the client; otherwise end the side that holds them up."""
+        sent_bytes = self.relayed - self.transport.get_write_buffer_size()
+        if sent_bytes != self.last_checked_bytes:
+            self.last_checked_bytes = sent_bytes
             self.timer = self.loop.call_later(self.stall_s, self.check_progress)
         elif self.transport.get_write_buffer_size():
-            self.transport.abort()  # the caller takes nothing
+            self.transport.abort()  # the client reads nothing
         else:
             self.source.close()
 
-    def finish(self, whole: bool = False) -> None:
+    def finish(self, is_complete: bool = False) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if whole and self.chunked and not self.transport.is_closing():
+        if is_complete and self.chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
--- a/woadyard/net/timeouts.py
+++ b/woadyard/net/timeouts.py
@@ -1,4 +1,4 @@
-"""How long the callers' side waits for whom, in seconds."""
+"""Timeouts of client connections."""
 
 from __future__ import annotations
 
@@ -7,26 +7,29 @@
 
 @dataclass(slots=True)
 class Timeouts:
-    # How long a connection may take to bring a whole request, from its start or from
-    # the request's first byte. Anyone may connect; who brings none by 3 s is owed an end.
+    """Durations in seconds."""
+
+    # For a whole request, from the connection's start or the request's first byte. Anyone
+    # may connect; a connection without a request has to be closed within 3 s.
     request_s: float = 2.5
-    # Past that a body has to bring `LOAD_LEAST` in each such time.
+    # After that, `MIN_BODY_PROGRESS_BYTES` of the body have to arrive in each such interval.
     body_s: float = 1.5
-    # An answer that is passed on may stand still for this long, whoever is to blame.
+    # A streamed response may make no progress for this long, whichever side holds it up.
     stall_s: float = 10.0
-    # How long a connection is kept between requests: clients use theirs again well within this.
+    # For an idle connection between requests: clients reuse theirs well within this time.
     idle_s: float = 5.0
-    # Under pressure who owes a request for this long gives way: no sooner may it be closed.
+    # At the socket limit, connections that have owed a request for this long are closed
+    # first: no connection may be closed sooner.
     overload_request_s: float = 2.0
-    # How long a refused connection may take to read its 4xx before it is cut.
+    # For a rejected connection to read its 4xx before it is aborted.
     linger_s: float = 1.0
-    # Under pressure it is cut once it had this long.
+    # The same at the socket limit.
     overload_linger_s: float = 0.1
 
 
-# Callers send 64 kB a second.
+# Clients send 64 kB per second.
 MIN_BODY_PROGRESS_BYTES = 16 * 1024
-# After so many looks at a body an endpoint that takes nothing of it has failed.
+# An endpoint that takes nothing of a body during this many checks in a row has failed.
 MAX_STALLED_CHECKS = 2
-# So long may a body take that is passed on as it comes, before its time begins to run.
+# For a streamed body to arrive; the request's own deadline runs from its last byte.
 MAX_UPLOAD_US = 900_000_000
