--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers of any form and size on their way from endpoints to callers."""
+"""Responses of every framing and size, forwarded from endpoints to clients."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 from woadyard.net.message import MAX_BUFFERED_BODY_BYTES, READ_SIZE
 
 
-def head(raw: bytes) -> Callable[[Endpoint, Message, Writer], asyncio.Future[None]]:
-    """A handler that writes this, and ends the connection."""
+def write_and_close(raw: bytes) -> Callable[[Endpoint, Message, Writer], asyncio.Future[None]]:
+    """Return a handler that writes these bytes and closes the connection."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(raw)
@@ -39,167 +39,168 @@
     return handler  # type: ignore[return-value]
 
 
-HEAD = b"HTTP/1.1 200 OK\r\n"
-FORMS = {
-    "length": HEAD + b"Content-Length: %d\r\n\r\n%b" % (len(LARGE), LARGE),
-    "chunked": HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LARGE, 7000, b";a=b", b"X-T: 1\r\n"),
-    "close": HEAD + b"\r\n" + LARGE,
-    "interim": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n" + HEAD + b"\r\n" + LARGE,
-    "small close": HEAD + b"\r\nok",
-    "small interim": b"HTTP/1.1 102 X\r\n\r\n" + HEAD + b"Content-Length: 2\r\n\r\nok",
+OK_LINE = b"HTTP/1.1 200 OK\r\n"
+RESPONSES = {
+    "length": OK_LINE + b"Content-Length: %d\r\n\r\n%b" % (len(LARGE), LARGE),
+    "chunked": OK_LINE + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LARGE, 7000, b";a=b", b"X-T: 1\r\n"),
+    "close": OK_LINE + b"\r\n" + LARGE,
+    "interim": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n" + OK_LINE + b"\r\n" + LARGE,
+    "small close": OK_LINE + b"\r\nok",
+    "small interim": b"HTTP/1.1 102 X\r\n\r\n" + OK_LINE + b"Content-Length: 2\r\n\r\nok",
     "old": b"HTTP/1.0 200 OK\r\n\r\nok",
 }
 
 
-@pytest.mark.parametrize("form", FORMS)
+@pytest.mark.parametrize("form", RESPONSES)
 @on_loop
-async def test_an_answer_of_any_form_is_passed_on_unchanged(form: str) -> None:
-    async with sidecar(Endpoint(head(FORMS[form]))) as one:
-        reader, writer = await one.connect()
+async def test_a_response_of_any_framing_is_forwarded_unchanged(form: str) -> None:
+    async with sidecar(Endpoint(write_and_close(RESPONSES[form]))) as proxy:
+        reader, writer = await proxy.connect()
         for rid in ("r1", "r2"):
             writer.write(request(rid=rid))
-            back = await read_message(reader)
-            assert back.body == (b"ok" if FORMS[form].endswith(b"ok") else LARGE)
-            assert "link" not in back.headers and "x-t" not in back.headers
-        assert not one.driver.calls and not one.driver.balancer.requests
-        assert all(not one.moving for one in one.driver.balancer.endpoints.values())
+            response = await read_message(reader)
+            assert response.body == (b"ok" if RESPONSES[form].endswith(b"ok") else LARGE)
+            assert "link" not in response.headers and "x-t" not in response.headers
+        assert not proxy.driver.calls and not proxy.driver.balancer.requests
+        assert all(not each.moving for each in proxy.driver.balancer.endpoints.values())
 
 
 @on_loop
-async def test_a_large_answer_to_an_old_caller_ends_with_the_connection() -> None:
-    async with sidecar(Endpoint(head(FORMS["chunked"]))) as one:
-        reader, writer = await one.connect()
+async def test_a_large_response_to_an_http_1_0_client_ends_with_the_connection() -> None:
+    async with sidecar(Endpoint(write_and_close(RESPONSES["chunked"]))) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-        back = await reader.read()
-        assert back.endswith(LARGE) and b"chunked" not in back[:300]
+        response = await reader.read()
+        assert response.endswith(LARGE) and b"chunked" not in response[:300]
 
 
 @on_loop
-async def test_the_first_bytes_of_a_large_answer_do_not_wait_for_the_rest() -> None:
+async def test_a_large_response_is_streamed() -> None:
     release = asyncio.Event()
 
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        raw = FORMS["length"]
+        raw = RESPONSES["length"]
         writer.write(raw[:200])
         await release.wait()
         writer.write(raw[200:])
 
-    async with sidecar(Endpoint(reply)) as one:
-        reader, writer = await one.connect()
+    async with sidecar(Endpoint(reply)) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(request(deadline_ms=60_000))
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         assert await reader.readexactly(100) == LARGE[:100]
-        (call,) = one.driver.calls.values()
-        assert call.timer is None, "no time runs that would cut it off"
+        (call,) = proxy.driver.calls.values()
+        assert call.timer is None, "no deadline cuts it off"
         release.set()
         assert await reader.readexactly(len(LARGE) - 100) == LARGE[100:]
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
 @on_loop
-async def test_an_answer_that_breaks_off_is_seen_not_to_be_whole(form: str) -> None:
+async def test_the_client_notices_an_incomplete_response(form: str) -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(FORMS[form][:100_000])
+        writer.write(RESPONSES[form][:100_000])
         await until(
-            lambda: bool(one.driver.calls) and bool(next(iter(one.driver.calls.values())).streaming_attempt)
+            lambda: bool(proxy.driver.calls)
+            and bool(next(iter(proxy.driver.calls.values())).streaming_attempt)
         )
-        linger = struct.pack("ii", 1, 0)  # a reset: a clean end would end the last form
+        linger = struct.pack("ii", 1, 0)  # a reset: a clean close would complete a response without a length
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         writer.transport.abort()
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(request())
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await read_message(reader)
             await reader.read()
-        assert len(endpoint.got) == 1 and not one.driver.calls and not one.driver.balancer.requests
+        assert len(endpoint.got) == 1 and not proxy.driver.calls and not proxy.driver.balancer.requests
 
 
 @pytest.mark.parametrize(
     "raw",
     [
-        HEAD + b"Content-Length: 2\r\nContent-Length: 2\r\n\r\nok",
-        HEAD + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-        HEAD + b"Transfer-Encoding: gzip\r\n\r\nok",
-        HEAD + b"Content-Length: 3\r\n\r\nok",
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-        HEAD + b"X: " + b"x" * 70_000,
+        OK_LINE + b"Content-Length: 2\r\nContent-Length: 2\r\n\r\nok",
+        OK_LINE + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+        OK_LINE + b"Transfer-Encoding: gzip\r\n\r\nok",
+        OK_LINE + b"Content-Length: 3\r\n\r\nok",
+        OK_LINE + b"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
+        OK_LINE + b"X: " + b"x" * 70_000,
     ],
     ids=["doubled", "both", "gzip", "short", "no last chunk", "endless head"],
 )
 @on_loop
-async def test_an_answer_that_cannot_be_read_is_a_failed_attempt(raw: bytes) -> None:
-    bad, good = Endpoint(head(raw)), Endpoint()
-    async with sidecar(bad, good) as one:
-        one.told(bad.entry("s-0"))
-        events = outcomes(one)
-        back = await one.ask(request("pay"))
-        assert back.start.split()[1] == "502" and len(bad.got) == 1, "it may have run"
-        assert len(events) == 1
-        one.told(bad.entry("s-0"), good.entry("s-1"))
+async def test_a_malformed_response_is_a_failed_attempt(raw: bytes) -> None:
+    bad, good = Endpoint(write_and_close(raw)), Endpoint()
+    async with sidecar(bad, good) as proxy:
+        proxy.told(bad.entry("s-0"))
+        attempt_outcomes = outcomes(proxy)
+        response = await proxy.ask(request("pay"))
+        assert response.start.split()[1] == "502" and len(bad.got) == 1, "not repeated: it may have run"
+        assert len(attempt_outcomes) == 1
+        proxy.told(bad.entry("s-0"), good.entry("s-1"))
         for n in range(4):
-            assert (await one.ask(request("page", rid=f"a{n}"))).body == b"ok"
+            assert (await proxy.ask(request("page", rid=f"a{n}"))).body == b"ok"
 
 
 @on_loop
-async def test_a_caller_that_never_reads_holds_up_the_endpoint_and_not_the_memory() -> None:
+async def test_a_client_that_never_reads_slows_the_endpoint_down_and_fills_no_memory() -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (64 * len(LARGE)))
+        writer.write(OK_LINE + b"Content-Length: %d\r\n\r\n" % (64 * len(LARGE)))
         for _ in range(64):
             writer.write(LARGE)
             await writer.drain()
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
-        one.server.timeouts.stall_s = 0.2
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        proxy.server.timeouts.stall_s = 0.2
+        reader, writer = await proxy.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(request())
-        await until(lambda: bool(one.upstream.links))
-        (link,) = one.upstream.links
+        await until(lambda: bool(proxy.upstream.links))
+        (link,) = proxy.upstream.links
         await until(lambda: link.transport is not None and not link.transport.is_reading())
-        (caller,) = one.server.connections
-        assert caller.transport is not None
-        assert caller.transport.get_write_buffer_size() <= 4 * READ_SIZE
-        await until(lambda: not one.server.connections and not one.upstream.links)
-        assert not one.driver.calls, "in the end it is cut off"
+        (connection,) = proxy.server.connections
+        assert connection.transport is not None
+        assert connection.transport.get_write_buffer_size() <= 4 * READ_SIZE
+        await until(lambda: not proxy.server.connections and not proxy.upstream.links)
+        assert not proxy.driver.calls, "it is aborted in the end"
 
 
 @on_loop
-async def test_a_caller_that_asks_on_and_never_reads_is_served_no_more() -> None:
+async def test_a_client_that_sends_requests_and_never_reads_is_not_served_any_more() -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(answer(body=LARGE[:MAX_BUFFERED_BODY_BYTES]))
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
-        (caller,) = await callers(one)
+        (connection,) = await client_connections(proxy)
         for n in range(400):
             writer.write(request(rid=f"r{n}"))
-        await until(lambda: caller.reading_paused and not one.driver.calls)
-        assert caller.transport is not None
-        served, size = len(endpoint.got), caller.transport.get_write_buffer_size()
-        assert served < 400 and size <= MAX_BUFFERED_BODY_BYTES + 4 * READ_SIZE
+        await until(lambda: connection.reading_paused and not proxy.driver.calls)
+        assert connection.transport is not None
+        served_count, unwritten_bytes = len(endpoint.got), connection.transport.get_write_buffer_size()
+        assert served_count < 400 and unwritten_bytes <= MAX_BUFFERED_BODY_BYTES + 4 * READ_SIZE
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(400):
             assert len((await read_message(reader)).body) == MAX_BUFFERED_BODY_BYTES
-        one.server.timeouts.stall_s = 0.05
+        proxy.server.timeouts.stall_s = 0.05
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(400, 800):
             writer.write(request(rid=f"r{n}"))
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
-async def callers(one: Sidecar) -> list[ClientConnection]:
-    await until(lambda: bool(one.server.connections))
-    return list(one.server.connections)
+async def client_connections(proxy: Sidecar) -> list[ClientConnection]:
+    await until(lambda: bool(proxy.server.connections))
+    return list(proxy.server.connections)
 
 
 @on_loop
-async def test_an_endpoint_that_reads_slowly_holds_up_the_caller() -> None:
+async def test_an_endpoint_that_reads_slowly_slows_the_client_down() -> None:
     release = asyncio.Event()
 
     class Slow(Endpoint):
@@ -208,12 +209,12 @@
             await super()._serve(reader, writer)
 
     endpoint = Slow()
-    async with sidecar(endpoint) as one:
-        asked = asyncio.create_task(one.ask(request("pay", LARGE * 16)))
-        await until(lambda: any(link.upload for link in one.upstream.links))
-        (caller,), (link,) = one.server.connections, one.upstream.links
+    async with sidecar(endpoint) as proxy:
+        pending_response = asyncio.create_task(proxy.ask(request("pay", LARGE * 16)))
+        await until(lambda: any(link.upload for link in proxy.upstream.links))
+        (connection,), (link,) = proxy.server.connections, proxy.upstream.links
         assert link.transport is not None
-        await until(lambda: caller.reading_paused)
+        await until(lambda: connection.reading_paused)
         assert link.transport.get_write_buffer_size() <= 4 * READ_SIZE
         release.set()
-        assert (await asked).body == b"ok" and endpoint.got[0].body == LARGE * 16
+        assert (await pending_response).body == b"ok" and endpoint.got[0].body == LARGE * 16
--- a/tests/test_bad_bytes.py
+++ b/tests/test_bad_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes that are no request: an error or a close in time, and nothing that was taken is lost."""
+"""Malformed input: it gets an error or a close in time, and no accepted request is lost."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from woadyard.net.message import READ_SIZE
 
 
-def owes_nothing(one: Sidecar) -> bool:
-    endpoints = one.driver.balancer.endpoints.values()
-    return not one.driver.calls and all(known.inflight == 0 for known in endpoints)
+def has_no_pending_work(proxy: Sidecar) -> bool:
+    endpoints = proxy.driver.balancer.endpoints.values()
+    return not proxy.driver.calls and all(endpoint.inflight == 0 for endpoint in endpoints)
 
 
 GARBAGE = bytes(range(128, 256)) * 16384  # 2 MiB
 HTTP2 = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + bytes(9)
 TLS = bytes.fromhex("16030100c8010000c40303") + bytes(200)
-BAD = {
+MALFORMED = {
     "method": b"FETCH / HTTP/1.1\r\n\r\n",
     "binary": GARBAGE[:5000],
     "tls": TLS,
@@ -60,165 +60,171 @@
 }
 
 
-@pytest.mark.parametrize("raw", list(BAD.values()), ids=list(BAD))
+@pytest.mark.parametrize("raw", list(MALFORMED.values()), ids=list(MALFORMED))
 @on_loop
-async def test_what_is_no_request_gets_an_error_and_is_never_sent_on(
+async def test_malformed_input_gets_an_error_and_is_never_forwarded(
     raw: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        one.server.timeouts.linger_s = TIMEOUT_S
-        good, good_writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        proxy.server.timeouts.linger_s = TIMEOUT_S
+        other_reader, other_writer = await proxy.connect()
         with caplog.at_level(logging.DEBUG):
-            reader, writer = await one.connect()
+            reader, writer = await proxy.connect()
             writer.write(raw)
-            back = await read_message(reader)
-            assert back.start.split()[1][0] in "45" and await reader.read() == b""
-        assert [record.exc_info for record in caplog.records] == [None], "one line"
-        good_writer.write(request(rid="good"))
-        assert (await read_message(good)).body == b"ok"
+            response = await read_message(reader)
+            assert response.start.split()[1][0] in "45" and await reader.read() == b""
+        assert [record.exc_info for record in caplog.records] == [None], "one log line, without a traceback"
+        other_writer.write(request(rid="good"))
+        assert (await read_message(other_reader)).body == b"ok"
         assert [message.headers["x-request-id"] for message in endpoint.got] == ["good"]
-        assert owes_nothing(one)
-        for each in (writer, good_writer):
+        assert has_no_pending_work(proxy)
+        for each in (writer, other_writer):
             each.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @pytest.mark.parametrize("raw", [b"", b"\r\n\r\n", b"GE", b"GET /page HTTP/1.1\r\nHost: x\r\n"])
-@pytest.mark.parametrize("goes", [False, True])
+@pytest.mark.parametrize("half_closes", [False, True])
 @on_loop
-async def test_half_a_request_ends_in_time_and_leaves_nothing(raw: bytes, goes: bool) -> None:
-    async with sidecar(Endpoint()) as one:
-        one.server.timeouts.request_s = 0.02
-        reader, writer = await one.connect()
+async def test_an_incomplete_request_times_out_and_leaves_nothing_behind(
+    raw: bytes, half_closes: bool
+) -> None:
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.timeouts.request_s = 0.02
+        reader, writer = await proxy.connect()
         writer.write(raw)
-        if goes:
+        if half_closes:
             writer.write_eof()
-        back = await reader.read()
-        assert not back or back.startswith(b"HTTP/1.1 408 ")
-        await until(lambda: not one.server.connections)
-        assert owes_nothing(one) and not one.server.idle_since
+        response = await reader.read()
+        assert not response or response.startswith(b"HTTP/1.1 408 ")
+        await until(lambda: not proxy.server.connections)
+        assert has_no_pending_work(proxy) and not proxy.server.idle_since
 
 
-@pytest.mark.parametrize("ahead", [1, 3])
-@pytest.mark.parametrize("bad", [b"nonsense\r\n\r\n", GARBAGE, request(rid=""), b"POST /pay"], ids=len)
+@pytest.mark.parametrize("pipelined", [1, 3])
+@pytest.mark.parametrize("malformed", [b"nonsense\r\n\r\n", GARBAGE, request(rid=""), b"POST /pay"], ids=len)
 @on_loop
-async def test_whole_requests_before_a_bad_one_are_all_answered(ahead: int, bad: bytes) -> None:
-    """And not reset away by the bytes that still come behind them."""
+async def test_complete_requests_before_a_malformed_one_are_all_answered(
+    pipelined: int, malformed: bytes
+) -> None:
+    """Guards against a reset, caused by the bytes after them, that loses the responses."""
     release = asyncio.Event()
 
-    async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    async def respond_when_released(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await release.wait()
         writer.write(answer())
 
-    endpoint = Endpoint(slow)
-    async with sidecar(endpoint) as one:
-        one.server.timeouts.request_s, one.server.timeouts.linger_s = 0.05, TIMEOUT_S
-        reader, writer = await one.connect()
-        writer.write(b"".join(request("pay", rid=f"r{n}") for n in range(ahead)) + bad)
+    endpoint = Endpoint(respond_when_released)
+    async with sidecar(endpoint) as proxy:
+        proxy.server.timeouts.request_s, proxy.server.timeouts.linger_s = 0.05, TIMEOUT_S
+        reader, writer = await proxy.connect()
+        writer.write(b"".join(request("pay", rid=f"r{n}") for n in range(pipelined)) + malformed)
         await endpoint.arrived.acquire()
         release.set()
-        for _ in range(ahead):
-            back = await read_message(reader)
-            assert back.start.split()[1] == "200"
+        for _ in range(pipelined):
+            response = await read_message(reader)
+            assert response.start.split()[1] == "200"
         with contextlib.suppress(asyncio.IncompleteReadError):
-            back = await read_message(reader)
-            assert back.start.split()[1][0] == "4"
+            response = await read_message(reader)
+            assert response.start.split()[1][0] == "4"
         assert await reader.read() == b""
-        assert len(endpoint.got) == ahead and owes_nothing(one)
+        assert len(endpoint.got) == pipelined and has_no_pending_work(proxy)
         writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
-@pytest.mark.parametrize("behind", [b"zz\r\n" + GARBAGE, b"0\r\n\r\n" + GARBAGE], ids=["chunk", "whole"])
+@pytest.mark.parametrize("trailing", [b"zz\r\n" + GARBAGE, b"0\r\n\r\n" + GARBAGE], ids=["chunk", "whole"])
 @on_loop
-async def test_an_answer_given_early_is_not_reset_away_by_what_follows_the_body(behind: bytes) -> None:
-    """The caller looks for its answer once it has written all."""
-    async with sidecar(Endpoint(), known=False) as one:
-        one.server.timeouts.linger_s = TIMEOUT_S
-        one.driver.balancer.membership.banned[7] = None  # all endpoints are out: refused at once
-        reader, writer = await one.connect()
+async def test_an_early_response_is_not_lost_to_a_reset_by_what_follows_the_body(trailing: bytes) -> None:
+    """The client reads its response only after it has sent everything."""
+    async with sidecar(Endpoint(), known=False) as proxy:
+        proxy.server.timeouts.linger_s = TIMEOUT_S
+        proxy.driver.balancer.membership.banned[7] = None  # all endpoints are detached: rejected at once
+        reader, writer = await proxy.connect()
         head = request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-        writer.write(head + chunks(LARGE, 5000)[:-5] + behind)
+        writer.write(head + chunks(LARGE, 5000)[:-5] + trailing)
         await writer.drain()
         assert (await read_message(reader)).start.split()[1] == "503"
-        assert await reader.read() == b"" and owes_nothing(one)
+        assert await reader.read() == b"" and has_no_pending_work(proxy)
         writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @on_loop
-async def test_a_thousand_requests_in_one_write_are_answered_in_turn_and_keep_nobody_out() -> None:
+async def test_a_thousand_pipelined_requests_are_answered_in_order_and_delay_no_other_client() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(b"".join(request(rid=f"a{n}") for n in range(1000)))
         await endpoint.arrived.acquire()
-        assert (await one.ask(request(rid="other"))).body == b"ok"
-        assert len(endpoint.got) < 1001, "not behind all of them"
-        (caller,) = (each for each in one.server.connections if each.pipelined)
-        assert len(caller.pipelined) <= READ_SIZE // len(request(rid="a0")), "what one read holds"
+        assert (await proxy.ask(request(rid="other"))).body == b"ok"
+        assert len(endpoint.got) < 1001, "it does not wait for all of them"
+        (connection,) = (each for each in proxy.server.connections if each.pipelined)
+        assert len(connection.pipelined) <= READ_SIZE // len(request(rid="a0")), "as many as one read holds"
         for _ in range(1000):
             assert (await read_message(reader)).body == b"ok"
         order = [message.headers["x-request-id"] for message in endpoint.got]
         assert [rid for rid in order if rid != "other"] == [f"a{n}" for n in range(1000)]
-        assert owes_nothing(one)
+        assert has_no_pending_work(proxy)
         writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @on_loop
-async def test_a_large_body_waits_for_its_turn_behind_an_answer_that_is_read_slowly() -> None:
-    """One request unanswered before it, and no place to write an answer to."""
+async def test_a_large_body_waits_for_its_turn_behind_a_response_that_is_read_slowly() -> None:
+    """There is a pending request before it, and the write buffer is full."""
 
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         rid = message.headers["x-request-id"].encode()
         writer.write(answer(body=rid * 30_000 if rid == b"r1" else rid))
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
-        slow = socket.socket()
-        slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        slow.setblocking(False)
+    async with sidecar(endpoint) as proxy:
+        client_socket = socket.socket()
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client_socket.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(slow, ("127.0.0.1", one.port))
-        await until(lambda: bool(one.server.connections))
-        (caller,) = one.server.connections
-        assert caller.transport is not None
-        ours = caller.transport.get_extra_info("socket")
-        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        await loop.sock_connect(client_socket, ("127.0.0.1", proxy.port))
+        await until(lambda: bool(proxy.server.connections))
+        (connection,) = proxy.server.connections
+        assert connection.transport is not None
+        server_socket = connection.transport.get_extra_info("socket")
+        server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         large = request("pay", LARGE, rid="r3")
-        await loop.sock_sendall(slow, request(rid="r1") + request(rid="r2") + large[:2000])
-        await until(lambda: caller.writing_paused and caller.call is None)
+        await loop.sock_sendall(client_socket, request(rid="r1") + request(rid="r2") + large[:2000])
+        await until(lambda: connection.writing_paused and connection.call is None)
         for _ in range(5):
-            await asyncio.sleep(0)  # its turn, were it the next
-        assert caller.upload is None and len(caller.pipelined) == 1
-        reader, writer = await asyncio.open_connection(sock=slow)
+            await asyncio.sleep(0)  # it would be served now if it were the next
+        assert connection.upload is None and len(connection.pipelined) == 1
+        reader, writer = await asyncio.open_connection(sock=client_socket)
         writer.write(large[2000:])
         assert [len((await read_message(reader)).body) for _ in range(3)] == [60_000, 2, 2]
         assert [message.headers["x-request-id"] for message in endpoint.got] == ["r1", "r2", "r3"]
-        assert owes_nothing(one)
+        assert has_no_pending_work(proxy)
         writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @pytest.mark.parametrize("head", [request("pay").replace(b"Length: 0", b"Length: 60000000"), b"\xff\xfe"])
 @on_loop
-async def test_sixty_megabytes_after_a_refusal_are_dropped_and_the_answer_still_comes(head: bytes) -> None:
+async def test_sixty_megabytes_after_a_rejection_are_discarded_and_the_response_still_arrives(
+    head: bytes,
+) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        one.server.timeouts.linger_s = TIMEOUT_S
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        proxy.server.timeouts.linger_s = TIMEOUT_S
+        reader, writer = await proxy.connect()
         writer.write(head)
-        await until(lambda: any(caller.is_closed for caller in one.server.connections))
-        (caller,) = one.server.connections
+        await until(lambda: any(connection.is_closed for connection in proxy.server.connections))
+        (connection,) = proxy.server.connections
         for _ in range(30):
             writer.write(GARBAGE)
             await writer.drain()
-        assert not caller.parser.body_parts and caller.parser.bytes_since_request <= READ_SIZE, (
-            "none of it is read"
+        assert not connection.parser.body_parts and connection.parser.bytes_since_request <= READ_SIZE, (
+            "none of it is parsed"
         )
         assert (await read_message(reader)).start.split()[1] in ("400", "413")
-        assert await reader.read() == b"" and not endpoint.got and owes_nothing(one)
+        assert await reader.read() == b"" and not endpoint.got and has_no_pending_work(proxy)
         writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies and answers of every size and form, over loopback."""
+"""Request bodies of every size and framing, over loopback."""
 
 from __future__ import annotations
 
@@ -24,47 +24,49 @@
 from woadyard.net.message import MAX_BUFFERED_BODY_BYTES
 
 
-def chunked(cls: str, body: bytes, rid: str = "r1") -> bytes:
+def chunked_request(cls: str, body: bytes, rid: str = "r1") -> bytes:
     head = request(cls, rid=rid).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
     return head + chunks(body, 5000, b';note="a;b"', b"X-Class: other\r\n")
 
 
-# --- From callers ---------------------------------------------------------------------
+# --- From clients ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("size", [10, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, len(LARGE)])
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @on_loop
-async def test_a_body_reaches_the_endpoint_whole_and_the_connection_is_kept(size: int, form: str) -> None:
+async def test_a_body_reaches_the_endpoint_unchanged_and_the_connection_is_kept(size: int, form: str) -> None:
     endpoint, body = Endpoint(), LARGE[:size]
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         for rid in ("r1", "r2"):
-            raw = request("pay", body, rid=rid) if form == "length" else chunked("pay", body, rid)
+            raw = request("pay", body, rid=rid) if form == "length" else chunked_request("pay", body, rid)
             writer.write(raw)
-            back = await read_message(reader)
-            assert back.body == b"ok" and "connection" not in back.headers
-        assert [one.body for one in endpoint.got] == [body, body] and endpoint.opened == 1
-        assert all(0 < int(one.headers["x-deadline-ms"]) <= 4000 for one in endpoint.got)
-        assert not one.driver.calls and not one.driver.balancer.requests
-        assert all(not one.moving for one in one.driver.balancer.endpoints.values())
+            response = await read_message(reader)
+            assert response.body == b"ok" and "connection" not in response.headers
+        assert [message.body for message in endpoint.got] == [body, body] and endpoint.opened == 1
+        assert all(0 < int(message.headers["x-deadline-ms"]) <= 4000 for message in endpoint.got)
+        assert not proxy.driver.calls and not proxy.driver.balancer.requests
+        assert all(not each.moving for each in proxy.driver.balancer.endpoints.values())
 
 
 @on_loop
-async def test_large_bodies_sent_ahead_are_served_in_turn() -> None:
+async def test_pipelined_large_bodies_are_served_in_order() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
-        writer.write(request("pay", LARGE, rid="r1") + chunked("pay", LARGE, "r2") + request(rid="r3"))
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
+        writer.write(
+            request("pay", LARGE, rid="r1") + chunked_request("pay", LARGE, "r2") + request(rid="r3")
+        )
         for _ in range(3):
             assert (await read_message(reader)).body == b"ok"
-        assert [len(one.body) for one in endpoint.got] == [len(LARGE), len(LARGE), 0]
+        assert [len(message.body) for message in endpoint.got] == [len(LARGE), len(LARGE), 0]
 
 
 @on_loop
-async def test_a_caller_that_expects_a_word_gets_it_before_its_body() -> None:
-    async with sidecar(Endpoint()) as one:
-        reader, writer = await one.connect()
+async def test_a_client_that_expects_100_continue_gets_it_before_its_body() -> None:
+    async with sidecar(Endpoint()) as proxy:
+        reader, writer = await proxy.connect()
         raw = request("pay", b"sum", headers="Expect: 100-continue\r\n")
         writer.write(raw[:-3])
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -73,11 +75,11 @@
 
 
 @on_loop
-async def test_white_space_around_values_and_trailers_change_nothing() -> None:
+async def test_whitespace_around_header_values_and_trailers_change_nothing() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        raw = chunked("pay", b"sum").replace(b"X-Class: pay", b"X-Class: \t pay \t")
-        assert (await one.ask(raw.replace(b"-Ms: 4000", b"-Ms: 4000 "))).body == b"ok"
+    async with sidecar(endpoint) as proxy:
+        raw = chunked_request("pay", b"sum").replace(b"X-Class: pay", b"X-Class: \t pay \t")
+        assert (await proxy.ask(raw.replace(b"-Ms: 4000", b"-Ms: 4000 "))).body == b"ok"
         assert endpoint.got[0].headers["x-class"] == "pay"
 
 
@@ -86,95 +88,95 @@
     [
         request("pay", b"sum").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\n"),
         request("pay", b"sum").replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        chunked("pay", b"sum").replace(b"chunked\r\n", b"gzip, chunked\r\n"),
-        chunked("pay", b"sum").replace(b"chunked\r\n", b"chunked\r\nTransfer-Encoding: chunked\r\n"),
+        chunked_request("pay", b"sum").replace(b"chunked\r\n", b"gzip, chunked\r\n"),
+        chunked_request("pay", b"sum").replace(b"chunked\r\n", b"chunked\r\nTransfer-Encoding: chunked\r\n"),
         request("pay", b"sum").replace(b"Length: 3", b"Length: +3"),
-        chunked("pay", b"sum").replace(b"3;note", b"3x;note"),
+        chunked_request("pay", b"sum").replace(b"3;note", b"3x;note"),
     ],
     ids=["doubled", "both", "gzip", "coded twice", "signed", "bad chunk"],
 )
 @on_loop
-async def test_framing_that_is_doubled_or_unknown_is_refused(raw: bytes) -> None:
+async def test_ambiguous_or_unknown_framing_is_rejected(raw: bytes) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        back = await one.ask(raw)
-        assert back.start.split()[1] in ("400", "501") and not endpoint.got
+    async with sidecar(endpoint) as proxy:
+        response = await proxy.ask(raw)
+        assert response.start.split()[1] in ("400", "501") and not endpoint.got
 
 
 @on_loop
-async def test_a_large_body_is_sent_once_and_a_connection_that_never_came_up_costs_it_nothing() -> None:
+async def test_a_large_body_is_sent_once_and_a_failed_connect_does_not_count() -> None:
     async def fail(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(answer(500))
 
-    bad, closed, good = Endpoint(fail), Endpoint(), Endpoint()
-    async with sidecar(bad, good) as one:
-        (await closed.start()).close()  # nobody listens there
-        one.told(closed.entry("s-0"), good.entry("s-1"))
-        for n in range(8):  # to either first
-            assert (await one.ask(request("put", LARGE, rid=f"a{n}"))).body == b"ok"
-        one.told(bad.entry("s-0"))
-        back = await one.ask(request("put", LARGE, rid="b"))
-        assert back.start.split()[1] == "502" and len(bad.got) == 1
+    failing, not_listening, working = Endpoint(fail), Endpoint(), Endpoint()
+    async with sidecar(failing, working) as proxy:
+        (await not_listening.start()).close()  # nothing listens there any more
+        proxy.told(not_listening.entry("s-0"), working.entry("s-1"))
+        for n in range(8):  # so that each endpoint is tried first at times
+            assert (await proxy.ask(request("put", LARGE, rid=f"a{n}"))).body == b"ok"
+        proxy.told(failing.entry("s-0"))
+        response = await proxy.ask(request("put", LARGE, rid="b"))
+        assert response.start.split()[1] == "502" and len(failing.got) == 1
 
 
 @on_loop
-async def test_an_answer_while_the_body_still_comes_does_not_cut_it_off() -> None:
-    async with sidecar(Endpoint(), known=False) as one:
-        one.driver.balancer.membership.banned[7] = None  # all endpoints are out: refused at once
-        reader, writer = await one.connect()
+async def test_an_early_response_does_not_cut_the_body_off() -> None:
+    async with sidecar(Endpoint(), known=False) as proxy:
+        proxy.driver.balancer.membership.banned[7] = None  # all endpoints are detached: rejected at once
+        reader, writer = await proxy.connect()
         raw = request("pay", LARGE)
         writer.write(raw[:70_000])
-        back = await read_message(reader)
-        assert back.start.split()[1] == "503" and back.headers["connection"] == "close"
+        response = await read_message(reader)
+        assert response.start.split()[1] == "503" and response.headers["connection"] == "close"
         writer.write(raw[70_000:])
         await writer.drain()
-        assert await reader.read() == b"", "closed once all of it was read"
+        assert await reader.read() == b"", "closed once the whole body was read"
 
 
 @on_loop
-async def test_a_body_that_gets_on_is_waited_for_and_one_that_does_not_is_refused() -> None:
+async def test_a_body_that_makes_progress_is_waited_for_and_one_that_does_not_is_rejected() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        one.server.timeouts.request_s = 0.05
-        one.server.timeouts.body_s = 0.05
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        proxy.server.timeouts.request_s = 0.05
+        proxy.server.timeouts.body_s = 0.05
+        reader, writer = await proxy.connect()
         raw = request("pay", LARGE)
         writer.write(raw[:70_000])
-        await until(lambda: bool(one.upstream.links))
-        (caller,) = one.server.connections
-        for at in range(70_000, 70_000 + 5 * 40_000, 40_000):
-            before = caller.request_timer
-            await until(lambda before=before: caller.request_timer is not before)  # type: ignore[misc]
-            writer.write(raw[at : at + 40_000])
-            await until(lambda at=at: caller.parser.body_size >= at - 20_000)  # type: ignore[misc]
+        await until(lambda: bool(proxy.upstream.links))
+        (connection,) = proxy.server.connections
+        for offset in range(70_000, 70_000 + 5 * 40_000, 40_000):
+            previous_timer = connection.request_timer
+            await until(lambda previous_timer=previous_timer: connection.request_timer is not previous_timer)  # type: ignore[misc]
+            writer.write(raw[offset : offset + 40_000])
+            await until(lambda offset=offset: connection.parser.body_size >= offset - 20_000)  # type: ignore[misc]
         assert (await read_message(reader)).start.split()[1] == "408"
-        assert not one.driver.calls and not endpoint.got
+        assert not proxy.driver.calls and not endpoint.got
 
 
 @on_loop
-async def test_an_endpoint_that_takes_no_more_of_a_body_is_given_up() -> None:
-    class Frozen(Endpoint):
+async def test_an_attempt_whose_endpoint_stops_reading_the_body_fails() -> None:
+    class NeverReads(Endpoint):
         async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
             reader._transport.pause_reading()  # type: ignore[attr-defined]
 
-    async with sidecar(Frozen()) as one:
-        one.server.timeouts.request_s = 0.05
-        one.server.timeouts.body_s = 0.05
-        events = outcomes(one)
-        reader, writer = await one.connect()
+    async with sidecar(NeverReads()) as proxy:
+        proxy.server.timeouts.request_s = 0.05
+        proxy.server.timeouts.body_s = 0.05
+        attempt_outcomes = outcomes(proxy)
+        reader, writer = await proxy.connect()
         writer.write(request("pay", LARGE * 40))
-        back = await read_message(reader)
-        assert back.start.split()[1] == "503", "no endpoint has it whole: trying again is harmless"
-        assert [event.outcome for event in events] == [NO_CONNECT]
-        assert not one.driver.calls and not one.driver.balancer.requests
+        response = await read_message(reader)
+        assert response.start.split()[1] == "503", "no endpoint has the whole request: a retry is harmless"
+        assert [event.outcome for event in attempt_outcomes] == [NO_CONNECT]
+        assert not proxy.driver.calls and not proxy.driver.balancer.requests
 
 
 @on_loop
-async def test_a_body_that_stops_after_its_answer_gets_no_second_one() -> None:
-    async with sidecar(Endpoint(), known=False) as one:
-        one.server.timeouts.request_s = 0.05
-        one.driver.balancer.membership.banned[7] = None  # all endpoints are out: refused at once
-        reader, writer = await one.connect()
+async def test_a_body_that_stalls_after_its_response_gets_no_second_one() -> None:
+    async with sidecar(Endpoint(), known=False) as proxy:
+        proxy.server.timeouts.request_s = 0.05
+        proxy.driver.balancer.membership.banned[7] = None  # all endpoints are detached: rejected at once
+        reader, writer = await proxy.connect()
         writer.write(request("pay", LARGE)[:70_000])
         assert (await read_message(reader)).start.split()[1] == "503"
         assert await reader.read() == b""
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: kept, closed, and given up for one another."""
+"""Client connections: kept alive, closed when idle, and closed to make room for others."""
 
 from __future__ import annotations
 
@@ -26,155 +26,155 @@
 from woadyard.net.state import endpoint_number
 
 
-async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """No answer, until the connection closes."""
+async def never_respond(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    """Never respond, until the connection closes."""
 
 
 @on_loop
-async def test_at_the_limit_the_longest_at_rest_gives_way_never_a_new_one() -> None:
-    """A new connection that was closed to make room lost the request on its way."""
-    async with sidecar(Endpoint()) as one:
-        one.server.max_sockets = 12  # 9 of them for callers
-        new = [await one.connect() for _ in range(9)]
-        for n, (reader, writer) in enumerate(new):
+async def test_at_the_limit_the_longest_idle_connection_is_closed_never_a_new_one() -> None:
+    """Guards against closing new connections to make room: their first request was lost on its way."""
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.max_sockets = 12  # 9 of them for clients
+        connections = [await proxy.connect() for _ in range(9)]
+        for n, (reader, writer) in enumerate(connections):
             writer.write(request(rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        _, extra = await one.connect()
-        assert await new[0][0].read() == b"", "the one that rested longest"
-        new[1][1].write(request(rid="again"))
-        assert (await read_message(new[1][0])).body == b"ok"
-        for _, writer in [*new, (None, extra)]:
+        _, extra_writer = await proxy.connect()
+        assert await connections[0][0].read() == b"", "the connection that was idle longest"
+        connections[1][1].write(request(rid="again"))
+        assert (await read_message(connections[1][0])).body == b"ok"
+        for _, writer in [*connections, (None, extra_writer)]:
             writer.close()
 
 
 @on_loop
-async def test_in_a_crowd_the_first_to_come_gives_way_once_it_owes_long(
+async def test_at_the_limit_the_oldest_connection_is_closed_once_its_request_is_overdue(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with sidecar(Endpoint()) as one:
-        one.server.max_sockets = 8  # 6 of them for callers
-        crowd = [await one.connect() for _ in range(6)]
-        late, late_writer = await one.connect()
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.max_sockets = 8  # 6 of them for clients
+        silent = [await proxy.connect() for _ in range(6)]
+        late_reader, late_writer = await proxy.connect()
         with contextlib.suppress(ConnectionError):
-            assert await late.read() == b"", "none may be closed yet"
-        assert len(one.server.connections) == 6
-        crowd[0][1].write(request(rid="taken"))
-        assert (await read_message(crowd[0][0])).body == b"ok"
-        one.server.idle_since.clear()  # as if it were being served
-        one.server.timeouts.overload_request_s = 0.0
-        good, good_writer = await one.connect()
-        good_writer.write(request(rid="good"))
-        assert (await read_message(good)).body == b"ok"
-        assert await crowd[1][0].read() == b"", "the first that brought nothing"
-        one.server.set_socket_share(0.5)
-        assert one.upstream.most == one.server.max_sockets == 256
-        for _, writer in [*crowd, (None, good_writer), (None, late_writer)]:
+            assert await late_reader.read() == b"", "none of the others may be closed yet"
+        assert len(proxy.server.connections) == 6
+        silent[0][1].write(request(rid="taken"))
+        assert (await read_message(silent[0][0])).body == b"ok"
+        proxy.server.idle_since.clear()  # as if a request were being served
+        proxy.server.timeouts.overload_request_s = 0.0
+        served_reader, served_writer = await proxy.connect()
+        served_writer.write(request(rid="good"))
+        assert (await read_message(served_reader)).body == b"ok"
+        assert await silent[1][0].read() == b"", "the oldest connection without a request"
+        proxy.server.set_socket_share(0.5)
+        assert proxy.upstream.most == proxy.server.max_sockets == 256
+        for _, writer in [*silent, (None, served_writer), (None, late_writer)]:
             writer.close()
 
 
 @on_loop
-async def test_a_caller_at_rest_gives_way_to_an_attempt_before_an_idle_connection_does() -> None:
-    first, second = Endpoint(), Endpoint(hold)
-    async with sidecar(first, second) as one:
-        one.told(first.entry("s-0"))
-        resting, writer = await one.connect()
+async def test_an_idle_client_connection_is_closed_before_an_idle_endpoint_connection() -> None:
+    first, second = Endpoint(), Endpoint(never_respond)
+    async with sidecar(first, second) as proxy:
+        proxy.told(first.entry("s-0"))
+        idle_reader, writer = await proxy.connect()
         writer.write(request(rid="r0"))
-        await read_message(resting)
-        await one.ask(request())
-        one.told(first.entry("s-0"), second.entry("s-1"))
-        vars(one.driver.balancer.choice)["pick"] = lambda now, req, due: one.driver.balancer.endpoints[
+        await read_message(idle_reader)
+        await proxy.ask(request())
+        proxy.told(first.entry("s-0"), second.entry("s-1"))
+        vars(proxy.driver.balancer.choice)["pick"] = lambda now, req, due: proxy.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
-        one.upstream.others, one.upstream.give_way = (
-            lambda: len(one.server.connections),
-            one.server.release_connection,
+        proxy.upstream.others, proxy.upstream.give_way = (
+            lambda: len(proxy.server.connections),
+            proxy.server.release_connection,
         )
-        while len(one.server.connections) > 1:  # the one that asked has closed
+        while len(proxy.server.connections) > 1:  # the connection of `ask` has closed
             await asyncio.sleep(0)
-        _, asker = await one.connect()
-        while len(one.server.connections) < 2:
+        _, requesting_writer = await proxy.connect()
+        while len(proxy.server.connections) < 2:
             await asyncio.sleep(0)
-        one.upstream.most = len(one.upstream.links) + len(one.server.connections)
-        asker.write(request(rid="r2"))
+        proxy.upstream.most = len(proxy.upstream.links) + len(proxy.server.connections)
+        requesting_writer.write(request(rid="r2"))
         await second.arrived.acquire()
-        assert await resting.read() == b""
-        assert one.upstream.pools[endpoint_number("s-0")].idle, "an endpoint's connection is dearer"
+        assert await idle_reader.read() == b""
+        assert proxy.upstream.pools[endpoint_number("s-0")].idle, "endpoint connections cost more"
 
 
 @on_loop
-async def test_a_caller_that_rests_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with sidecar(Endpoint()) as one:
-        one.server.timeouts.idle_s = 0.01
+async def test_a_client_connection_that_is_idle_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.timeouts.idle_s = 0.01
         for n in range(2):
-            reader, writer = await one.connect()
+            reader, writer = await proxy.connect()
             writer.write(request(rid=f"r{n}"))
-            assert (await reader.read()).startswith(b"HTTP/1.1 200 "), "whole, then the end"
-        assert not one.server.idle_since
+            assert (await reader.read()).startswith(b"HTTP/1.1 200 "), "a complete response, then the end"
+        assert not proxy.server.idle_since
 
 
 @on_loop
-async def test_a_health_check_is_answered_and_its_connection_ended() -> None:
-    async with sidecar(Endpoint()) as one:
-        reader, writer = await one.connect()
+async def test_a_health_check_is_answered_and_its_connection_closed() -> None:
+    async with sidecar(Endpoint()) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(b"GET /health/ready HTTP/1.1\r\n\r\n")
-        back = await reader.read()
-        assert back.startswith(b"HTTP/1.1 200 ") and b"\r\nConnection: close\r\n" in back
+        response = await reader.read()
+        assert response.startswith(b"HTTP/1.1 200 ") and b"\r\nConnection: close\r\n" in response
 
 
 @pytest.mark.parametrize(
     ("sent", "expected"), [(b"\r\n", b""), (request("pay", b"sum")[:-1], b"HTTP/1.1 408 ")]
 )
 @on_loop
-async def test_who_brings_no_whole_request_is_ended_and_who_rests_is_not(
+async def test_connections_without_a_complete_request_are_closed_and_idle_ones_are_not(
     sent: bytes, expected: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(request())
         await read_message(reader)
-        one.server.timeouts.request_s = 0.01
-        silent, _ = await one.connect()
+        proxy.server.timeouts.request_s = 0.01
+        silent, _ = await proxy.connect()
         assert await silent.read() == b""
-        (caller,) = one.server.connections
-        assert not caller.is_closed, "the connection at rest stays"
-        writer.write(sent)  # a request begun after a rest is owed as well
-        back = await reader.read()
-        assert back.startswith(expected) and bool(back) == bool(expected)
+        (connection,) = proxy.server.connections
+        assert not connection.is_closed, "the idle connection stays"
+        writer.write(sent)  # a request that begins after an idle time has to be completed as well
+        response = await reader.read()
+        assert response.startswith(expected) and bool(response) == bool(expected)
 
 
 @on_loop
 async def test_ready_does_not_wait_for_discovery() -> None:
-    async with sidecar(known=False) as one:
-        back = await one.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert back.start.startswith("HTTP/1.1 200")
+    async with sidecar(known=False) as proxy:
+        response = await proxy.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert response.start.startswith("HTTP/1.1 200")
 
 
-def test_keys_are_numbers_of_what_a_request_is_about() -> None:
+def test_keys_are_numbers_of_the_object_that_a_request_names() -> None:
     assert parse_key(b"a=1&obj=7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
     assert parse_key(b"a=1") == 0
     assert parse_key(b"obj=no-number") == parse_key(b"obj=no-number") != 0
 
 
 @on_loop
-async def test_what_is_over_is_freed_without_the_collector() -> None:
-    """Circles of garbage wait for the collector, and a day's memory grew by them."""
+async def test_finished_calls_and_connections_are_freed_without_the_garbage_collector() -> None:
+    """Guards against reference cycles, which wait for the garbage collector: memory grew within a day."""
 
-    async def refuse(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    async def respond_500(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(answer(500, headers="Connection: close\r\n"))
 
     gc.collect()
     gc.disable()
     try:
-        async with sidecar(Endpoint(), Endpoint(refuse)) as one:
+        async with sidecar(Endpoint(), Endpoint(respond_500)) as proxy:
             for n in range(20):
-                await one.ask(request(rid=f"r{n}"))
-            while one.server.connections:
+                await proxy.ask(request(rid=f"r{n}"))
+            while proxy.server.connections:
                 await asyncio.sleep(0)
             for _ in range(5):
-                await asyncio.sleep(0)  # what the loop still holds
+                await asyncio.sleep(0)  # references held by the event loop
             kinds = (Call, Attempt, ClientConnection, Link)
-            left = Counter(type(one).__name__ for one in gc.get_objects() if isinstance(one, kinds))
-            assert set(left) <= {"Link"} and left["Link"] <= len(one.upstream.links)
+            alive = Counter(type(each).__name__ for each in gc.get_objects() if isinstance(each, kinds))
+            assert set(alive) <= {"Link"} and alive["Link"] <= len(proxy.upstream.links)
     finally:
         gc.enable()
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,4 +1,4 @@
-"""Crowds that hold on to their connections: what is kept for others, and who gives way."""
+"""Clients that hold many connections: what is reserved, and which connections are closed."""
 
 from __future__ import annotations
 
@@ -33,198 +33,208 @@
 from woadyard.net.console import VISITORS_MOST
 
 
-async def joined(one: Sidecar) -> tuple[asyncio.StreamReader, Writer, ClientConnection]:
-    """A connection of its own, and the sidecar's side of it."""
-    before = set(one.server.connections)
-    reader, writer = await one.connect()
-    await until(lambda: bool(one.server.connections.keys() - before))
-    (caller,) = one.server.connections.keys() - before
-    return reader, writer, caller
+async def open_connection(proxy: Sidecar) -> tuple[asyncio.StreamReader, Writer, ClientConnection]:
+    """Open a client connection; return the client's streams and the sidecar's side of it."""
+    before = set(proxy.server.connections)
+    reader, writer = await proxy.connect()
+    await until(lambda: bool(proxy.server.connections.keys() - before))
+    (connection,) = proxy.server.connections.keys() - before
+    return reader, writer, connection
 
 
 @on_loop
-async def test_who_reads_slowly_keeps_its_connection_and_its_place_in_the_count() -> None:
-    """Its descriptor is open until the last byte is read: whoever takes its place is one too many."""
+async def test_a_client_that_reads_slowly_keeps_its_connection_and_counts_against_the_limit() -> None:
+    """Its descriptor stays open until the last byte is read, so it still counts against the limit."""
     body = b"x" * 60_000
 
     async def large(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(answer(body=body))
 
-    async with sidecar(Endpoint(large)) as one:
-        one.server.max_sockets = 2  # one of them for callers
-        slow = socket.socket()
-        slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        slow.setblocking(False)
+    async with sidecar(Endpoint(large)) as proxy:
+        proxy.server.max_sockets = 2  # one of them for clients
+        client_socket = socket.socket()
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client_socket.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(slow, ("127.0.0.1", one.port))
-        await until(lambda: bool(one.server.connections))
-        (caller,) = one.server.connections
-        assert caller.transport is not None
-        ours = caller.transport.get_extra_info("socket")
-        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        await loop.sock_sendall(slow, request())
-        await until(lambda: caller in one.server.idle_since)
-        assert caller.transport.get_write_buffer_size()
-        late, _ = await one.connect()
+        await loop.sock_connect(client_socket, ("127.0.0.1", proxy.port))
+        await until(lambda: bool(proxy.server.connections))
+        (connection,) = proxy.server.connections
+        assert connection.transport is not None
+        server_socket = connection.transport.get_extra_info("socket")
+        server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        await loop.sock_sendall(client_socket, request())
+        await until(lambda: connection in proxy.server.idle_since)
+        assert connection.transport.get_write_buffer_size()
+        late_reader, _ = await proxy.connect()
         with contextlib.suppress(ConnectionError):
-            assert await late.read() == b"", "nobody can give way"
-        assert list(one.server.connections) == [caller] and not caller.is_closed
-        reader, writer = await asyncio.open_connection(sock=slow)
+            assert await late_reader.read() == b"", "no other connection can be closed"
+        assert list(proxy.server.connections) == [connection] and not connection.is_closed
+        reader, writer = await asyncio.open_connection(sock=client_socket)
         assert (await read_message(reader)).body == body
         writer.write(request(rid="r2"))
         assert (await read_message(reader)).body == body
         writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @on_loop
-async def test_refused_peers_that_hold_on_give_way_to_who_asks() -> None:
-    async with sidecar(Endpoint()) as one:
-        one.server.max_sockets = 8  # 6 of them for callers
-        one.server.timeouts.linger_s, one.server.timeouts.overload_linger_s = TIMEOUT_S, 0.0
-        crowd = [await one.connect() for _ in range(6)]
-        for reader, writer in crowd:
+async def test_rejected_connections_that_stay_open_are_closed_for_new_ones() -> None:
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.max_sockets = 8  # 6 of them for clients
+        proxy.server.timeouts.linger_s, proxy.server.timeouts.overload_linger_s = TIMEOUT_S, 0.0
+        rejected = [await proxy.connect() for _ in range(6)]
+        for reader, writer in rejected:
             writer.write(b"nonsense\r\n\r\n")
             assert (await read_message(reader)).start.split()[1] == "400"
-        assert len(one.server.connections) == 6
-        resting, resting_writer, _ = await joined(one)
-        resting_writer.write(request(rid="rests"))
-        assert (await read_message(resting)).body == b"ok"
-        assert (await one.ask(request(rid="good"))).body == b"ok"
-        resting_writer.write(request(rid="again"))
-        assert (await read_message(resting)).body == b"ok", "who was refused goes before who rests"
-        for _, writer in [*crowd, (None, resting_writer)]:
+        assert len(proxy.server.connections) == 6
+        idle_reader, idle_writer, _ = await open_connection(proxy)
+        idle_writer.write(request(rid="rests"))
+        assert (await read_message(idle_reader)).body == b"ok"
+        assert (await proxy.ask(request(rid="good"))).body == b"ok"
+        idle_writer.write(request(rid="again"))
+        assert (await read_message(idle_reader)).body == b"ok", (
+            "rejected connections are closed before idle ones"
+        )
+        for _, writer in [*rejected, (None, idle_writer)]:
             writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @on_loop
-async def test_a_refused_peer_has_a_moment_to_read_its_answer_whoever_comes() -> None:
-    async with sidecar(Endpoint()) as one:
-        one.server.max_sockets = 2  # one of them for callers
-        one.server.timeouts.linger_s = one.server.timeouts.overload_linger_s = TIMEOUT_S
-        reader, writer, caller = await joined(one)
+async def test_a_rejected_client_has_time_to_read_its_response_at_the_limit() -> None:
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.max_sockets = 2  # one of them for clients
+        proxy.server.timeouts.linger_s = proxy.server.timeouts.overload_linger_s = TIMEOUT_S
+        reader, writer, connection = await open_connection(proxy)
         writer.write(b"nonsense\r\n\r\n")
         assert (await read_message(reader)).start.split()[1] == "400"
-        late, _ = await one.connect()
+        late_reader, _ = await proxy.connect()
         with contextlib.suppress(ConnectionError):
-            assert await late.read() == b""
-        assert list(one.server.connections) == [caller]
+            assert await late_reader.read() == b""
+        assert list(proxy.server.connections) == [connection]
         writer.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /pa"], ids=["silent", "half a request"])
 @on_loop
-async def test_who_owes_a_request_for_long_gives_way_before_who_came_to_rest_just_now(sent: bytes) -> None:
-    """The next request of the one at rest may be on its way: that one would be lost."""
-    async with sidecar(Endpoint()) as one:
-        one.server.max_sockets = 4  # 3 of them for callers
-        one.server.timeouts.overload_request_s = one.server.timeouts.request_s = TIMEOUT_S
-        resting, resting_writer, _ = await joined(one)
-        resting_writer.write(request(rid="rests"))
-        assert (await read_message(resting)).body == b"ok"
-        reader, writer, owing = await joined(one)
-        _, fresh_writer, fresh = await joined(one)
+async def test_a_connection_with_an_overdue_request_is_closed_before_one_that_just_became_idle(
+    sent: bytes,
+) -> None:
+    """The next request of a connection that just became idle may be on its way, and would be lost."""
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.max_sockets = 4  # 3 of them for clients
+        proxy.server.timeouts.overload_request_s = proxy.server.timeouts.request_s = TIMEOUT_S
+        idle_reader, idle_writer, _ = await open_connection(proxy)
+        idle_writer.write(request(rid="rests"))
+        assert (await read_message(idle_reader)).body == b"ok"
+        reader, writer, overdue = await open_connection(proxy)
+        _, newest_writer, newest = await open_connection(proxy)
         writer.write(sent)
-        await until(lambda: owing.parser.is_reading == bool(sent))
-        owing.awaiting_since_s -= 2 * TIMEOUT_S
-        assert (await one.ask(request(rid="good"))).body == b"ok"
-        assert await reader.read() == b"" and fresh in one.server.connections
-        resting_writer.write(request(rid="again"))
-        assert (await read_message(resting)).body == b"ok"
-        for each in (writer, fresh_writer, resting_writer):
+        await until(lambda: overdue.parser.is_reading == bool(sent))
+        overdue.awaiting_since_s -= 2 * TIMEOUT_S
+        assert (await proxy.ask(request(rid="good"))).body == b"ok"
+        assert await reader.read() == b"" and newest in proxy.server.connections
+        idle_writer.write(request(rid="again"))
+        assert (await read_message(idle_reader)).body == b"ok"
+        for each in (writer, newest_writer, idle_writer):
             each.close()
-        await until(lambda: not one.server.connections)
+        await until(lambda: not proxy.server.connections)
 
 
 @on_loop
-async def test_ids_that_are_remembered_are_bounded_in_number(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_number_of_remembered_request_ids_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("woadyard.net.server.MAX_REMEMBERED_IDS", 3)
-    async with sidecar(Endpoint()) as one:
+    async with sidecar(Endpoint()) as proxy:
         for n in range(5):
-            assert (await one.ask(request(rid=f"r{n}"))).body == b"ok"
-        for bad in (request("none", rid="bad"), request(rid="x" * 129), request(deadline_ms=-1, rid="bad")):
-            assert (await one.ask(bad)).start.split()[1][0] == "4"
-        assert list(one.server.request_ids) == [b"r2", b"r3", b"r4"], "the latest, and none of a bad request"
-        assert (await one.ask(request(rid="r4"))).start.split()[1] == "409"
+            assert (await proxy.ask(request(rid=f"r{n}"))).body == b"ok"
+        for invalid in (
+            request("none", rid="bad"),
+            request(rid="x" * 129),
+            request(deadline_ms=-1, rid="bad"),
+        ):
+            assert (await proxy.ask(invalid)).start.split()[1][0] == "4"
+        assert list(proxy.server.request_ids) == [b"r2", b"r3", b"r4"], (
+            "the newest, and none of an invalid request"
+        )
+        assert (await proxy.ask(request(rid="r4"))).start.split()[1] == "409"
 
 
 @on_loop
-async def test_two_processes_together_stay_within_the_limit() -> None:
-    """Each has its own listener, watch and door besides the sockets of both sides."""
-    async with sidecar(Endpoint()) as one:
-        one.server.total_sockets, one.server.reserved_fds = 256 - 64, 64
-        one.server.set_socket_share(0.5)
-        assert 2 * (one.server.max_sockets + 64) == 256 and one.upstream.most == one.server.max_sockets
-        one.server.set_socket_share(1.0)
-        assert one.server.max_sockets + 64 == 256
+async def test_two_processes_together_stay_within_the_descriptor_limit() -> None:
+    """Each has its own listener, discovery watch and admin listener besides the sockets of both sides."""
+    async with sidecar(Endpoint()) as proxy:
+        proxy.server.total_sockets, proxy.server.reserved_fds = 256 - 64, 64
+        proxy.server.set_socket_share(0.5)
+        assert 2 * (proxy.server.max_sockets + 64) == 256 and proxy.upstream.most == proxy.server.max_sockets
+        proxy.server.set_socket_share(1.0)
+        assert proxy.server.max_sockets + 64 == 256
 
 
 @pytest.mark.parametrize("adopted", [False, True], ids=["own", "adopted"])
 @on_loop
-async def test_small_writes_leave_at_once_on_every_side(adopted: bool) -> None:
+async def test_small_writes_are_sent_at_once_on_every_side(adopted: bool) -> None:
     registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as one:
+    async with sidecar(Endpoint(), registry=registry) as proxy:
         if adopted:
-            assert one.server.listener is not None
-            one.server.listener.close()
+            assert proxy.server.listener is not None
+            proxy.server.listener.close()
             listening = socket.create_server(("127.0.0.1", 0))
-            one.port = listening.getsockname()[1]
-            await one.server.adopt_socket(listening.detach())
-        reader, writer, caller = await joined(one)
+            proxy.port = listening.getsockname()[1]
+            await proxy.server.adopt_socket(listening.detach())
+        reader, writer, connection = await open_connection(proxy)
         writer.write(request())
         assert (await read_message(reader)).body == b"ok"
         await registry.asked.get()
-        (link,) = one.upstream.links
-        assert one.driver.discovery is not None and one.driver.discovery.stream is not None
-        for each in (caller.transport, link.transport, one.driver.discovery.stream.transport):
+        (link,) = proxy.upstream.links
+        assert proxy.driver.discovery is not None and proxy.driver.discovery.stream is not None
+        for each in (connection.transport, link.transport, proxy.driver.discovery.stream.transport):
             assert each is not None
-            ours = each.get_extra_info("socket")
-            assert ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            sidecar_socket = each.get_extra_info("socket")
+            assert sidecar_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         writer.close()
 
 
 # --- The whole process -----------------------------------------------------------------
 
 
-def descriptors(process: Process) -> int:
+def open_descriptors(process: Process) -> int:
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
 @contextlib.contextmanager
-def crowd(size: int, *ports: int) -> Iterator[list[socket.socket]]:
-    """Connections that bring nothing, begun without waiting for one another."""
+def open_silent_connections(size: int, *ports: int) -> Iterator[list[socket.socket]]:
+    """Open connections that send nothing, without waiting for one another."""
     with contextlib.ExitStack() as stack:
         sockets = []
         for n in range(size):
-            one = stack.enter_context(socket.socket())
-            one.setblocking(False)
-            one.connect_ex(("127.0.0.1", ports[n % len(ports)]))
-            sockets.append(one)
+            silent = stack.enter_context(socket.socket())
+            silent.setblocking(False)
+            silent.connect_ex(("127.0.0.1", ports[n % len(ports)]))
+            sockets.append(silent)
         yield sockets
 
 
-async def limited(environ: dict[str, str], most: int) -> Process:
-    """The program where the system gives it so many descriptors."""
+async def start_with_descriptor_limit(environ: dict[str, str], descriptor_limit: int) -> Process:
+    """Start the sidecar with this limit on file descriptors."""
     script = 'ulimit -n "$0"; exec "$@"'
     return await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", script, str(most), sys.executable, "-m", "woadyard",
+        "/bin/sh", "-c", script, str(descriptor_limit), sys.executable, "-m", "woadyard",
         env=environ, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
 
 
-def ended(one: socket.socket) -> bool:
+def is_closed_by_peer(client_socket: socket.socket) -> bool:
     try:
-        return not one.recv(1, socket.MSG_PEEK)
+        return not client_socket.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return False
     except ConnectionError:
         return True
 
 
-async def asked(port: int) -> Message:
-    """The answer to a request that is sent again on a new connection until it gets one."""
+async def request_until_answered(port: int) -> Message:
+    """Send a request, again on a new connection each time, until it gets a response."""
     for n in itertools.count():
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -235,35 +245,42 @@
     raise AssertionError
 
 
-@pytest.mark.parametrize(("told", "given"), [(128, 1024), (1024, 128)], ids=["told", "given"])
+@pytest.mark.parametrize(("configured", "ulimit"), [(128, 1024), (1024, 128)], ids=["configured", "ulimit"])
 @on_loop
-async def test_a_crowd_leaves_discovery_endpoints_and_the_door_their_descriptors(
-    tmp_path: Path, told: int, given: int
+async def test_many_client_connections_leave_descriptors_for_discovery_endpoints_and_the_admin_listener(
+    tmp_path: Path, configured: int, ulimit: int
 ) -> None:
-    """It comes while discovery is down, to the callers' side and to the door; the settings
-    or the system say how many descriptors there are."""
+    """Many silent connections to the clients' and the admin listener while discovery is down;
+    the settings or the system limit the number of descriptors."""
     endpoint, registry = Endpoint(), Registry()
-    registry.port, port, door = free_port(), free_port(), free_port()
+    registry.port, port, admin_port = free_port(), free_port(), free_port()
     environ = {
-        **config(tmp_path, registry, endpoint, limits={"sockets": told}),
-        "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}",
+        **config(tmp_path, registry, endpoint, limits={"sockets": configured}),
+        "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{admin_port}",
     }  # fmt: skip
     async with await endpoint.start():
-        config(tmp_path, registry, endpoint, limits={"sockets": told})  # it has its port now
-        process = await limited(environ, given)
+        config(
+            tmp_path, registry, endpoint, limits={"sockets": configured}
+        )  # now the endpoint's port is known
+        process = await start_with_descriptor_limit(environ, ulimit)
         try:
-            await ready(door)
-            with crowd(300, port) as callers, crowd(2 * VISITORS_MOST, door):
+            await ready(admin_port)
+            with (
+                open_silent_connections(300, port) as client_sockets,
+                open_silent_connections(2 * VISITORS_MOST, admin_port),
+            ):
                 peak = 0
-                while sum(ended(one) for one in callers) < 200:
-                    peak = max(peak, descriptors(process))
+                while sum(is_closed_by_peer(each) for each in client_sockets) < 200:
+                    peak = max(peak, open_descriptors(process))
                     await asyncio.sleep(0)
-                assert (await call(door, "GET", "/_ready")).start.startswith("HTTP/1.1 200")
+                assert (await call(admin_port, "GET", "/_ready")).start.startswith("HTTP/1.1 200")
                 async with await registry.start(registry.port):
                     _, watch = await registry.asked.get()
                     push(watch, 2, True, endpoint.entry())
-                    assert (await asked(port)).body == b"ok"
-                    assert peak <= min(told, given) - 16, "a quarter of what both sides share"
+                    assert (await request_until_answered(port)).body == b"ok"
+                    assert peak <= min(configured, ulimit) - 16, (
+                        "a quarter of the shared descriptors stays free"
+                    )
                     process.terminate()
                     await process.wait()
         finally:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,6 @@
-"""How attempts end: late connections, time-outs in the same turn, closes under a request.
+"""How attempts end: late connects, timeouts in the same loop iteration, closes during a request.
 
-Each crossing is forced by events; that nothing is owed at the end, `sidecar` sees to itself.
+Each race is forced by events; `sidecar` checks that nothing is left pending at the end.
 """
 
 from __future__ import annotations
@@ -35,177 +35,178 @@
 from woadyard.net.message import Attempt
 from woadyard.wire import read_settings
 
-TURNED_AWAY = b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\n"
+REJECTED = b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\n"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CHUNK = b"4000\r\n%b\r\n" % (b"x" * 0x4000)
 
 
 @on_loop
-async def test_an_attempt_called_off_before_its_connect_began_leaves_no_connection_on_the_books(
+async def test_an_attempt_cancelled_before_its_connect_began_leaves_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client that sends a request and goes: both are read before the connect's first step.
-    Where the system tells of the end sooner no connect is begun at all."""
+    """A client sends a request and disconnects: both are read before the connect's first step.
+    Where the system reports the disconnect sooner, no connect begins at all."""
     monkeypatch.setattr(DisconnectDetector, "is_disconnected", lambda detector: False)
-    async with sidecar(Endpoint()) as one:
-        told = outcomes(one)
-        with socket.create_connection(("127.0.0.1", one.port)) as client:
-            client.sendall(request("pay"))
-        await until(lambda: bool(told))
-        assert [event.outcome for event in told] == [CANCELLED]
-        await until(lambda: not one.server.connections)
+    async with sidecar(Endpoint()) as proxy:
+        attempt_outcomes = outcomes(proxy)
+        with socket.create_connection(("127.0.0.1", proxy.port)) as client_socket:
+            client_socket.sendall(request("pay"))
+        await until(lambda: bool(attempt_outcomes))
+        assert [each.outcome for each in attempt_outcomes] == [CANCELLED]
+        await until(lambda: not proxy.server.connections)
         for _ in range(8):
             await asyncio.sleep(0)
-        assert not one.upstream.links
+        assert not proxy.upstream.links
 
 
-@pytest.mark.parametrize("lateness", ["timed out", "called off"])
+@pytest.mark.parametrize("reason", ["timed out", "cancelled"])
 @on_loop
-async def test_a_connection_that_comes_up_in_the_turn_in_which_it_is_given_up_carries_nothing(
-    lateness: str,
+async def test_a_connect_that_ends_in_the_iteration_in_which_it_is_cancelled_carries_nothing(
+    reason: str,
 ) -> None:
-    """The loop is busy between the connect's coming up and the moment in which it tells of that."""
+    """The event loop is busy between the end of the connect and the report of it."""
     endpoint = Endpoint()
-    near, far = socket.socketpair()
-    async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-        loop, told = asyncio.get_running_loop(), outcomes(one)
-        one.upstream.connect_s = 0.05
-        real = one.upstream.send
+    near_end, far_end = socket.socketpair()
+    async with sidecar(endpoint, ceilings={"max-attempts": 1}) as proxy:
+        loop, attempt_outcomes = asyncio.get_running_loop(), outcomes(proxy)
+        proxy.upstream.connect_s = 0.05
+        original_send = proxy.upstream.send
 
         def send(attempt: Attempt) -> None:
-            real(attempt)
-            far.send(b"x")  # read in the same turn as the connect's end
+            original_send(attempt)
+            far_end.send(b"x")  # read in the same loop iteration as the end of the connect
 
         def busy() -> None:
-            near.recv(1)
+            near_end.recv(1)
             time.sleep(0.1)
-            if lateness == "called off":
-                (call,) = one.driver.calls.values()
-                one.driver.requests.client_disconnected(call)
+            if reason == "cancelled":
+                (call,) = proxy.driver.calls.values()
+                proxy.driver.requests.client_disconnected(call)
 
-        loop.add_reader(near, busy)
-        one.driver.attempts.upstream.send = send  # type: ignore[method-assign]
-        reader, writer = await one.connect()
+        loop.add_reader(near_end, busy)
+        proxy.driver.attempts.upstream.send = send  # type: ignore[method-assign]
+        reader, writer = await proxy.connect()
         writer.write(request("pay"))
-        if lateness == "called off":
-            await until(lambda: bool(told))
-            assert [event.outcome for event in told] == [CANCELLED] and not endpoint.got
+        if reason == "cancelled":
+            await until(lambda: bool(attempt_outcomes))
+            assert [each.outcome for each in attempt_outcomes] == [CANCELLED] and not endpoint.got
         else:
-            back = await read_message(reader)
-            (event,) = told
-            assert (back.start.split()[1], event.outcome) in (("503", NO_CONNECT), ("200", OK))
+            response = await read_message(reader)
+            (event,) = attempt_outcomes
+            assert (response.start.split()[1], event.outcome) in (("503", NO_CONNECT), ("200", OK))
             assert len(endpoint.got) == (event.outcome == OK)
         writer.close()
-        loop.remove_reader(near)
-        near.close()
-        far.close()
-        await until(lambda: all(link in link.pool.idle for link in one.upstream.links))
+        loop.remove_reader(near_end)
+        near_end.close()
+        far_end.close()
+        await until(lambda: all(link in link.pool.idle for link in proxy.upstream.links))
 
 
 @contextlib.contextmanager
-def connects_held(
-    began: asyncio.Event, up: asyncio.Event, held: Callable[[], bool] = lambda: True
+def delayed_connects(
+    connecting: asyncio.Event, may_connect: asyncio.Event, is_delayed: Callable[[], bool] = lambda: True
 ) -> Iterator[None]:
-    """Connections to endpoints come up no sooner than the event."""
+    """Delay the connects to endpoints until the event."""
     connect = Link._connect
 
-    async def late(link: Link, host: str, port: int) -> None:
-        if held():
-            began.set()
-            await up.wait()
+    async def delayed(link: Link, host: str, port: int) -> None:
+        if is_delayed():
+            connecting.set()
+            await may_connect.wait()
         await connect(link, host, port)
 
     with pytest.MonkeyPatch.context() as patched:
-        patched.setattr(Link, "_connect", late)
+        patched.setattr(Link, "_connect", delayed)
         yield
 
 
-@pytest.mark.parametrize("past", [False, True], ids=["within", "past"])
+@pytest.mark.parametrize("past_window", [False, True], ids=["within", "past"])
 @on_loop
-async def test_a_repeat_whose_connection_comes_up_past_the_window_is_not_written(past: bool) -> None:
-    """Its endpoints would not know it any more, and run it again."""
-    got: list[Message] = []
+async def test_a_repeat_whose_connect_ends_past_the_window_is_not_written(past_window: bool) -> None:
+    """Past the window, endpoints have forgotten the idempotency key and would run the request again."""
+    received: list[Message] = []
 
     async def error_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        got.append(message)
-        writer.write(answer(500 if len(got) == 1 else 200))
+        received.append(message)
+        writer.write(answer(500 if len(received) == 1 else 200))
 
-    window, up, connecting = 500_000 if past else 4_000_000, asyncio.Event(), asyncio.Event()
-    async with sidecar(Endpoint(error_first), Endpoint(error_first)) as one:
+    window, may_connect, connecting = 500_000 if past_window else 4_000_000, asyncio.Event(), asyncio.Event()
+    async with sidecar(Endpoint(error_first), Endpoint(error_first)) as proxy:
         raw = {**SETTINGS, "classes": [{**c, "repeat-window-us": window} for c in SETTINGS["classes"]]}
-        one.driver.retune(raw, read_settings(json.dumps(raw).encode()))
-        told = outcomes(one)
-        with connects_held(connecting, up, lambda: bool(got)):
-            asked = asyncio.create_task(one.ask(request("put")))
+        proxy.driver.retune(raw, read_settings(json.dumps(raw).encode()))
+        attempt_outcomes = outcomes(proxy)
+        with delayed_connects(connecting, may_connect, lambda: bool(received)):
+            pending_response = asyncio.create_task(proxy.ask(request("put")))
             await connecting.wait()
-            (call,) = one.driver.calls.values()
-            await until(lambda: not past or one.driver.now() >= call.attempts[0].sent_us + window)
-            up.set()
-            back = await asked
-        assert len(got) == (1 if past else 2)
-        assert [event.outcome for event in told] == [ERROR, MOOT if past else OK]
-        assert back.start.split()[1] == ("502" if past else "200")
+            (call,) = proxy.driver.calls.values()
+            await until(lambda: not past_window or proxy.driver.now() >= call.attempts[0].sent_us + window)
+            may_connect.set()
+            response = await pending_response
+        assert len(received) == (1 if past_window else 2)
+        assert [each.outcome for each in attempt_outcomes] == [ERROR, MOOT if past_window else OK]
+        assert response.start.split()[1] == ("502" if past_window else "200")
 
 
-@pytest.mark.parametrize("crossing", ["end", "reset", "second answer", "half a line"])
+@pytest.mark.parametrize("event", ["end", "reset", "second answer", "half a line"])
 @on_loop
-async def test_what_lies_on_an_idle_connection_as_it_is_taken_is_no_answer(crossing: str) -> None:
-    """The request and the crossing are both there before the loop looks again, the request first."""
+async def test_bytes_pending_on_an_idle_connection_are_not_taken_for_a_response(event: str) -> None:
+    """Both the request and the unexpected bytes or close arrive before the next loop iteration, the
+    request first."""
     loop = asyncio.get_running_loop()
-    with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as client:
+    with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as client_socket:
         listener.setblocking(False)
-        async with sidecar(Endpoint(), ceilings={"max-attempts": 1}) as one:
-            one.told(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{listener.getsockname()[1]}"))
-            told = outcomes(one)
-            client.connect(("127.0.0.1", one.port))
-            client.setblocking(False)
-            client.send(request("pay", rid="r1"))
-            first, _ = await loop.sock_accept(listener)
-            await loop.sock_recv(first, 4096)
-            await loop.sock_sendall(first, answer(body=b"first"))
-            assert (await loop.sock_recv(client, 4096)).endswith(b"first")
-            await until(lambda: any(pool.idle for pool in one.upstream.pools.values()))
-            client.send(request("pay", rid="r2"))
-            if crossing == "second answer":
-                first.send(answer(body=b"stray"))
-            elif crossing == "half a line":
-                first.send(b"HTTP/1.1 20")
+        async with sidecar(Endpoint(), ceilings={"max-attempts": 1}) as proxy:
+            proxy.told(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{listener.getsockname()[1]}"))
+            attempt_outcomes = outcomes(proxy)
+            client_socket.connect(("127.0.0.1", proxy.port))
+            client_socket.setblocking(False)
+            client_socket.send(request("pay", rid="r1"))
+            first_connection, _ = await loop.sock_accept(listener)
+            await loop.sock_recv(first_connection, 4096)
+            await loop.sock_sendall(first_connection, answer(body=b"first"))
+            assert (await loop.sock_recv(client_socket, 4096)).endswith(b"first")
+            await until(lambda: any(pool.idle for pool in proxy.upstream.pools.values()))
+            client_socket.send(request("pay", rid="r2"))
+            if event == "second answer":
+                first_connection.send(answer(body=b"stray"))
+            elif event == "half a line":
+                first_connection.send(b"HTTP/1.1 20")
             else:
-                if crossing == "reset":
-                    first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                first.close()
-            second, _ = await loop.sock_accept(listener)
-            assert b"X-Request-Id: r2" in await loop.sock_recv(second, 4096)
-            await loop.sock_sendall(second, answer(body=b"second"))
-            assert (await loop.sock_recv(client, 4096)).endswith(b"second")
-            assert [event.outcome for event in told] == [OK, OK]
-            second.close()
-        first.close()
+                if event == "reset":
+                    first_connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                first_connection.close()
+            second_connection, _ = await loop.sock_accept(listener)
+            assert b"X-Request-Id: r2" in await loop.sock_recv(second_connection, 4096)
+            await loop.sock_sendall(second_connection, answer(body=b"second"))
+            assert (await loop.sock_recv(client_socket, 4096)).endswith(b"second")
+            assert [each.outcome for each in attempt_outcomes] == [OK, OK]
+            second_connection.close()
+        first_connection.close()
 
 
 @on_loop
-async def test_a_deadline_that_passes_while_the_connection_comes_up_proves_that_nothing_ran() -> None:
-    endpoint, began, up = Endpoint(), asyncio.Event(), asyncio.Event()
-    async with sidecar(endpoint, ceilings={"connect-timeout-us": 60_000_000}) as one:
-        told = outcomes(one)
-        with connects_held(began, up):
-            back = await one.ask(request("pay", deadline_ms=80))
-            assert [event.outcome for event in told] == [NO_CONNECT]
-            assert back.start.split()[1] == "503", "its client may try again"
-            up.set()
-            await until(lambda: not one.upstream.links)
+async def test_a_deadline_that_expires_during_the_connect_proves_that_nothing_ran() -> None:
+    endpoint, connecting, may_connect = Endpoint(), asyncio.Event(), asyncio.Event()
+    async with sidecar(endpoint, ceilings={"connect-timeout-us": 60_000_000}) as proxy:
+        attempt_outcomes = outcomes(proxy)
+        with delayed_connects(connecting, may_connect):
+            response = await proxy.ask(request("pay", deadline_ms=80))
+            assert [each.outcome for each in attempt_outcomes] == [NO_CONNECT]
+            assert response.start.split()[1] == "503", "its client may retry"
+            may_connect.set()
+            await until(lambda: not proxy.upstream.links)
         assert not endpoint.opened and not endpoint.got
 
 
 @pytest.mark.parametrize(
     ("raw", "expected"),
     [
-        (TURNED_AWAY + b"\r\n" + b"x" * 200_000, ERROR),
+        (REJECTED + b"\r\n" + b"x" * 200_000, ERROR),
         (
-            TURNED_AWAY + b"Transfer-Encoding: chunked\r\n\r\n" + b"4000\r\n%b\r\n" % (b"x" * 0x4000) * 9,
+            REJECTED + b"Transfer-Encoding: chunked\r\n\r\n" + b"4000\r\n%b\r\n" % (b"x" * 0x4000) * 9,
             ERROR,
         ),
-        (TURNED_AWAY + b"Content-Length: 9\r\n\r\nhalf", TIMEOUT),
+        (REJECTED + b"Content-Length: 9\r\n\r\nhalf", TIMEOUT),
         (b"HTTP/1.1 20", TIMEOUT),
         (CHUNKED + b"2\r\nok\r\n0\r\nX: " + b"x" * 200_000, RESET),
         (CHUNKED + CHUNK + b"0\r\n" + b"X: y\r\n" * 40_000, RESET),
@@ -224,55 +225,59 @@
     ],
 )
 @on_loop
-async def test_an_answer_that_never_ends_proves_nothing(raw: bytes, expected: int) -> None:
+async def test_a_response_that_never_ends_proves_nothing(raw: bytes, expected: int) -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        writer.write(raw)  # and the connection stays open
+        writer.write(raw)  # the connection stays open
 
     endpoint = Endpoint(reply)
-    async with sidecar(endpoint) as one:
-        told = outcomes(one)
-        back = await one.ask(request("pay", deadline_ms=400))
-        assert [event.outcome for event in told] == [expected] and len(endpoint.got) == 1
-        assert back.start.split()[1] in ("502", "504"), "it may have run: its client is not told to try again"
+    async with sidecar(endpoint) as proxy:
+        attempt_outcomes = outcomes(proxy)
+        response = await proxy.ask(request("pay", deadline_ms=400))
+        assert [each.outcome for each in attempt_outcomes] == [expected] and len(endpoint.got) == 1
+        assert response.start.split()[1] in ("502", "504"), "it may have run: the client must not retry"
 
 
 @pytest.mark.parametrize("change", ["moved", "banned", "left out"])
 @on_loop
-async def test_nothing_is_written_to_a_process_that_went_while_its_connection_came_up(change: str) -> None:
+async def test_nothing_is_written_to_a_process_that_was_replaced_during_the_connect(change: str) -> None:
     old, new, other = Endpoint(), Endpoint(), Endpoint()
-    began, up = asyncio.Event(), asyncio.Event()
-    async with sidecar(old) as one:
-        told = outcomes(one)
-        with connects_held(began, up, lambda: not up.is_set()):
-            asked = asyncio.create_task(one.ask(request("pay")))
-            await began.wait()
+    connecting, may_connect = asyncio.Event(), asyncio.Event()
+    async with sidecar(old) as proxy:
+        attempt_outcomes = outcomes(proxy)
+        with delayed_connects(connecting, may_connect, lambda: not may_connect.is_set()):
+            pending_response = asyncio.create_task(proxy.ask(request("pay")))
+            await connecting.wait()
             listeners = [await new.start(), await other.start()]
-            (number,) = one.driver.places
-            # Moved: started anew at another address, under the same name.
-            first = {"moved": [new.entry("s-0", startedAtMs=1)], "banned": [old.entry("s-0")], "left out": []}
-            one.told(*first[change], other.entry("s-1"))
+            (number,) = proxy.driver.places
+            # Moved: restarted at another address under the same name.
+            first_entries = {
+                "moved": [new.entry("s-0", startedAtMs=1)],
+                "banned": [old.entry("s-0")],
+                "left out": [],
+            }
+            proxy.told(*first_entries[change], other.entry("s-1"))
             if change == "banned":
-                one.driver._detach(number)
-            up.set()
-            assert (await asked).start.split()[1] == "200"
-        assert [event.outcome for event in told] == [MOOT, OK]
+                proxy.driver._detach(number)
+            may_connect.set()
+            assert (await pending_response).start.split()[1] == "200"
+        assert [each.outcome for each in attempt_outcomes] == [MOOT, OK]
         assert not old.got and len(new.got + other.got) == 1
         for listener in listeners:
             listener.close()
 
 
 @on_loop
-async def test_an_attempt_that_takes_no_body_is_given_up_without_the_one_that_follows_it() -> None:
-    """A body too large to hold, and no connection up yet: all of it can still go elsewhere."""
-    began, up = asyncio.Event(), asyncio.Event()
-    async with sidecar(Endpoint(), Endpoint(), Endpoint()) as one:
-        told = outcomes(one)
-        with connects_held(began, up):
-            asked = asyncio.create_task(one.ask(request("pay", LARGE)))
-            await began.wait()
-            (call,) = one.driver.calls.values()
-            one.driver.requests.upload_stalled(call)
-            assert [event.outcome for event in told] == [NO_CONNECT]
+async def test_a_stalled_upload_ends_its_attempt_and_not_the_one_that_follows() -> None:
+    """The body is too large to buffer and no connect is done: it can still go to another endpoint."""
+    connecting, may_connect = asyncio.Event(), asyncio.Event()
+    async with sidecar(Endpoint(), Endpoint(), Endpoint()) as proxy:
+        attempt_outcomes = outcomes(proxy)
+        with delayed_connects(connecting, may_connect):
+            pending_response = asyncio.create_task(proxy.ask(request("pay", LARGE)))
+            await connecting.wait()
+            (call,) = proxy.driver.calls.values()
+            proxy.driver.requests.upload_stalled(call)
+            assert [each.outcome for each in attempt_outcomes] == [NO_CONNECT]
             assert [attempt.in_flight for attempt in call.attempts] == [False, True]
-            up.set()
-            assert (await asked).body == b"ok"
+            may_connect.set()
+            assert (await pending_response).body == b"ok"
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,7 +1,7 @@
-"""Clients that leave: from then on no attempt of theirs begins, and nothing of them is kept.
+"""Clients that disconnect: no attempt for them begins any more, and their requests are forgotten.
 
-A client has gone once it closes or resets its connection, and also where it only ends
-its sending: that is how a sidecar, as the client of the next tier, gives a request up.
+A client has disconnected once it closes or resets its connection, and also when it half-closes
+it: that is how a sidecar, as the client of the next tier, cancels a request.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 from woadyard.net.link import Link
 from woadyard.net.message import Attempt
 
-CLOSE, CANCEL, HALF = "close", "reset", "half-close"
-EACH_WAY = pytest.mark.parametrize("how", [CLOSE, CANCEL, HALF])
-CANCELS = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no-cancel"])
-SOON_S = 10.0  # for what comes at once, far below the requests' deadline
-come_up = Link.connection_made
+CLOSE, RESET, HALF_CLOSE = "close", "reset", "half-close"
+EACH_DISCONNECT = pytest.mark.parametrize("how", [CLOSE, RESET, HALF_CLOSE])
+EITHER_CANCEL = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no-cancel"])
+PROMPT_S = 10.0  # for what happens at once, far below the requests' deadline
+original_connection_made = Link.connection_made
 
 
 def request(cls: str = "page", body: bytes = b"", rid: str = "r0") -> bytes:
@@ -45,7 +45,7 @@
 
 
 class Client:
-    """A plain socket, so that it leaves in the very instant, with no turn of the loop between."""
+    """A plain socket, so that it disconnects at once, without an iteration of the event loop."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.socket()
@@ -56,340 +56,345 @@
         self.socket.sendall(raw)
 
     async def fill(self, full: Callable[[], bool]) -> None:
-        """More of a body, for as long as it is taken."""
+        """Send more of a body until the condition holds."""
         self.socket.setblocking(False)
         while not full():
             with contextlib.suppress(BlockingIOError):
                 self.socket.send(LARGE)
             await asyncio.sleep(0)
 
-    def leave(self, how: str) -> None:
-        if how == HALF:
+    def disconnect(self, how: str) -> None:
+        if how == HALF_CLOSE:
             self.socket.shutdown(socket.SHUT_WR)
             return
-        if how == CANCEL:
+        if how == RESET:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
 
-async def hold_all_but_the_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """No answer, until the connection closes."""
+async def respond_to_the_first_only(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    """Never respond, but to the request that opens the idle connection."""
     if message.headers["x-request-id"] == "warm":
         writer.write(answer())
 
 
 @dataclass
-class Scene:
-    """A sidecar with a connection to its endpoint at rest, where the module's
-    timers fire, and further connections come up, only when told to."""
+class Scenario:
+    """A sidecar with an idle endpoint connection, where the decision module's timers fire, and
+    further connects end, only when the test says so."""
 
-    one: Sidecar
+    proxy: Sidecar
     endpoint: Endpoint
     client: Client
     timers: list[int] = field(default_factory=list)
-    late: list[tuple[Link, Any]] = field(default_factory=list)
+    delayed_connects: list[tuple[Link, Any]] = field(default_factory=list)
     sent: list[bytes] = field(default_factory=list)  # the head of each attempt
 
     def fire(self) -> None:
         for token in self.timers:
-            self.one.driver.tell(self.one.driver.balancer.timer, token)
+            self.proxy.driver.tell(self.proxy.driver.balancer.timer, token)
 
     def block(self) -> None:
-        """No endpoint is free to take anything, until `found`."""
-        vars(self.one.driver.balancer.choice)["pick"] = lambda *_: None
+        """No endpoint accepts a request until `unblock`."""
+        vars(self.proxy.driver.balancer.choice)["pick"] = lambda *_: None
 
-    def found(self) -> None:
-        vars(self.one.driver.balancer.choice).pop("pick", None)
+    def unblock(self) -> None:
+        vars(self.proxy.driver.balancer.choice).pop("pick", None)
         self.fire()
 
-    def answered(self, raw: bytes) -> None:
-        """As where the answer is read before the client's end."""
-        (link,) = (link for link in self.one.upstream.links if link.attempt is not None)
+    def receive_response(self, raw: bytes) -> None:
+        """Feed a response, as if it were read before the client's disconnect."""
+        (link,) = (link for link in self.proxy.upstream.links if link.attempt is not None)
         link.read(raw)
         self.fire()
 
-    def arrive(self) -> None:
-        for args in self.late:
-            come_up(*args)
+    def finish_connects(self) -> None:
+        for args in self.delayed_connects:
+            original_connection_made(*args)
 
-    def caller(self) -> Any:
-        (caller,) = self.one.server.connections
-        return caller
+    def connection(self) -> Any:
+        (connection,) = self.proxy.server.connections
+        return connection
 
-    async def given_up(self) -> None:
-        """No request is open; attempts may still be out, where they can't be cancelled."""
-        async with asyncio.timeout(SOON_S):
-            await until(lambda: not any(call.is_open for call in self.one.driver.calls.values()))
+    async def wait_for_closed_calls(self) -> None:
+        """Wait until no request is open; attempts that cannot be cancelled may still be in flight."""
+        async with asyncio.timeout(PROMPT_S):
+            await until(lambda: not any(call.is_open for call in self.proxy.driver.calls.values()))
 
-    async def settled(self) -> None:
-        """Nothing is owed any more to anyone."""
-        async with asyncio.timeout(SOON_S):
-            await until(lambda: not self.one.driver.calls and not self.one.server.connections)
-        balancer = self.one.driver.balancer
+    async def wait_until_settled(self) -> None:
+        """Wait until nothing is pending."""
+        async with asyncio.timeout(PROMPT_S):
+            await until(lambda: not self.proxy.driver.calls and not self.proxy.server.connections)
+        balancer = self.proxy.driver.balancer
         assert not balancer.requests and not balancer.ended
-        assert all(one.inflight == one.moving == 0 for one in balancer.endpoints.values())
-        assert all(link.attempt is None for link in self.one.upstream.links)
-        assert not self.one.server.paused_clients.clients
+        assert all(each.inflight == each.moving == 0 for each in balancer.endpoints.values())
+        assert all(link.attempt is None for link in self.proxy.upstream.links)
+        assert not self.proxy.server.paused_clients.clients
 
 
 @contextlib.asynccontextmanager
-async def scene(
-    monkeypatch: pytest.MonkeyPatch, cancel: bool = True, late: bool = False, endpoint: Endpoint | None = None
-) -> AsyncIterator[Scene]:
-    warm, endpoint = not (late or endpoint), endpoint or Endpoint(hold_all_but_the_first)
-    async with sidecar(endpoint, ceilings={"cancel": cancel}) as one:
+async def scenario(
+    monkeypatch: pytest.MonkeyPatch,
+    cancel: bool = True,
+    delayed: bool = False,
+    endpoint: Endpoint | None = None,
+) -> AsyncIterator[Scenario]:
+    warm, endpoint = not (delayed or endpoint), endpoint or Endpoint(respond_to_the_first_only)
+    async with sidecar(endpoint, ceilings={"cancel": cancel}) as proxy:
         if warm:
-            await one.ask(request(rid="warm"))
+            await proxy.ask(request(rid="warm"))
             await endpoint.arrived.acquire()
-            await until(lambda: not one.server.connections)
-        it = Scene(one, endpoint, Client(one.port))
-        await until(lambda: bool(one.server.connections))
-        real = link_module.request_bytes
+            await until(lambda: not proxy.server.connections)
+        state = Scenario(proxy, endpoint, Client(proxy.port))
+        await until(lambda: bool(proxy.server.connections))
+        original_request_bytes = link_module.request_bytes
 
         def request_bytes(attempt: Attempt, now: int) -> bytes:
-            it.sent.append(raw := real(attempt, now))
+            state.sent.append(raw := original_request_bytes(attempt, now))
             return raw
 
         monkeypatch.setattr(link_module, "request_bytes", request_bytes)
-        vars(one.driver.turns)["fire"] = lambda delay, token: it.timers.append(token)
-        if late:
-            monkeypatch.setattr(Link, "connection_made", lambda *args: it.late.append(args))
-        yield it
-        it.client.socket.close()
+        vars(proxy.driver.turns)["fire"] = lambda delay, token: state.timers.append(token)
+        if delayed:
+            monkeypatch.setattr(Link, "connection_made", lambda *args: state.delayed_connects.append(args))
+        yield state
+        state.client.socket.close()
 
 
-# --- Where a request may be when its client leaves; what would begin an attempt there -------
+# --- Stages of a request when its client disconnects, and what would begin an attempt then ---
 
-Act = Callable[[], None]
-Place = Callable[[Scene], Awaitable[Act]]
+Trigger = Callable[[], None]
+Prepare = Callable[[Scenario], Awaitable[Trigger]]
 
 
-async def waiting_for_an_endpoint(it: Scene) -> Act:
-    it.block()
-    it.client.send(request())
-    await until(lambda: bool(it.timers))
-    return it.found
+async def waiting_for_an_endpoint(state: Scenario) -> Trigger:
+    state.block()
+    state.client.send(request())
+    await until(lambda: bool(state.timers))
+    return state.unblock
 
 
-async def large_body_waiting_for_an_endpoint(it: Scene) -> Act:
-    it.block()
-    it.client.send(request("pay", LARGE)[:70_000])
-    await until(lambda: bool(it.timers))
-    return it.found
+async def large_body_waiting_for_an_endpoint(state: Scenario) -> Trigger:
+    state.block()
+    state.client.send(request("pay", LARGE)[:70_000])
+    await until(lambda: bool(state.timers))
+    return state.unblock
 
 
-async def before_a_repeat(it: Scene) -> Act:
-    it.client.send(request())
-    await it.endpoint.arrived.acquire()
-    return lambda: it.answered(answer(500))
+async def before_a_repeat(state: Scenario) -> Trigger:
+    state.client.send(request())
+    await state.endpoint.arrived.acquire()
+    return lambda: state.receive_response(answer(500))
 
 
-async def sent_ahead_of_an_answer(it: Scene) -> Act:
-    it.client.send(request(rid="r0") + request(rid="r1") + request(rid="r2"))
-    await it.endpoint.arrived.acquire()
-    return lambda: it.answered(answer())
+async def pipelined(state: Scenario) -> Trigger:
+    state.client.send(request(rid="r0") + request(rid="r1") + request(rid="r2"))
+    await state.endpoint.arrived.acquire()
+    return lambda: state.receive_response(answer())
 
 
-async def many_sent_ahead_of_an_answer(it: Scene) -> Act:
-    """More than is read ahead."""
-    it.client.send(b"".join(request(rid=f"r{n}") for n in range(400)))
-    await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().reading_paused))
-    return lambda: it.answered(answer())
+async def many_pipelined(state: Scenario) -> Trigger:
+    """More than is read ahead of a response."""
+    state.client.send(b"".join(request(rid=f"r{n}") for n in range(400)))
+    await state.endpoint.arrived.acquire()
+    await until(lambda: bool(state.connection().reading_paused))
+    return lambda: state.receive_response(answer())
 
 
-async def large_body_sent_ahead_of_an_answer(it: Scene) -> Act:
-    it.client.send(request(rid="r0") + request("pay", LARGE, rid="r1")[:70_000])
-    await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().parser.has_large_body))
-    return lambda: it.answered(answer())
+async def pipelined_large_body(state: Scenario) -> Trigger:
+    state.client.send(request(rid="r0") + request("pay", LARGE, rid="r1")[:70_000])
+    await state.endpoint.arrived.acquire()
+    await until(lambda: bool(state.connection().parser.has_large_body))
+    return lambda: state.receive_response(answer())
 
 
-async def connecting(it: Scene) -> Act:
-    it.client.send(request())
-    await until(lambda: bool(it.late))
-    return it.arrive
+async def connecting(state: Scenario) -> Trigger:
+    state.client.send(request())
+    await until(lambda: bool(state.delayed_connects))
+    return state.finish_connects
 
 
-PLACES = pytest.mark.parametrize(
-    "place",
+STAGES = pytest.mark.parametrize(
+    "prepare",
     [
-        waiting_for_an_endpoint, large_body_waiting_for_an_endpoint, before_a_repeat, sent_ahead_of_an_answer,
-        many_sent_ahead_of_an_answer, large_body_sent_ahead_of_an_answer, connecting,
+        waiting_for_an_endpoint, large_body_waiting_for_an_endpoint, before_a_repeat, pipelined,
+        many_pipelined, pipelined_large_body, connecting,
     ],
-    ids=lambda place: place.__name__,
+    ids=lambda prepare: prepare.__name__,
 )  # fmt: skip
 
 
-@EACH_WAY
-@CANCELS
-@PLACES
+@EACH_DISCONNECT
+@EITHER_CANCEL
+@STAGES
 @on_loop
-async def test_no_attempt_begins_for_a_client_that_has_just_left(
-    place: Place, cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
+async def test_no_attempt_begins_for_a_client_that_has_just_disconnected(
+    prepare: Prepare, cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What would begin one comes before the loop has seen the client's end, as it
-    does where the loop is busy or doesn't read from that client."""
-    async with scene(monkeypatch, cancel, late=place is connecting) as it:
-        cause = await place(it)
-        sent = len(it.sent)
-        it.client.leave(how)
-        cause()
-        await it.settled()
-        assert len(it.sent) == sent
-
-
-@EACH_WAY
-@CANCELS
-@PLACES
+    """The cause of an attempt comes before the event loop reports the disconnect, as when the
+    loop is busy or does not read from that client."""
+    async with scenario(monkeypatch, cancel, delayed=prepare is connecting) as state:
+        trigger = await prepare(state)
+        sent_before = len(state.sent)
+        state.client.disconnect(how)
+        trigger()
+        await state.wait_until_settled()
+        assert len(state.sent) == sent_before
+
+
+@EACH_DISCONNECT
+@EITHER_CANCEL
+@STAGES
 @on_loop
-async def test_a_client_that_left_is_found_gone_whatever_it_waits_for(
-    place: Place, cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
+async def test_a_disconnect_is_detected_whatever_the_client_waits_for(
+    prepare: Prepare, cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its requests are forgotten, and its attempts given up where that is allowed."""
-    async with scene(monkeypatch, cancel, late=place is connecting) as it:
-        cause = await place(it)
-        sent = len(it.sent)
-        it.client.leave(how)
-        await it.given_up()
-        if it.one.driver.calls or not sent:
-            cause()
-        await it.settled()
-        assert len(it.sent) == sent
-
-
-@EACH_WAY
+    """Its requests are forgotten, and its attempts cancelled where that is allowed."""
+    async with scenario(monkeypatch, cancel, delayed=prepare is connecting) as state:
+        trigger = await prepare(state)
+        sent_before = len(state.sent)
+        state.client.disconnect(how)
+        await state.wait_for_closed_calls()
+        if state.proxy.driver.calls or not sent_before:
+            trigger()
+        await state.wait_until_settled()
+        assert len(state.sent) == sent_before
+
+
+@EACH_DISCONNECT
 @on_loop
-async def test_a_request_read_with_its_clients_end_is_not_sent(
+async def test_a_request_read_together_with_a_disconnect_is_not_sent(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It may have waited for long, in the queue of a listener that nobody served."""
-    async with scene(monkeypatch) as it:
-        first, late = it.caller(), Client(it.one.port)
-        late.send(request())
-        late.leave(how)
-        it.one.server.last_accept_s = 0.0
-        await until(lambda: it.one.server.last_accept_s > 0)
-        first.transport.abort()
-        await it.settled()
-        late.socket.close()
-        assert not it.sent
-
-
-@EACH_WAY
+    """It may have waited for long in the accept queue of a listener."""
+    async with scenario(monkeypatch) as state:
+        first_connection, late_client = state.connection(), Client(state.proxy.port)
+        late_client.send(request())
+        late_client.disconnect(how)
+        state.proxy.server.last_accept_s = 0.0
+        await until(lambda: state.proxy.server.last_accept_s > 0)
+        first_connection.transport.abort()
+        await state.wait_until_settled()
+        late_client.socket.close()
+        assert not state.sent
+
+
+@EACH_DISCONNECT
 @on_loop
-async def test_the_loops_word_is_enough_where_the_system_cannot_tell(
+async def test_the_event_loops_report_suffices_where_the_system_reports_no_disconnects(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What little is sent ahead is read, and behind it the client's end."""
+    """The few pipelined requests are read, and after them the disconnect."""
     monkeypatch.setattr(disconnects, "DISCONNECT_EVENTS", 0)
-    async with scene(monkeypatch) as it:
-        await sent_ahead_of_an_answer(it)
-        it.client.leave(how)
-        await it.settled()
-        assert len(it.sent) == 1
+    async with scenario(monkeypatch) as state:
+        await pipelined(state)
+        state.client.disconnect(how)
+        await state.wait_until_settled()
+        assert len(state.sent) == 1
 
 
-# --- Attempts that are out -----------------------------------------------------------------
+# --- Attempts in flight ----------------------------------------------------------------------
 
 
-class Frozen(Endpoint):
-    """Reads nothing."""
+class NeverReads(Endpoint):
+    """An endpoint that never reads."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         reader._transport.pause_reading()  # type: ignore[attr-defined]
 
 
 async def stream(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """An answer too large for any buffer, whole."""
+    """A complete response that is too large for any buffer."""
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * len(LARGE)))
     for _ in range(16):
         writer.write(LARGE)
         await writer.drain()
 
 
-@EACH_WAY
-@CANCELS
-@pytest.mark.parametrize("frozen", [True, False])
+@EACH_DISCONNECT
+@EITHER_CANCEL
+@pytest.mark.parametrize("never_reads", [True, False])
 @on_loop
-async def test_an_upload_ends_with_its_client(
-    frozen: bool, cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
+async def test_an_upload_ends_when_its_client_disconnects(
+    never_reads: bool, cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The rest of the body never comes: no attempt of it can end well, or be left to run."""
-    async with scene(monkeypatch, cancel, endpoint=Frozen() if frozen else None) as it:
-        it.client.send(request("pay", LARGE * 40)[:70_000])
-        await until(lambda: bool(it.sent))
-        if frozen:
-            await it.client.fill(lambda: bool(it.caller().reading_paused))
-        it.client.leave(how)
-        await it.settled()
-
-
-@EACH_WAY
-@CANCELS
+    """The rest of the body never arrives: no attempt can succeed, and none is left to run."""
+    async with scenario(monkeypatch, cancel, endpoint=NeverReads() if never_reads else None) as state:
+        state.client.send(request("pay", LARGE * 40)[:70_000])
+        await until(lambda: bool(state.sent))
+        if never_reads:
+            await state.client.fill(lambda: bool(state.connection().reading_paused))
+        state.client.disconnect(how)
+        await state.wait_until_settled()
+
+
+@EACH_DISCONNECT
+@EITHER_CANCEL
 @on_loop
-async def test_an_answer_that_nobody_reads_ends_with_its_client(
+async def test_a_response_that_is_not_read_ends_when_its_client_disconnects(
     cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with scene(monkeypatch, cancel, endpoint=Endpoint(stream)) as it:
-        it.one.server.timeouts.stall_s = 1000.0
-        it.client.send(request())
-        await until(lambda: it.caller().writing_paused)
-        it.client.leave(how)
-        await it.settled()
+    async with scenario(monkeypatch, cancel, endpoint=Endpoint(stream)) as state:
+        state.proxy.server.timeouts.stall_s = 1000.0
+        state.client.send(request())
+        await until(lambda: state.connection().writing_paused)
+        state.client.disconnect(how)
+        await state.wait_until_settled()
 
 
-@EACH_WAY
+@EACH_DISCONNECT
 @on_loop
-async def test_what_was_asked_ends_before_earlier_answers_are_all_written(
+async def test_pending_requests_end_before_earlier_responses_are_all_written(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def stream_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if message.headers["x-request-id"] == "r0":
             await stream(endpoint, message, writer)
 
-    async with scene(monkeypatch, endpoint=Endpoint(stream_first)) as it:
-        it.one.server.timeouts.stall_s = 1000.0
-        it.caller().transport.set_write_buffer_limits(high=1 << 30)  # served on all the same
-        it.client.send(request(rid="r0") + request(rid="r1"))
-        await until(lambda: len(it.endpoint.got) == 2)
-        assert it.caller().transport.get_write_buffer_size()
-        it.one.server.timeouts.stall_s = 0.05
-        it.client.leave(how)
-        await it.given_up()
-        await it.settled()
-
-
-@EACH_WAY
+    async with scenario(monkeypatch, endpoint=Endpoint(stream_first)) as state:
+        state.proxy.server.timeouts.stall_s = 1000.0
+        state.connection().transport.set_write_buffer_limits(
+            high=1 << 30
+        )  # so that the next request is served all the same
+        state.client.send(request(rid="r0") + request(rid="r1"))
+        await until(lambda: len(state.endpoint.got) == 2)
+        assert state.connection().transport.get_write_buffer_size()
+        state.proxy.server.timeouts.stall_s = 0.05
+        state.client.disconnect(how)
+        await state.wait_for_closed_calls()
+        await state.wait_until_settled()
+
+
+@EACH_DISCONNECT
 @on_loop
-async def test_an_attempt_that_cannot_be_cancelled_is_waited_for_to_its_end_and_no_longer(
+async def test_an_attempt_that_cannot_be_cancelled_is_waited_for_until_it_ends(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with scene(monkeypatch, cancel=False) as it:
-        it.client.send(short_request(deadline_ms=300))
-        await it.endpoint.arrived.acquire()
-        it.client.leave(how)
-        await it.given_up()
-        assert it.one.driver.calls
-        await it.settled()
+    async with scenario(monkeypatch, cancel=False) as state:
+        state.client.send(short_request(deadline_ms=300))
+        await state.endpoint.arrived.acquire()
+        state.client.disconnect(how)
+        await state.wait_for_closed_calls()
+        assert state.proxy.driver.calls
+        await state.wait_until_settled()
 
 
-@EACH_WAY
+@EACH_DISCONNECT
 @on_loop
-async def test_many_clients_that_leave_at_once_have_nothing_sent(
+async def test_nothing_is_sent_for_many_clients_that_disconnect_at_once(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with scene(monkeypatch) as it:
-        it.block()
-        crowd = [Client(it.one.port) for _ in range(200)]
-        for n, client in enumerate(crowd):
+    async with scenario(monkeypatch) as state:
+        state.block()
+        clients = [Client(state.proxy.port) for _ in range(200)]
+        for n, client in enumerate(clients):
             client.send(request(rid=f"c{n}"))
-        await until(lambda: len(it.timers) >= 200)
-        for client in crowd:
-            client.leave(how)
-        it.found()
-        it.client.leave(CLOSE)
-        await it.settled()
-        assert not it.sent
-        for client in crowd:
+        await until(lambda: len(state.timers) >= 200)
+        for client in clients:
+            client.disconnect(how)
+        state.unblock()
+        state.client.disconnect(CLOSE)
+        await state.wait_until_settled()
+        assert not state.sent
+        for client in clients:
             client.socket.close()
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -1,6 +1,6 @@
-"""Other deployments' settings over loopback sockets: other windows, scopes, effects, deadlines, tenants.
+"""Settings of other deployments: other windows, scopes, effects, deadlines and tenants.
 
-In each, what may have run is repeated only as its class allows, and nothing taken is lost.
+In each, requests that may have run are repeated only as their class allows, and none is lost.
 """
 
 from __future__ import annotations
@@ -30,80 +30,80 @@
 from woadyard.wire import read_settings
 
 EFFECTS = ("retryable", "dedup", "fragile")
-NAMES = {"retryable": "page", "dedup": "put", "fragile": "pay"}  # as the tests' requests know them
+NAMES = {"retryable": "page", "dedup": "put", "fragile": "pay"}  # the class names in the tests' requests
 
 
-def a_class(effect: str, **changes: Any) -> dict[str, Any]:
+def request_class(effect: str, **changes: Any) -> dict[str, Any]:
     return {
         "name": NAMES[effect], "aim-us": 2_000_000, "deadline-us": 5_000_000, "repeat": effect,
         "dedup-scope": "all", "repeat-window-us": 60_000_000, **changes,
     }  # fmt: skip
 
 
-def retuned(
-    one: Sidecar, *classes: dict[str, Any], ceilings: dict[str, Any] | None = None, **more: Any
+def apply_settings(
+    proxy: Sidecar, *classes: dict[str, Any], ceilings: dict[str, Any] | None = None, **more: Any
 ) -> None:
-    """As SIGHUP does once the file was checked."""
+    """Change the settings, as SIGHUP does once the file was checked."""
     raw = {
         **SETTINGS,
         "classes": list(classes),
         "ceilings": {**SETTINGS["ceilings"], **(ceilings or {})},
         **more,
     }
-    one.driver.retune(raw, read_settings(json.dumps(raw).encode()))
+    proxy.driver.retune(raw, read_settings(json.dumps(raw).encode()))
 
 
-async def settled(one: Sidecar) -> None:
-    """Nothing is owed: no call is open, and no attempt out."""
-    await until(lambda: not one.driver.calls)
-    assert all(not endpoint.inflight for endpoint in one.driver.balancer.endpoints.values())
+async def wait_until_settled(proxy: Sidecar) -> None:
+    """Wait until no call is left, and no attempt in flight."""
+    await until(lambda: not proxy.driver.calls)
+    assert all(not endpoint.inflight for endpoint in proxy.driver.balancer.endpoints.values())
 
 
-async def break_off(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """It may have run."""
+async def close_without_response(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    """Close without a response: the request may have run."""
     writer.close()
 
 
-async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """No answer, until the connection closes."""
+async def never_respond(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    """Never respond, until the connection closes."""
 
 
 @pytest.mark.parametrize("scope", ["all", "zone", "cell"])
-@pytest.mark.parametrize("late", [False, True])
+@pytest.mark.parametrize("past_window", [False, True])
 @on_loop
-async def test_a_repeat_whose_connection_comes_up_past_its_window_is_not_sent(
-    monkeypatch: pytest.MonkeyPatch, scope: str, late: bool
+async def test_a_repeat_whose_connect_ends_past_its_window_is_not_sent(
+    monkeypatch: pytest.MonkeyPatch, scope: str, past_window: bool
 ) -> None:
-    """The window binds when it is written, not when it was decided."""
-    gate, second = asyncio.Event(), Endpoint()
-    real = Link._connect
+    """The window applies when the repeat is written, not when it was decided."""
+    may_connect, second = asyncio.Event(), Endpoint()
+    original_connect = Link._connect
 
-    async def slow(link: Link, host: str, port: int) -> None:
+    async def delayed_connect(link: Link, host: str, port: int) -> None:
         if port == second.port:
-            await gate.wait()
-        await real(link, host, port)
+            await may_connect.wait()
+        await original_connect(link, host, port)
 
-    async def moved(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        one.told(second.entry("s-9"))  # the only one left
+    async def move_and_close(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+        proxy.told(second.entry("s-9"))  # the only endpoint left
         writer.close()
 
-    monkeypatch.setattr(Link, "_connect", slow)
-    async with sidecar(first := Endpoint(moved)) as one:
+    monkeypatch.setattr(Link, "_connect", delayed_connect)
+    async with sidecar(first := Endpoint(move_and_close)) as proxy:
         listener = await second.start()
-        window = 1_000_000 if late else 60_000_000
-        retuned(one, a_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window}))
-        asked = asyncio.create_task(one.ask(request("put")))
+        window = 1_000_000 if past_window else 60_000_000
+        apply_settings(proxy, request_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window}))
+        pending_response = asyncio.create_task(proxy.ask(request("put")))
         await first.arrived.acquire()
-        ((_, call),) = one.driver.calls.items()
-        await until(lambda: asked.done() or len(call.attempts) == 2)
-        if late:
+        ((_, call),) = proxy.driver.calls.items()
+        await until(lambda: pending_response.done() or len(call.attempts) == 2)
+        if past_window:
             sent = call.attempts[0].sent_us if call.attempts else 0
-            await asyncio.sleep(max(0.0, (sent + window - one.driver.now()) / 1e6) + 0.001)
-        gate.set()
-        back = await asked
-        assert len(second.got) == (0 if late else 1)
-        assert back.start.startswith("HTTP/1.1 200") is not late
-        await settled(one)
+            await asyncio.sleep(max(0.0, (sent + window - proxy.driver.now()) / 1e6) + 0.001)
+        may_connect.set()
+        response = await pending_response
+        assert len(second.got) == (0 if past_window else 1)
+        assert response.start.startswith("HTTP/1.1 200") is not past_window
+        await wait_until_settled(proxy)
         listener.close()
 
 
@@ -112,100 +112,121 @@
     ("scope", "zone", "cell"), itertools.product(("all", "zone", "cell"), (0, 1), (1, 2))
 )
 @on_loop
-async def test_what_may_have_run_is_repeated_only_within_its_scope(
+async def test_a_request_that_may_have_run_is_repeated_only_within_its_scope(
     effect: str, scope: str, zone: int, cell: int
 ) -> None:
     zones, second = ["here", "there"], Endpoint()
 
-    async def moved(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        one.told(second.entry("s-9", zone=zones[zone], cell=cell))
+    async def move_and_close(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+        proxy.told(second.entry("s-9", zone=zones[zone], cell=cell))
         writer.close()
 
-    async with sidecar(first := Endpoint(moved)) as one:
+    async with sidecar(first := Endpoint(move_and_close)) as proxy:
         listener = await second.start()
-        retuned(one, a_class(effect, **{"dedup-scope": scope}), zones=zones)
-        back = await one.ask(request(NAMES[effect]))
-        known = {"all": True, "zone": zone == 0, "cell": cell == 1}[scope]
-        may = effect == "retryable" or (effect == "dedup" and known)
-        assert (len(first.got), len(second.got)) == (1, int(may))
-        assert back.start.startswith("HTTP/1.1 200") is may
-        if may and effect == "dedup":
+        apply_settings(proxy, request_class(effect, **{"dedup-scope": scope}), zones=zones)
+        response = await proxy.ask(request(NAMES[effect]))
+        in_scope = {"all": True, "zone": zone == 0, "cell": cell == 1}[scope]
+        may_repeat = effect == "retryable" or (effect == "dedup" and in_scope)
+        assert (len(first.got), len(second.got)) == (1, int(may_repeat))
+        assert response.start.startswith("HTTP/1.1 200") is may_repeat
+        if may_repeat and effect == "dedup":
             assert second.got[0].headers["idempotency-key"] == first.got[0].headers["idempotency-key"]
-        await settled(one)
+        await wait_until_settled(proxy)
         listener.close()
 
 
 @pytest.mark.parametrize("scope", ["all", "zone", "cell"])
 @pytest.mark.parametrize("window_ms", [0, 1, 300])
 @on_loop
-async def test_past_a_short_window_nothing_is_repeated(scope: str, window_ms: int) -> None:
-    async def late(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def test_nothing_is_repeated_past_a_short_window(scope: str, window_ms: int) -> None:
+    async def close_late(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await asyncio.sleep(window_ms / 1000 + 0.01)
         writer.close()
 
-    endpoints = [Endpoint(late) for _ in range(3)]
-    async with sidecar(*endpoints) as one:
-        retuned(one, a_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window_ms * 1000}))
-        await one.ask(request("put"))
+    endpoints = [Endpoint(close_late) for _ in range(3)]
+    async with sidecar(*endpoints) as proxy:
+        apply_settings(
+            proxy, request_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window_ms * 1000})
+        )
+        await proxy.ask(request("put"))
         assert sum(len(endpoint.got) for endpoint in endpoints) == 1
-        await settled(one)
+        await wait_until_settled(proxy)
 
 
 @pytest.mark.parametrize(("before", "after"), itertools.permutations(EFFECTS, 2))
 @on_loop
-async def test_another_effect_holds_for_what_comes_after_it(before: str, after: str) -> None:
-    endpoints = [Endpoint(break_off) for _ in range(3)]
-    async with sidecar(*endpoints) as one:
+async def test_a_changed_effect_applies_to_later_requests(before: str, after: str) -> None:
+    endpoints = [Endpoint(close_without_response) for _ in range(3)]
+    async with sidecar(*endpoints) as proxy:
         for n, effect in enumerate((before, after)):
-            retuned(one, a_class(effect, name="page"))
+            apply_settings(proxy, request_class(effect, name="page"))
             method = b"GET" if effect == "retryable" else b"POST"
             length = b"" if effect == "retryable" else b"Content-Length: 0\r\n"
             key = b"Idempotency-Key: k\r\n" if effect == "dedup" else b""
             head = b"%b /page?obj=7 HTTP/1.1\r\nHost: b\r\nX-Request-Id: r%d\r\n%b%b\r\n"
-            back = await one.ask(head % (method, n, length, key))
-            assert back.start.split()[1] in ("502", "503")
+            response = await proxy.ask(head % (method, n, length, key))
+            assert response.start.split()[1] in ("502", "503")
             if effect == "fragile":
-                assert back.start.startswith("HTTP/1.1 502")  # a refusal would say that a retry is harmless
-        runs = Counter(message.headers["x-request-id"] for each in endpoints for message in each.got)
+                assert response.start.startswith("HTTP/1.1 502")  # a 503 would say that a retry is harmless
+        runs = Counter(message.headers["x-request-id"] for endpoint in endpoints for message in endpoint.got)
         for n, effect in enumerate((before, after)):
             assert 1 <= runs[f"r{n}"] <= (1 if effect == "fragile" else 3)
-        await settled(one)
+        await wait_until_settled(proxy)
 
 
-ALL = [a_class(effect) for effect in EFFECTS]
+ALL = [request_class(effect) for effect in EFFECTS]
 TENANTS = [{"name": f"t-{n}", "allowance-per-s": 1.0 + n % 7} for n in range(200)]
 
 
 @pytest.mark.parametrize(
     ("classes", "more"),
     [
-        ([a_class("retryable")], {}),
-        ([a_class("dedup")], {}),
-        ([a_class("fragile")], {}),
-        ([a_class("fragile"), a_class("fragile", name="put"), a_class("fragile", name="buy")], {}),
+        ([request_class("retryable")], {}),
+        ([request_class("dedup")], {}),
+        ([request_class("fragile")], {}),
+        (
+            [
+                request_class("fragile"),
+                request_class("fragile", name="put"),
+                request_class("fragile", name="buy"),
+            ],
+            {},
+        ),
         (ALL, {"accounts": TENANTS}),
         (ALL, {"accounts": []}),
         (ALL, {"ceilings": {"max-attempts": 1}}),
-        ([a_class(one, **{"deadline-us": 50_000, "aim-us": 25_000}) for one in EFFECTS], {}),
-        ([a_class(one, **{"deadline-us": 60_000_000, "aim-us": 30_000_000}) for one in EFFECTS], {}),
+        ([request_class(repeat, **{"deadline-us": 50_000, "aim-us": 25_000}) for repeat in EFFECTS], {}),
+        (
+            [
+                request_class(effect, **{"deadline-us": 60_000_000, "aim-us": 30_000_000})
+                for effect in EFFECTS
+            ],
+            {},
+        ),
     ],
     ids=["safe", "keyed", "unsafe", "all-unsafe", "tenants", "no-tenants", "one-attempt", "50-ms", "60-s"],
 )
 @on_loop
-async def test_nothing_is_lost_or_repeated_against_its_class(
+async def test_no_request_is_lost_or_repeated_against_its_class(
     classes: list[dict[str, Any]], more: dict[str, Any]
 ) -> None:
-    """Endpoints of which some break off, one turns away and one hangs where a time-out is soon."""
+    """Some endpoints close without a response, one rejects, and one hangs where the deadline is short."""
 
-    async def not_run(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    async def reject_without_running(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 
-    short = classes[0]["deadline-us"] < 1_000_000
-    handlers = [serve_ok, serve_ok, break_off, not_run, hold if short else serve_ok]
+    has_short_deadline = classes[0]["deadline-us"] < 1_000_000
+    handlers = [
+        serve_ok,
+        serve_ok,
+        close_without_response,
+        reject_without_running,
+        never_respond if has_short_deadline else serve_ok,
+    ]
     endpoints = [Endpoint(handler) for handler in handlers]
-    async with sidecar(*endpoints) as one:
-        retuned(one, *classes, **more)
-        asked, effects = [], {}
+    async with sidecar(*endpoints) as proxy:
+        apply_settings(proxy, *classes, **more)
+        pending_responses, effects = [], {}
         for n, entry in enumerate(itertools.islice(itertools.cycle(classes), 60)):
             rid, effect = f"r{n}", entry["repeat"]
             effects[rid] = effect
@@ -216,49 +237,49 @@
             raw = raw.replace(
                 b"X-Deadline-Ms: 4000\r\n", b"X-Deadline-Ms: %d\r\n" % (entry["deadline-us"] // 1000)
             )
-            asked.append(one.ask(raw))
-        backs = await asyncio.gather(*asked)
-        assert {back.start.split()[1] for back in backs} <= {"200", "502", "503", "504"}
-        assert any(back.start.split()[1] == "200" for back in backs)
+            pending_responses.append(proxy.ask(raw))
+        responses = await asyncio.gather(*pending_responses)
+        assert {response.start.split()[1] for response in responses} <= {"200", "502", "503", "504"}
+        assert any(response.start.split()[1] == "200" for response in responses)
         runs: Counter[str] = Counter()
         for endpoint in endpoints:
             for message in endpoint.got:
-                runs[message.headers["x-request-id"]] += endpoint.handler is not not_run
+                runs[message.headers["x-request-id"]] += endpoint.handler is not reject_without_running
                 assert int(message.headers["x-deadline-ms"]) <= classes[0]["deadline-us"] // 1000
-        most = more.get("ceilings", {}).get("max-attempts", 3)
+        max_attempts = more.get("ceilings", {}).get("max-attempts", 3)
         for rid, count in runs.items():
-            assert count <= (1 if effects[rid] == "fragile" else most)
-        await settled(one)
+            assert count <= (1 if effects[rid] == "fragile" else max_attempts)
+        await wait_until_settled(proxy)
 
 
 @on_loop
-async def test_an_id_is_remembered_for_as_long_as_its_request_may_run(
+async def test_a_request_id_is_remembered_for_as_long_as_its_request_may_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server, "REQUEST_ID_RETENTION_S", 0.05)
-    endpoint = Endpoint(hold)
-    async with sidecar(endpoint) as one:
-        retuned(one, a_class("fragile", **{"deadline-us": 60_000_000}))
-        _, writer = await one.connect()
+    endpoint = Endpoint(never_respond)
+    async with sidecar(endpoint) as proxy:
+        apply_settings(proxy, request_class("fragile", **{"deadline-us": 60_000_000}))
+        _, writer = await proxy.connect()
         writer.write(request("pay", deadline_ms=60_000, rid="r1"))
         await endpoint.arrived.acquire()
         for _ in range(3):
             await asyncio.sleep(0.06)
-            copy = await one.ask(request("pay", deadline_ms=60_000, rid="r1"))
-            assert copy.start.startswith("HTTP/1.1 409")
+            duplicate = await proxy.ask(request("pay", deadline_ms=60_000, rid="r1"))
+            assert duplicate.start.startswith("HTTP/1.1 409")
         assert len(endpoint.got) == 1
         writer.close()
-        await settled(one)
+        await wait_until_settled(proxy)
 
 
 @on_loop
-async def test_ids_of_requests_past_their_time_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_expired_request_ids_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "REQUEST_ID_RETENTION_S", 0.05)
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
+    async with sidecar(endpoint) as proxy:
         for n in range(40):
-            await one.ask(request("pay", deadline_ms=30 if n else 60_000, rid=f"r{n}"))
+            await proxy.ask(request("pay", deadline_ms=30 if n else 60_000, rid=f"r{n}"))
         await asyncio.sleep(0.2)
-        await one.ask(request("pay", rid="last"))
-        assert set(one.server.request_ids) == {b"r0", b"last"}
-        await settled(one)
+        await proxy.ask(request("pay", rid="last"))
+        assert set(proxy.server.request_ids) == {b"r0", b"last"}
+        await wait_until_settled(proxy)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers, good and bad, over loopback sockets."""
+"""Valid and invalid requests of clients, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -51,36 +51,38 @@
     ],
 )
 @on_loop
-async def test_a_bad_request_gets_a_plain_4xx_and_the_connection_closed(raw: bytes, expected: str) -> None:
+async def test_an_invalid_request_gets_a_plain_4xx_and_the_connection_is_closed(
+    raw: bytes, expected: str
+) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(raw)
-        back = await read_message(reader)
-        assert back.start.split()[1] == expected and back.headers["connection"] == "close"
+        response = await read_message(reader)
+        assert response.start.split()[1] == expected and response.headers["connection"] == "close"
         assert await reader.read() == b""
         writer.close()
-        assert (await one.ask(request())).body == b"ok"
+        assert (await proxy.ask(request())).body == b"ok"
         assert len(endpoint.got) == 1
 
 
 @on_loop
-async def test_an_id_is_for_one_request() -> None:
+async def test_a_request_id_is_accepted_once() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        assert (await one.ask(request("pay", b"sum"))).body == b"ok"
-        for again in (request("pay", b"sum"), request(), request("pay", headers="X-Retry: 1\r\n")):
-            assert (await one.ask(again)).start.split()[1] == "409"
+    async with sidecar(endpoint) as proxy:
+        assert (await proxy.ask(request("pay", b"sum"))).body == b"ok"
+        for duplicate in (request("pay", b"sum"), request(), request("pay", headers="X-Retry: 1\r\n")):
+            assert (await proxy.ask(duplicate)).start.split()[1] == "409"
         assert len(endpoint.got) == 1
-        one.server.request_ids[b"r1"] = one.driver.now() - 60_000_000, one.driver.now()
-        assert (await one.ask(request("pay", rid="r2"))).body == b"ok"
-        assert list(one.server.request_ids) == [b"r2"], "forgotten after its time"
+        proxy.server.request_ids[b"r1"] = proxy.driver.now() - 60_000_000, proxy.driver.now()
+        assert (await proxy.ask(request("pay", rid="r2"))).body == b"ok"
+        assert list(proxy.server.request_ids) == [b"r2"], "r1 was forgotten after the retention time"
 
 
 @on_loop
-async def test_a_whole_request_before_a_bad_one_is_served() -> None:
-    async with sidecar(Endpoint()) as one:
-        reader, writer = await one.connect()
+async def test_a_complete_request_before_a_malformed_one_is_served() -> None:
+    async with sidecar(Endpoint()) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(request() + b"nonsense\r\n\r\n")
         assert (await read_message(reader)).body == b"ok"
         assert await reader.read() == b""
@@ -88,10 +90,10 @@
 
 
 @on_loop
-async def test_requests_sent_ahead_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(b"".join(request(rid=f"r{n}") for n in range(20)))
         for _ in range(20):
             assert (await read_message(reader)).body == b"ok"
@@ -100,15 +102,15 @@
 
 
 @on_loop
-async def test_an_unreadable_hint_refuses_nobody() -> None:
-    async with sidecar(Endpoint()) as one:
-        assert (await one.ask(request(headers="X-Cost-Hint: 12.5e3\r\n"))).body == b"ok"
+async def test_a_malformed_cost_hint_rejects_no_request() -> None:
+    async with sidecar(Endpoint()) as proxy:
+        assert (await proxy.ask(request(headers="X-Cost-Hint: 12.5e3\r\n"))).body == b"ok"
 
 
 @on_loop
-async def test_a_deadline_that_has_passed_sends_nothing() -> None:
+async def test_a_request_with_an_expired_deadline_is_not_forwarded() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        back = await one.ask(request("pay", deadline_ms=0))
-        assert back.start.split()[1] in ("503", "504")
-        assert not endpoint.got and not one.driver.calls and not one.driver.balancer.requests
+    async with sidecar(endpoint) as proxy:
+        response = await proxy.ask(request("pay", deadline_ms=0))
+        assert response.start.split()[1] in ("503", "504")
+        assert not endpoint.got and not proxy.driver.calls and not proxy.driver.balancer.requests
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""The stop in order: what is owed when SIGTERM comes, and as the process ends."""
+"""Graceful shutdown: pending requests at SIGTERM and until the process ends."""
 
 from __future__ import annotations
 
@@ -31,150 +31,154 @@
 from woadyard.wire import read_settings
 
 
-def lasting(deadline_us: int) -> dict[str, Any]:
-    """The settings with this deadline for each class."""
-    classes = [{**one, "aim-us": deadline_us, "deadline-us": deadline_us} for one in SETTINGS["classes"]]
+def settings_with_deadline(deadline_us: int) -> dict[str, Any]:
+    """Return the settings with this deadline for each class."""
+    classes = [{**each, "aim-us": deadline_us, "deadline-us": deadline_us} for each in SETTINGS["classes"]]
     return {**SETTINGS, "classes": classes}
 
 
-def retune(one: Sidecar, deadline_us: int) -> None:
-    raw = lasting(deadline_us)
-    one.driver.retune(raw, read_settings(json.dumps(raw).encode()))
+def retune(proxy: Sidecar, deadline_us: int) -> None:
+    raw = settings_with_deadline(deadline_us)
+    proxy.driver.retune(raw, read_settings(json.dumps(raw).encode()))
 
 
 @pytest.mark.parametrize("deadline_s", [0.05, 0.1, 0.3, 1.0, 3.0, 30.0])
-def test_what_comes_last_has_time_for_its_answer_and_that_for_its_way(deadline_s: float) -> None:
+def test_the_last_request_has_time_for_its_response_and_the_response_for_its_way(deadline_s: float) -> None:
     kept_s, answered_s = shutdown_times(deadline_s)
-    assert kept_s > 0.4, "new connections come until then"
+    assert kept_s > 0.4, "new connections are accepted until then"
     assert answered_s - kept_s > min(0.1, deadline_s) - 1e-9
     assert answered_s < min(3.0, deadline_s) + 0.7 - 0.1 + 1e-9, "SIGKILL"
 
 
 @on_loop
-async def test_classes_that_are_gone_put_off_no_kill() -> None:
-    """SIGKILL follows by the deadlines in force, not by those of before a reload."""
-    async with sidecar(Endpoint()) as one:
-        retune(one, 300_000)
-        one.server.stop(lambda: None)
-        assert one.server.responses_due_us < one.driver.now() + 1_000_000, "SIGKILL may come then"
+async def test_removed_classes_do_not_postpone_the_end() -> None:
+    """SIGKILL follows by the deadlines in force, not by those from before a reload."""
+    async with sidecar(Endpoint()) as proxy:
+        retune(proxy, 300_000)
+        proxy.server.stop(lambda: None)
+        assert proxy.server.responses_due_us < proxy.driver.now() + 1_000_000, "SIGKILL may come then"
 
 
 @on_loop
-async def test_new_connections_without_end_put_off_no_end(tmp_path: Path) -> None:
+async def test_endless_new_connections_do_not_postpone_the_end(tmp_path: Path) -> None:
     endpoint, registry = Endpoint(), Registry()
     async with await endpoint.start(), await registry.start():
         port = free_port()
-        changes = {"settings": lasting(300_000), "listen": f"127.0.0.1:{port}"}
+        changes = {"settings": settings_with_deadline(300_000), "listen": f"127.0.0.1:{port}"}
         process = await start(config(tmp_path, registry, endpoint, **changes))
         reader, writer = await open_at(port)
         writer.write(request())
-        await read_message(reader)  # it heeds signals by now
+        await read_message(reader)  # its signal handlers are set by now
         process.send_signal(signal.SIGTERM)
 
-        async def come() -> None:
+        async def keep_connecting() -> None:
             with suppress(ConnectionError):
                 while True:
                     _, writer = await asyncio.open_connection("127.0.0.1", port)
                     await asyncio.sleep(0.01)
                     writer.close()
 
-        coming = asyncio.create_task(come())
+        connecting = asyncio.create_task(keep_connecting())
         try:
             async with asyncio.timeout(10.0):
                 await process.communicate()
         finally:
-            coming.cancel()
+            connecting.cancel()
             if process.returncode is None:
                 process.kill()
         assert process.returncode == 0
 
 
-async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """No answer, until the connection closes."""
+async def never_respond(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    """Never respond, until the connection closes."""
 
 
-def settled(one: Sidecar) -> bool:
-    """Nothing is owed to anybody."""
-    ends = one.driver.balancer.endpoints.values()
-    return not one.driver.calls and not any(end.inflight for end in ends)
+def is_settled(proxy: Sidecar) -> bool:
+    """Whether no request is open and no attempt in flight."""
+    endpoint_states = proxy.driver.balancer.endpoints.values()
+    return not proxy.driver.calls and not any(endpoint.inflight for endpoint in endpoint_states)
 
 
 HALF_HEAD = request()[:-10]
 HALF_BODY = request("pay", b"x" * 100)[:-50]
-LOADING = request("pay", LARGE)[: len(LARGE) // 2]
-PATIENT = request("pay", deadline_ms=30_000)
+HALF_LARGE_BODY = request("pay", LARGE)[: len(LARGE) // 2]
+LONG_DEADLINE = request("pay", deadline_ms=30_000)
 
 
 @pytest.mark.parametrize(
     ("sent", "status"),
-    [(HALF_HEAD, 503), (HALF_BODY, 503), (LOADING, 504), (PATIENT, 504)],
+    [(HALF_HEAD, 503), (HALF_BODY, 503), (HALF_LARGE_BODY, 504), (LONG_DEADLINE, 504)],
     ids=["half a head", "half a body", "half a large body", "a long deadline"],
 )
-@pytest.mark.parametrize("before", [True, False])
+@pytest.mark.parametrize("before_sigterm", [True, False])
 @on_loop
-async def test_what_is_not_over_by_the_end_is_answered_before_the_kill(
-    sent: bytes, status: int, before: bool
+async def test_pending_requests_are_answered_before_sigkill(
+    sent: bytes, status: int, before_sigterm: bool
 ) -> None:
-    """A request begun, a body on its way, a deadline of before SIGTERM: SIGKILL would cut it off."""
-    endpoint, ended = Endpoint(hold), asyncio.Event()
-    async with sidecar(endpoint) as one, asyncio.timeout(10.0):
-        retune(one, 300_000)
-        reader, writer = await one.connect()
-        if before:
+    """An incomplete request, an upload, a deadline from before SIGTERM: SIGKILL would cut them off."""
+    endpoint, stopped = Endpoint(never_respond), asyncio.Event()
+    async with sidecar(endpoint) as proxy, asyncio.timeout(10.0):
+        retune(proxy, 300_000)
+        reader, writer = await proxy.connect()
+        if before_sigterm:
             writer.write(sent)
             await until(
-                lambda: any(caller.call or caller.parser.is_reading for caller in one.server.connections)
+                lambda: any(
+                    connection.call or connection.parser.is_reading for connection in proxy.server.connections
+                )
             )
-        one.server.stop(ended.set)
-        by = one.server.responses_due_us
-        if not before:
+        proxy.server.stop(stopped.set)
+        due_us = proxy.server.responses_due_us
+        if not before_sigterm:
             writer.write(sent)
-        back = await read_message(reader)
-        assert int(back.start.split()[1]) == status and back.headers["connection"] == "close"
-        assert one.driver.now() >= by - 1000, "it had its time"
+        response = await read_message(reader)
+        assert int(response.start.split()[1]) == status and response.headers["connection"] == "close"
+        assert proxy.driver.now() >= due_us - 1000, "not before the time it was given"
         writer.close()
-        await ended.wait()
-        assert settled(one)
+        await stopped.wait()
+        assert is_settled(proxy)
 
 
-@pytest.mark.parametrize("read", [True, False])
+@pytest.mark.parametrize("is_read", [True, False])
 @on_loop
-async def test_a_request_that_crosses_the_close_is_served_or_never_sent_on(read: bool) -> None:
-    """Its client sends it again only if the sidecar has not read it."""
+async def test_a_request_that_races_with_the_close_is_served_or_never_forwarded(is_read: bool) -> None:
+    """Its client repeats it only if the sidecar has not read it."""
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with sidecar(endpoint) as proxy:
+        reader, writer = await proxy.connect()
         writer.write(request(rid="before"))
         await read_message(reader)
-        one.server.stop(lambda: None)
-        with writer.get_extra_info("socket").dup() as raw:
-            raw.send(request(rid="last"))  # with the system at once
-        if read:
-            one.server._begin_draining()
-            back = await read_message(reader)
-            assert back.body == b"ok" and back.headers["connection"] == "close"
+        proxy.server.stop(lambda: None)
+        with writer.get_extra_info("socket").dup() as client_socket:
+            client_socket.send(request(rid="last"))  # it is in the socket buffer at once
+        if is_read:
+            proxy.server._begin_draining()
+            response = await read_message(reader)
+            assert response.body == b"ok" and response.headers["connection"] == "close"
         else:
-            one.server._close_idle()
+            proxy.server._close_idle()
             with suppress(ConnectionError):
                 assert await reader.read() == b""
-        await until(lambda: not one.server.connections)
-        assert [one.headers["x-request-id"] for one in endpoint.got] == ["before", "last"][: 1 + read]
-        assert settled(one)
+        await until(lambda: not proxy.server.connections)
+        assert [message.headers["x-request-id"] for message in endpoint.got] == ["before", "last"][
+            : 1 + is_read
+        ]
+        assert is_settled(proxy)
         writer.close()
 
 
-@pytest.mark.parametrize("further", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
+@pytest.mark.parametrize("second_signal", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
 @on_loop
-async def test_a_further_signal_changes_nothing_for_who_is_served(
-    tmp_path: Path, further: signal.Signals
+async def test_a_second_signal_changes_nothing_for_the_request_being_served(
+    tmp_path: Path, second_signal: signal.Signals
 ) -> None:
     release = asyncio.Event()
 
-    async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    async def respond_when_released(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await release.wait()
         writer.write(answer())
 
-    endpoint, registry = Endpoint(slow), Registry()
+    endpoint, registry = Endpoint(respond_when_released), Registry()
     async with await endpoint.start(), await registry.start():
         port = free_port()
         process = await start(config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"))
@@ -183,11 +187,11 @@
         writer.write(request(rid="held"))
         await endpoint.arrived.acquire()
         process.send_signal(signal.SIGTERM)
-        others = {**SETTINGS, "classes": SETTINGS["classes"][1:]}  # its class is gone
-        config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", settings=others)
-        process.send_signal(further)
-        while further == signal.SIGHUP and b"reloaded" not in await process.stderr.readline():
-            pass  # discovery says nothing, and that is told
+        reloaded_settings = {**SETTINGS, "classes": SETTINGS["classes"][1:]}  # without the request's class
+        config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", settings=reloaded_settings)
+        process.send_signal(second_signal)
+        while second_signal == signal.SIGHUP and b"reloaded" not in await process.stderr.readline():
+            pass  # skips other log lines, such as that discovery is silent
         release.set()
         assert (await read_message(reader)).body == b"ok"
         writer.close()
@@ -196,11 +200,11 @@
 
 
 @on_loop
-async def test_sigterm_before_it_listens_ends_it_at_once(tmp_path: Path) -> None:
+async def test_sigterm_before_it_listens_ends_the_process_at_once(tmp_path: Path) -> None:
     endpoint, registry = Endpoint(), Registry()
     async with await endpoint.start(), await registry.start():
         process = await start(config(tmp_path, registry, endpoint))
-        await registry.asked.get()  # it waits a moment for its first list
+        await registry.asked.get()  # it waits briefly for its first list
         process.send_signal(signal.SIGTERM)
         await process.communicate()
-        assert process.returncode in (0, -signal.SIGTERM), "nothing was taken yet"
+        assert process.returncode in (0, -signal.SIGTERM), "no request was accepted yet"
