--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -198,8 +198,8 @@
         ([request_class(repeat, **{"deadline-us": 50_000, "aim-us": 25_000}) for repeat in EFFECTS], {}),
         (
             [
-                request_class(effect, **{"deadline-us": 60_000_000, "aim-us": 30_000_000})
-                for effect in EFFECTS
+                request_class(repeat, **{"deadline-us": 60_000_000, "aim-us": 30_000_000})
+                for repeat in EFFECTS
             ],
             {},
         ),
