--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -62,7 +62,7 @@
             assert response.body == (b"ok" if RESPONSES[form].endswith(b"ok") else LARGE)
             assert "link" not in response.headers and "x-t" not in response.headers
         assert not proxy.driver.calls and not proxy.driver.balancer.requests
-        assert all(not each.moving for each in proxy.driver.balancer.endpoints.values())
+        assert all(not each.transferring for each in proxy.driver.balancer.endpoints.values())
 
 
 @on_loop
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -47,7 +47,7 @@
         assert [message.body for message in endpoint.got] == [body, body] and endpoint.opened == 1
         assert all(0 < int(message.headers["x-deadline-ms"]) <= 4000 for message in endpoint.got)
         assert not proxy.driver.calls and not proxy.driver.balancer.requests
-        assert all(not each.moving for each in proxy.driver.balancer.endpoints.values())
+        assert all(not each.transferring for each in proxy.driver.balancer.endpoints.values())
 
 
 @on_loop
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -82,7 +82,7 @@
         await read_message(idle_reader)
         await proxy.ask(request())
         proxy.told(first.entry("s-0"), second.entry("s-1"))
-        vars(proxy.driver.balancer.choice)["pick"] = lambda now, req, due: proxy.driver.balancer.endpoints[
+        vars(proxy.driver.balancer.picker)["pick"] = lambda now, req, due: proxy.driver.balancer.endpoints[
             endpoint_number("s-1")
         ]
         proxy.upstream.others, proxy.upstream.give_way = (
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -96,10 +96,10 @@
 
     def block(self) -> None:
         """No endpoint accepts a request until `unblock`."""
-        vars(self.proxy.driver.balancer.choice)["pick"] = lambda *_: None
+        vars(self.proxy.driver.balancer.picker)["pick"] = lambda *_: None
 
     def unblock(self) -> None:
-        vars(self.proxy.driver.balancer.choice).pop("pick", None)
+        vars(self.proxy.driver.balancer.picker).pop("pick", None)
         self.fire()
 
     def receive_response(self, raw: bytes) -> None:
@@ -126,8 +126,8 @@
         async with asyncio.timeout(PROMPT_S):
             await until(lambda: not self.proxy.driver.calls and not self.proxy.server.connections)
         balancer = self.proxy.driver.balancer
-        assert not balancer.requests and not balancer.ended
-        assert all(each.inflight == each.moving == 0 for each in balancer.endpoints.values())
+        assert not balancer.requests and not balancer.finished
+        assert all(each.inflight == each.transferring == 0 for each in balancer.endpoints.values())
         assert all(link.attempt is None for link in self.proxy.upstream.links)
         assert not self.proxy.server.paused_clients.clients
 
--- a/woadyard/net/request_head.py
+++ b/woadyard/net/request_head.py
@@ -86,7 +86,7 @@
         raise BadRequestError(400, "X-Class differs from the class in the path")
     if (method == b"GET") != (driver.settings.classes[cls].effect == SAFE):
         raise BadRequestError(405, "the method does not fit the request class")
-    if driver.names.keyed[cls] != (b"idempotency-key" in headers):
+    if driver.names.needs_idempotency_key[cls] != (b"idempotency-key" in headers):
         raise BadRequestError(400, "Idempotency-Key is missing, or not allowed for the request class")
     timeout_ms = parse_number(headers, b"x-deadline-ms")
     timeout_us = driver.settings.classes[cls].deadline_us if timeout_ms is None else timeout_ms * 1000
