--- a/woadyard/net/discovery.py
+++ b/woadyard/net/discovery.py
@@ -22,7 +22,7 @@
 # While nothing changes an empty line comes every 2 s: soon after a missed one the
 # watch is taken for dead, as a network that is cut off says nothing. What changes
 # meanwhile counts as told after 6 s, and the next call may be lost as well.
-SILENCE_TIMEOUT_S = 2.5
+SILENT_S = 2.5
 # Waits before a watch is begun anew: the first spreads those that lost theirs together.
 # A new address binds 4 s after it was named.
 RETRY_INITIAL_S, RETRY_MAX_S = 0.3, 1.2
@@ -68,7 +68,7 @@
         self.current = CurrentVersion()
         self.latest_term = ("", 0)  # lineage and term of the list that is being told, or was last
         self.stream: Stream | None = None  # the watch
-        self.silence_timeout_s = SILENCE_TIMEOUT_S
+        self.silence_timeout_s = SILENT_S
         self.connect_tasks: set[asyncio.Task[None]] = set()
         self.is_moving = False  # to an address that has told nothing yet
         self.is_lost = False  # discovery lost, and said so
