--- a/woadyard/net/discovery.py
+++ b/woadyard/net/discovery.py
@@ -1,8 +1,8 @@
-"""Discovery: keeps the watch open, or asks when told to, and hands lists on.
+"""Client of the discovery service: watches or fetches the list of endpoints and passes lists on.
 
-It may have several replicas: a watch that ends, or a replica that says it is
-out of touch with its writer, or of an older term, turns it to the next one, from the
-version held. Through any outage the last list stays.
+The service may have several replicas. When a watch ends, or a replica reports that it has lost contact
+with its leader or serves an older term, the client turns to the next replica and resumes from the
+current version. The last list stays in use through any outage.
 """
 
 from __future__ import annotations
@@ -19,29 +19,34 @@
 from woadyard.net.list_stream import Stream, StreamFailure
 from woadyard.net.list_version import REFUSE, TAKE, CurrentVersion, ListMessage, ListVersion
 
-# While nothing changes an empty line comes every 2 s: soon after a missed one the
-# watch is taken for dead, as a network that is cut off says nothing. What changes
-# meanwhile counts as told after 6 s, and the next call may be lost as well.
+# On an unchanged list a heartbeat arrives every 2 s. Soon after a missed one the watch counts as dead, as
+# a network partition closes no connection. A change made meanwhile binds after 6 s, and the next call may
+# fail as well.
 SILENT_S = 2.5
-# Waits before a watch is begun anew: the first spreads those that lost theirs together.
-# A new address binds 4 s after it was named.
+# Delays before a watch is reopened; the first one spreads sidecars that lost their watches together.
+# A new address binds 4 s after it was configured.
 RETRY_INITIAL_S, RETRY_MAX_S = 0.3, 1.2
-# Where lists are pushed, what discovery has counts as told at once, watch or no watch: after
-# an outage the list has to be here within the grace of a drain, 250 ms.
+# With pushed lists a change binds at once, with or without a watch: after an outage the list must arrive
+# within the grace of a drain, 250 ms.
 PUSH_RETRY_INITIAL_S, PUSH_RETRY_MAX_S = 0.1, 0.2
-# For as long a new process waits for it before it serves by the list that it started with.
+# How long a new process waits for the first pushed list before it serves by the configured one.
 PUSH_FIRST_LIST_TIMEOUT_S = 0.5
-# Where discovery is asked, a process that starts has no lease before the first list: it is not ready before,
-# but no later than this, as it has to be ready within 6 s.
+# With polling, a new process has no lease before the first list. It is not ready before that list, but no
+# later than this, as it must be ready within 6 s.
 POLL_FIRST_LIST_TIMEOUT_S = 3.5
-# Past the kernel's first repeat of a lost SYN, 1 s on, and no longer: its next one comes
-# 3 s on, and two connections that hang and the waits between have to fit in those 4 s.
+# Longer than the kernel's first retransmission of a lost SYN, after 1 s, but no longer: the next one
+# follows 3 s later, and two connects that time out plus their delays must fit into the 4 s for a new
+# address.
 CONNECT_TIMEOUT_S = 1.25
 LOG = logging.getLogger(__name__)
-LOST_MESSAGE = "discovery lost, the last list kept"
+LOST_MESSAGE = "discovery lost, keeping the last list"
 
 
 class Discovery:
+    """Keeps one watch open, or fetches on request, and passes each accepted list to `on_list`.
+
+    Times are seconds of the loop."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -54,71 +59,72 @@
         self.loop, self.path = loop, path
         self.on_list, self.rng = on_list, rng
         self._apply_push_mode(uses_push)
-        self.list_received = asyncio.Event()  # a list, since the start
-        self.first_result = asyncio.Event()  # that, or that nobody listens at its address
+        self.list_received = asyncio.Event()  # the first list since the start
+        self.first_result = asyncio.Event()  # the first list, or a refused connection
         self.on_failed: Callable[[], None] = lambda: None
         self.on_generation_reset: Callable[[], None] = (
             lambda: None
-        )  # generations count anew from the next list
-        # What renews and ends the membership lease (woadyard/policy/lease.py).
+        )  # before a list of another term or lineage
+        # These renew and end the membership lease (woadyard/policy/lease.py).
         self.on_confirmed: Callable[[], None] = lambda: None
         self.on_silent: Callable[[], None] = lambda: None
         self.on_moved: Callable[[], None] = lambda: None
-        self.on_unreachable: Callable[[float], None] = lambda since_s: None  # nobody listened then
+        self.on_unreachable: Callable[[float], None] = lambda since_s: None  # the connection was refused
         self.current = CurrentVersion()
-        self.latest_term = ("", 0)  # lineage and term of the list that is being told, or was last
+        self.latest_term = ("", 0)  # lineage and term of the list being passed on, or of the last one
         self.stream: Stream | None = None  # the watch
         self.silence_timeout_s = SILENT_S
         self.connect_tasks: set[asyncio.Task[None]] = set()
-        self.is_moving = False  # to an address that has told nothing yet
-        self.is_lost = False  # discovery lost, and said so
+        self.is_moving = False  # to an address that has not sent a list yet
+        self.is_lost = False  # an outage was logged and has not ended
         self.is_closed = False
         self._set_addresses(addresses)
 
     def _apply_push_mode(self, uses_push: bool) -> None:
         self.uses_push = uses_push
-        waits = (PUSH_RETRY_INITIAL_S, PUSH_RETRY_MAX_S) if uses_push else (RETRY_INITIAL_S, RETRY_MAX_S)
-        self.backoff = Backoff(self.rng, *waits)
+        delays_s = (PUSH_RETRY_INITIAL_S, PUSH_RETRY_MAX_S) if uses_push else (RETRY_INITIAL_S, RETRY_MAX_S)
+        self.backoff = Backoff(self.rng, *delays_s)
 
     def _set_addresses(self, addresses: str) -> None:
-        """One of the replicas, so that a fleet is spread over them."""
+        """Start at a random replica, which spreads a fleet over them."""
         self.configured_addresses, self.replicas = addresses, [part.strip() for part in addresses.split(",")]
         self.replica_index = self.rng.randrange(len(self.replicas)) if len(self.replicas) > 1 else 0
 
     @property
     def address(self) -> str:
-        """Of the replica in use."""
+        """The address of the replica in use."""
         return self.replicas[self.replica_index]
 
     @property
     def is_watching(self) -> bool:
-        """A watch is open, or on its way."""
+        """Whether a watch is open or connecting."""
         return self.stream is not None and not self.stream.is_done
 
     @property
     def generation(self) -> int:
-        """Of the list held."""
+        """The generation of the current list."""
         return self.current.version.generation
 
     @generation.setter
-    def generation(self, known: int) -> None:
-        self.current.version = ListVersion(generation=known)
+    def generation(self, known_generation: int) -> None:
+        self.current.version = ListVersion(generation=known_generation)
 
     def set_push_mode(self, uses_push: bool) -> None:
-        """Whether lists are pushed from now on."""
+        """Set whether lists are pushed from now on."""
         if uses_push != self.uses_push:
             self._apply_push_mode(uses_push)
             if uses_push and not self.is_watching:
-                self.set_watch(True)  # the module, which was to ask again, does so no more
+                self.set_watch(True)  # the policy, which would have asked again, no longer does
 
     def change_address(self, addresses: str) -> None:
-        """Discovery has other addresses. A watch that was asked for goes on
-        there, and is asked for again until a first list has come."""
+        """Switch to other addresses.
+
+        An open or failed watch is opened there, and retried until a first list arrives."""
         if addresses == self.configured_addresses:
             return
         before = set(self.replicas)
         self._set_addresses(addresses)
-        # With a replica in common it is the same service: its versions go on.
+        # With a replica in common it is the same service, so its versions stay comparable.
         self.is_moving, self.current.accepts_any_full_list = True, not before & set(self.replicas)
         self.on_moved()
         self.backoff.reset()
@@ -126,16 +132,17 @@
             self.set_watch(True)
 
     async def wait_for_first_list(self) -> None:
-        """Until the first list has come, or it was waited for long enough."""
-        event, most_s = (
+        """Wait until the first list has arrived, with a timeout."""
+        event, timeout_s = (
             (self.list_received, PUSH_FIRST_LIST_TIMEOUT_S)
             if self.uses_push
             else (self.first_result, POLL_FIRST_LIST_TIMEOUT_S)
         )
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(event.wait(), most_s)
+            await asyncio.wait_for(event.wait(), timeout_s)
 
     def set_watch(self, on: bool) -> None:
+        """Close the watch and, if `on`, open a new one."""
         if self.stream is not None:
             self.stream.stop()
             self.stream = None
@@ -143,12 +150,13 @@
             self.stream = self._open_stream(self.current.watch_target(self.path), is_watch=True)
 
     def restart_watch(self) -> None:
-        """Begin the watch anew at another replica: this one tells nothing, or too late."""
+        """Reopen the watch at the next replica, as this one sends nothing or is late."""
         if self.stream is not None:
             self.replica_index = (self.replica_index + 1) % len(self.replicas)
             self.set_watch(True)
 
     def fetch(self) -> None:
+        """Request one full list beside the watch."""
         self._open_stream(self.path, is_watch=False)
 
     def _open_stream(self, target: str, is_watch: bool) -> Stream:
@@ -169,7 +177,7 @@
         except TimeoutError:
             stream.fail(StreamFailure.CONNECT_TIMEOUT)
         except ConnectionRefusedError:
-            if len(self.replicas) == 1:  # another replica may be there
+            if len(self.replicas) == 1:  # otherwise another replica may be reachable
                 self.on_unreachable(stream.started_at_s)
                 self.first_result.set()
             stream.fail(StreamFailure.REFUSED)
@@ -179,40 +187,42 @@
             stream.fail(StreamFailure.SYSTEM)
 
     def _check_silence(self, stream: Stream) -> None:
-        """Guards against a watch, or a call, that died without a word."""
+        """Fail a stream that has made no progress within the silence timeout."""
         if stream.is_done:
             return
-        left = stream.last_progress_s + self.silence_timeout_s - self.loop.time()
-        if left > 0.0:
-            self.loop.call_later(left, self._check_silence, stream)
+        remaining_s = stream.last_progress_s + self.silence_timeout_s - self.loop.time()
+        if remaining_s > 0.0:
+            self.loop.call_later(remaining_s, self._check_silence, stream)
         else:
             stream.fail(StreamFailure.SILENT)
 
     def receive(self, message: ListMessage) -> bool:
-        """One list; PeerError where an entry is none, before any of it is used. False
-        where the replica may be behind: another one is to be asked."""
-        # Guards against a replica that lags, or follows a writer that was replaced: once an
-        # address has told a list, nothing older of it is taken. A first list may be older,
-        # as a new service counts anew.
-        name = message.version
-        verdict = self.current.evaluate(name, message.reset, self.loop.time())
-        if verdict == REFUSE:
-            fields = {"at": self.address, "term": name.term, "held": self.current.version.term}
-            LOG.warning("a list of an older term or another log is not taken", extra=fields)
+        """Evaluate one received list and pass it on if it is accepted.
+
+        Returns False where the replica may be behind, so that another one is to be tried. Raises
+        `PeerError` for an invalid entry, before any entry is used."""
+        # A replica may lag, or follow a leader that was replaced: once an address has sent a list,
+        # nothing older is accepted from it. A first list may be older, as a new service starts its
+        # generations over.
+        version = message.version
+        decision = self.current.evaluate(version, message.reset, self.loop.time())
+        if decision == REFUSE:
+            fields = {"at": self.address, "term": version.term, "held": self.current.version.term}
+            LOG.warning("rejected a list of an older term or another lineage", extra=fields)
             return False
-        if verdict == TAKE:
-            self._apply_list(name, message.reset, message.instances)
+        if decision == TAKE:
+            self._apply_list(version, message.reset, message.instances)
         self.is_moving, self.current.accepts_any_full_list = False, False
         self.list_received.set()
         self.first_result.set()
         if not message.following:
             return False
-        if verdict == TAKE:
+        if decision == TAKE:
             self.confirm()
         self.backoff.reset()
         if self.is_lost:
             self.is_lost = False
-            LOG.info("discovery reached again", extra={"at": self.address, "version": self.generation})
+            LOG.info("discovery reachable again", extra={"at": self.address, "version": self.generation})
         return True
 
     def _apply_list(self, version: ListVersion, is_full: bool, entries: list[dict[str, Any]]) -> None:
@@ -223,28 +233,29 @@
         self.current.replace(version, self.loop.time())
 
     def confirm(self) -> None:
-        """The list held is the one in force by now."""
+        """Report that the current list is still the latest."""
         self.on_confirmed()
 
     def stream_failed(self, stream: Stream) -> None:
-        if self.is_closed or self.is_watching:  # beside a watch, a call that failed says nothing
+        """Log the failure and retry at the next replica, or leave the retry to the policy."""
+        if self.is_closed or self.is_watching:  # a failed fetch beside an open watch has no effect
             return
         self._log_stream_end(stream)
         if stream.confirms_current and stream.failure is StreamFailure.SILENT:
             self.on_silent()
-        # What was heard of another log, or of nobody, is no sign of the one held.
+        # A stream that sent nothing, or another lineage, is no sign that the current lineage is alive.
         if stream is self.stream and stream.decoder.progress_count and not stream.is_other_lineage:
             self.current.lineage_seen_s = max(self.current.lineage_seen_s, stream.last_progress_s)
-        if not self.is_lost:  # once an outage, not once a try
+        if not self.is_lost:  # once per outage, not per attempt
             self.is_lost = True
             fields = {"at": self.address, "version": self.generation, "reason": stream.failure}
             LOG.warning(LOST_MESSAGE, extra=fields)
         self.replica_index = (self.replica_index + 1) % len(self.replicas)
         if not self.uses_push and not self.is_moving:
-            self.on_failed()  # the module says when to ask again
+            self.on_failed()  # the policy decides when to ask again
         elif stream is self.stream:
-            # Full jitter: a fleet that lost its watches together comes back spread
-            # over the whole backoff, not in step at its middle.
+            # Full jitter: sidecars that lost their watches together come back spread over the whole
+            # backoff interval, not in step at its middle.
             self.loop.call_later(self.backoff.next_delay_s(), self._retry_watch, stream)
 
     def _log_stream_end(self, stream: Stream) -> None:
@@ -262,5 +273,6 @@
             self.set_watch(True)
 
     def close(self) -> None:
+        """Close the watch and open no other one."""
         self.is_closed = True
         self.set_watch(False)
--- a/woadyard/net/fetch.py
+++ b/woadyard/net/fetch.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 call to a peer of the project's own: one connection, one answer.
+"""Minimal HTTP/1.1 client for calls between the project's own processes.
 
-Between the processes of a deployment only (replicas, gossip, the release
-tool); requests of callers go through `woadyard.net.upstream`.
+Each call opens one connection and reads one response. It serves replicas, gossip and the release
+tool; requests of clients go through `woadyard.net.upstream`.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class FetchError(PeerError):
-    """The call failed: nothing listens, it broke off, came late, or is no HTTP."""
+    """The call failed: connection refused or lost, timeout, or an invalid HTTP response."""
 
 
 class ResponseTooLargeError(FetchError):
-    """The peer answers with more than was asked for."""
+    """The response body exceeds the size limit of the call."""
 
 
 class _Exchange(asyncio.Protocol):
-    """Writes one request and collects its answer, at most `most` bytes of it."""
+    """Writes one request and collects its response, at most `max_bytes` of body."""
 
     def __init__(self, request: bytes, max_bytes: int) -> None:
         self.request, self.max_bytes = request, max_bytes
@@ -42,19 +42,19 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(FetchError(f"no HTTP answer: {error}"))
+            self._fail(FetchError(f"invalid HTTP response: {error}"))
 
     def on_body(self, data: bytes) -> None:
         self.body += data
         if len(self.body) > self.max_bytes:
-            self._fail(ResponseTooLargeError(f"the answer is over {self.max_bytes} bytes"))
+            self._fail(ResponseTooLargeError(f"the response exceeds {self.max_bytes} bytes"))
 
     def on_message_complete(self) -> None:
         if not self.response.done():
             self.response.set_result((self.parser.get_status_code(), bytes(self.body)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._fail(FetchError("the connection ended before the answer"))
+        self._fail(FetchError("connection closed before the response was complete"))
 
     def _fail(self, error: FetchError) -> None:
         if not self.response.done():
@@ -73,8 +73,10 @@
     max_bytes: int = MAX_RESPONSE_BYTES,
     headers: str = "",
 ) -> tuple[int, bytes]:
-    """Status and body of one call, within `timeout_s` in all; `FetchError` where there is none.
-    `headers` are lines to add to the head, each with its CRLF."""
+    """Send one request and return the status and body of its response.
+
+    `timeout_s` covers the whole call; `headers` are extra header lines, each ending with CRLF.
+    Raises `FetchError` if there is no complete response in time."""
     host, port = address
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n{headers}"
     request = f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
@@ -86,7 +88,7 @@
     except FetchError:
         raise
     except (OSError, TimeoutError) as error:
-        raise FetchError(f"{method} {target} at {host}:{port}: {error or 'too late'}") from None
+        raise FetchError(f"{method} {target} at {host}:{port}: {error or 'timed out'}") from None
     finally:
         exchange.response.cancel()
         if exchange.transport is not None:
--- a/woadyard/net/json_stream.py
+++ b/woadyard/net/json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects from a stream of lines: one a line, or indented over several."""
+"""Incremental decoder for a stream of JSON objects, each on one line or indented over several."""
 
 from __future__ import annotations
 
@@ -14,31 +14,33 @@
 MAX_OBJECT_BYTES = 16 * 1024 * 1024
 STRING_LITERAL = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
 OPENING_BRACKET, CLOSING_BRACKET = re.compile(rb"[\[{]"), re.compile(rb"[\]}]")
-TRUNCATED_MESSAGE = "Input data was truncated"  # as msgspec says it
+TRUNCATED_MESSAGE = "Input data was truncated"  # msgspec's text
 
 
 class JsonStreamDecoder(Generic[T]):
-    """Fed with bytes as they come, it gives each object once it is whole, decoded.
+    """Buffers bytes as they arrive and decodes each object once it is complete.
 
-    An object ends with the line on which its last bracket closes; an empty line between
-    objects is a sign of life. PeerError on what is none, or on one over `OBJECT_MAX` bytes."""
+    An object ends with the line on which its last bracket closes; an empty line between objects is a
+    heartbeat. Raises `PeerError` for anything else, and for an object over `MAX_OBJECT_BYTES`."""
 
     def __init__(self, decoder: msgspec.json.Decoder[T]) -> None:
         self.decoder = decoder
-        self.partial_line = bytearray()  # of a line
-        self.object_lines: list[bytes] = []  # of an object that is open
+        self.partial_line = bytearray()
+        self.object_lines: list[bytes] = []  # lines of an object that is still incomplete
         self.depth = self.object_bytes = 0
-        self.progress_count = 0  # lines begun between objects, and objects ended
-        self.heartbeat_count = 0  # whole empty lines between objects: signs of life
+        self.progress_count = 0  # lines begun between objects, plus objects completed
+        self.heartbeat_count = 0  # complete empty lines between objects
 
     def feed(self, data: bytes) -> None:
+        """Buffer received bytes; raises `PeerError` if the object grows too large."""
         if not self.partial_line and not self.object_lines:
             self.progress_count += 1
         self.partial_line += data
         if len(self.partial_line) + self.object_bytes > MAX_OBJECT_BYTES:
-            raise PeerError("a list without an end")
+            raise PeerError("a JSON object exceeds the size limit")
 
     def read_objects(self) -> Iterator[T]:
+        """Yield the objects that the buffered lines complete; raises `PeerError` on invalid input."""
         while (end := self.partial_line.find(b"\n")) >= 0:
             line = bytes(self.partial_line[:end]).strip()
             del self.partial_line[: end + 1]
@@ -51,36 +53,38 @@
 
     def _start_object(self, line: bytes) -> Iterator[T]:
         try:
-            found = self._decode(line)
+            decoded = self._decode(line)
         except TruncatedObjectError:
             self._buffer_line(line)
         else:
             self.progress_count += 1
-            yield found
+            yield decoded
 
     def _continue_object(self, line: bytes) -> Iterator[T]:
         if not line:
-            raise TruncatedObjectError("a list that broke off")
+            raise TruncatedObjectError("a JSON object ended before its last bracket closed")
         self._buffer_line(line)
         if self.depth <= 0:
-            found = b" ".join(self.object_lines)
+            complete = b" ".join(self.object_lines)
             self.object_lines, self.depth, self.object_bytes = [], 0, 0
             self.progress_count += 1
-            yield self._decode(found)
+            yield self._decode(complete)
 
     def _buffer_line(self, line: bytes) -> None:
-        bare = STRING_LITERAL.sub(b"", line)
-        self.depth += len(OPENING_BRACKET.findall(bare)) - len(CLOSING_BRACKET.findall(bare))
+        without_strings = STRING_LITERAL.sub(b"", line)
+        self.depth += len(OPENING_BRACKET.findall(without_strings)) - len(
+            CLOSING_BRACKET.findall(without_strings)
+        )
         self.object_lines.append(line)
         self.object_bytes += len(line)
 
     def _decode(self, raw: bytes) -> T:
         try:
             return self.decoder.decode(raw)
-        except (ValueError, RecursionError) as error:  # msgspec's own are ValueErrors
-            kind = TruncatedObjectError if str(error) == TRUNCATED_MESSAGE else PeerError
-            raise kind(f"no list: {error}") from None
+        except (ValueError, RecursionError) as error:  # msgspec's own errors are ValueErrors
+            error_type = TruncatedObjectError if str(error) == TRUNCATED_MESSAGE else PeerError
+            raise error_type(f"invalid list: {error}") from None
 
 
 class TruncatedObjectError(PeerError):
-    """An object that ends too soon."""
+    """The input ends before the JSON object is complete."""
--- a/woadyard/net/list_stream.py
+++ b/woadyard/net/list_stream.py
@@ -1,4 +1,4 @@
-"""One answer of discovery: a watch, or one whole list, from the call to its end."""
+"""One HTTP call to discovery, from the connection to its end: a watch, or a fetch of one full list."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class StreamFailure(StrEnum):
-    """Why a call to discovery ended without its list, or why a watch did."""
+    """Why a fetch ended without its list, or why a watch ended."""
 
     REFUSED = "connection refused"
     CONNECT_TIMEOUT = "connect timeout"
-    SYSTEM = "system error"  # of this machine: no descriptor, no port, no route
+    SYSTEM = "system error"  # of this machine: no file descriptor, no port, no route
     RESET = "connection reset"
     CLOSED = "closed by discovery"
     STATUS = "error status"
@@ -33,7 +33,7 @@
 
 
 class StreamOwner(Protocol):
-    """Whose call it is."""
+    """Receives the lists of a stream and is notified of its failure."""
 
     loop: asyncio.AbstractEventLoop
     current: CurrentVersion
@@ -46,23 +46,21 @@
 
 
 class Stream(asyncio.Protocol):
-    """One answer of discovery: a watch, or one whole list.
-
-    Times are those of the owner's loop, s."""
+    """The client side of one watch or fetch. Times are seconds of the owner's loop."""
 
     def __init__(self, owner: StreamOwner, target: str, is_watch: bool) -> None:
         self.owner, self.target, self.is_watch = owner, target, is_watch
         self.parser = httptools.HttpResponseParser(self)
         self.decoder = JsonStreamDecoder(LIST_DECODER)
         self.transport: asyncio.Transport | None = None
-        self.status = 0  # of the answer, once its head has come
-        self.is_complete = False  # the answer has
-        self.is_other_lineage = False  # it told a list of another log than the one held
-        self.confirms_current = False  # the list that it told is the one held
-        self.is_done = False  # whole, or given up: its end says nothing
-        self.failure: StreamFailure | None = None  # why it failed
+        self.status = 0  # of the response, once its head has been received
+        self.is_complete = False  # the response has been received to its end
+        self.is_other_lineage = False  # it sent a list of another lineage than the current one
+        self.confirms_current = False  # the list that it sent is the current one
+        self.is_done = False  # finished or abandoned: what follows is ignored
+        self.failure: StreamFailure | None = None
         self.started_at_s = owner.loop.time()
-        self.last_progress_s = self.started_at_s  # of it: a whole head or line, or the beginning of one
+        self.last_progress_s = self.started_at_s  # a response head, a line, or the beginning of a line
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -78,20 +76,24 @@
     def data_received(self, data: bytes) -> None:
         if self.is_done:
             return
-        said, beats = self.decoder.progress_count, self.decoder.heartbeat_count
+        progress_before, heartbeats_before = self.decoder.progress_count, self.decoder.heartbeat_count
         try:
             if data:
                 self.parser.feed_data(data)
             else:
                 self.decoder.feed(b"\n")
             self._process_response()
-            # Guards against bytes that trickle in and never make a list.
-            if self.decoder.progress_count > said:
+            # Bytes that trickle in without ever completing a list are not progress.
+            if self.decoder.progress_count > progress_before:
                 self.last_progress_s = self.owner.loop.time()
-            if self.confirms_current and not self.is_done and self.decoder.heartbeat_count > beats:
+            if (
+                self.confirms_current
+                and not self.is_done
+                and self.decoder.heartbeat_count > heartbeats_before
+            ):
                 self.owner.confirm()
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail_malformed(PeerError(f"no HTTP answer: {error}"))
+            self._fail_malformed(PeerError(f"invalid HTTP response: {error}"))
         except PeerError as error:
             self._fail_malformed(error)
 
@@ -115,13 +117,13 @@
 
     def _process_response(self) -> None:
         if self.status == 200:
-            for told in self.decoder.read_objects():
-                if not self.owner.receive(told):
-                    self.is_other_lineage = told.lineage != self.owner.current.version.lineage
+            for message in self.decoder.read_objects():
+                if not self.owner.receive(message):
+                    self.is_other_lineage = message.lineage != self.owner.current.version.lineage
                     self.fail(StreamFailure.OUTDATED)
                     return
-                # A replica that lags told an older list: what it says confirms nothing.
-                self.confirms_current = self.owner.current.version == told.version
+                # A lagging replica sends an older list: its heartbeats don't confirm the current one.
+                self.confirms_current = self.owner.current.version == message.version
                 if not self.is_watch:
                     self.stop()
                     return
@@ -131,12 +133,13 @@
             self.fail(StreamFailure.CLOSED)
 
     def stop(self) -> None:
+        """Close the connection without reporting a failure."""
         self.is_done = True
         if self.transport is not None:
             self.transport.abort()
 
     def fail(self, failure: StreamFailure = StreamFailure.REFUSED) -> None:
-        """It tells no more, for this reason."""
+        """Close the connection and report this failure to the owner, once."""
         if not self.is_done:
             self.failure = failure
             self.stop()
@@ -144,5 +147,5 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         if exc is None and self.status == 200 and not self.is_done:
-            self.data_received(b"")  # an answer without length ends so
+            self.data_received(b"")  # a response without a length ends with the connection
         self.fail(StreamFailure.RESET if exc is not None else StreamFailure.CLOSED)
--- a/woadyard/net/list_version.py
+++ b/woadyard/net/list_version.py
@@ -1,9 +1,9 @@
-"""Which list of discovery is held, and which one told may take its place. Pure.
+"""Versions of the endpoint list, and whether a received list may replace the current one. No I/O.
 
-A list is named by its lineage (which log wrote it), its term (which writer) and its
-generation. The greater term is the newer list, whatever its generation; within one
-term the greater generation is. Discovery that knows neither lineage nor term tells
-generations alone: they count as of one lineage and term, both empty.
+A list is identified by its lineage (the log that produced it), its term (the leader that produced it)
+and its generation. The list of the greater term is the newer one, whatever its generation; within one
+term, the greater generation is. A discovery service without lineages and terms sends generations only:
+they count as one lineage and term, both empty.
 """
 
 from __future__ import annotations
@@ -13,8 +13,9 @@
 
 import msgspec
 
-# A list of another log is taken once nothing was heard of the one held for so long: the
-# service began anew. Two services side by side would else take turns in every sidecar.
+# A list of another lineage is accepted once the current lineage has been silent for this long, as the
+# service then started over. Without the wait, two services side by side would replace each other's list
+# in every sidecar by turns.
 OTHER_LINEAGE_AFTER_S = 10.0
 Lineage = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{0,64}\Z")]
 Term = Annotated[int, msgspec.Meta(ge=0, lt=1 << 52)]
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ListVersion:
-    """The name of a list."""
+    """Identifies one version of the endpoint list."""
 
     lineage: str = ""
     term: int = 0
@@ -31,7 +32,7 @@
 
 
 class ListMessage(msgspec.Struct):
-    """One list as discovery tells it; what else it says is passed over."""
+    """One list as discovery sends it, whole or as a delta; unknown fields are ignored."""
 
     generation: int
     reset: bool
@@ -46,39 +47,43 @@
 
 
 class CurrentVersion:
+    """The version of the list in use, and the rules by which another one replaces it."""
+
     def __init__(self) -> None:
         self.version = ListVersion()
-        self.lineage_seen_s = 0.0  # of its lineage, s
-        self.accepts_any_full_list = True  # of a first list, whatever its name, from a new address
+        self.lineage_seen_s = 0.0  # when the current lineage was last received
+        self.accepts_any_full_list = True  # the first full list from a new address, whatever its version
 
     def evaluate(self, candidate: ListVersion, is_full: bool, now_s: float) -> str:
-        """TAKE the list, KEEP the one held (it is newer), or REFUSE, where the replica
-        that told it is not to be heard: it is of an older term, or of another log."""
-        held = self.version
+        """Decide what to do with a received list.
+
+        Returns TAKE to replace the current list, KEEP where the current one is newer, or REFUSE where
+        the replica that sent it must not be used: its list is of an older term or of another lineage."""
+        current = self.version
         if is_full and self.accepts_any_full_list:
             return TAKE
-        if candidate.lineage != held.lineage:
+        if candidate.lineage != current.lineage:
             return TAKE if is_full and now_s - self.lineage_seen_s > OTHER_LINEAGE_AFTER_S else REFUSE
-        if candidate.term < held.term:
+        if candidate.term < current.term:
             return REFUSE
-        if candidate.term == held.term and candidate.generation < held.generation:
+        if candidate.term == current.term and candidate.generation < current.generation:
             return KEEP
         return TAKE
 
     def replace(self, replacement: ListVersion, now_s: float) -> None:
-        """It is held from now on."""
+        """Record that a list of this version is in use from now on."""
         self.version, self.lineage_seen_s = replacement, now_s
 
     def resets_generations(self, candidate: ListVersion) -> bool:
-        """Whether generations up to now and that of `told` say nothing of each other."""
+        """Whether generations so far can't be compared with that of `candidate`."""
         return (candidate.lineage, candidate.term) != (self.version.lineage, self.version.term)
 
     def watch_target(self, path: str) -> str:
-        """Of a watch that goes on from the list held."""
-        held = self.version
-        where = f"&term={held.term}&lineage={held.lineage}" if held.lineage else ""
-        return f"{path}?watch=1&from={held.generation}{where}"
+        """Return the request target of a watch that resumes from the current list."""
+        current = self.version
+        log_position = f"&term={current.term}&lineage={current.lineage}" if current.lineage else ""
+        return f"{path}?watch=1&from={current.generation}{log_position}"
 
     def term_header(self) -> str:
-        """Tells a service which term this process has seen: one that was replaced learns of it."""
+        """Return the header line with the term seen here, from which a replaced leader learns that it was."""
         return f"X-Term: {self.version.lineage}:{self.version.term}\r\n" if self.version.lineage else ""
