--- a/tests/overloaded_registry.py
+++ b/tests/overloaded_registry.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery that tells its list, and can be made to turn every call away."""
+"""A stand-in for discovery that sends its list, and can be made to reject every call."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tests.sockets import Listener, Reader, Writer, push, push_raw, read_message
 
-QUEUE_S = 2.0  # a call waits so long in the queue before it is turned away
+QUEUE_S = 2.0  # how long a call is queued before it is rejected
 HEARTBEAT_S = 0.5
 REJECTION = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -17,7 +17,7 @@
 
 @dataclass
 class OverloadedRegistry(Listener):
-    """While `crowded`, it resets its watches and answers each call 503 after `QUEUE_S`."""
+    """While `is_overloaded`, it resets its watches and rejects each call with 503 after `QUEUE_S`."""
 
     entries: list[dict[str, Any]] = field(default_factory=list)
     generation: int = 5
@@ -32,7 +32,7 @@
             writer.transport.abort()
 
     def recover(self, *entries: dict[str, Any]) -> None:
-        """Answers again, with this list."""
+        """Accept calls again, with this list."""
         self.entries, self.generation, self.is_overloaded = list(entries), self.generation + 1, False
         self.list_sent.clear()
 
@@ -40,13 +40,13 @@
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await read_message(reader)
             if self.is_overloaded:
-                await self._refuse(writer)
+                await self._reject(writer)
             else:
                 await self._watch(writer)
         self.watches.discard(writer)
         writer.close()
 
-    async def _refuse(self, writer: Writer) -> None:
+    async def _reject(self, writer: Writer) -> None:
         await asyncio.sleep(QUEUE_S)
         self.rejected += 1
         writer.write(REJECTION)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that is late, silent or wrong, on a clock set by hand."""
+"""The discovery client when discovery is late, silent or sends invalid data, mostly on a simulated clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FakeLoop:
-    """Of a loop, its clock and its timers alone."""
+    """The clock and the timers of an event loop; time advances only by `advance_to`."""
 
     def __init__(self) -> None:
         self.now, self.timers = 0.0, list[tuple[float, Callable[..., object], tuple[Any, ...]]]()
@@ -34,18 +34,19 @@
         self.timers.append((self.now + delay, callback, args))
 
     def create_task(self, coro: Coroutine[Any, Any, None]) -> Mock:
-        coro.close()  # nothing is connected: the test feeds the stream
+        coro.close()  # no connection is made: the test feeds the stream
         return Mock()
 
     def advance_to(self, end: float) -> None:
-        while (due := min(self.timers, key=lambda one: one[0], default=None)) and due[0] <= end:
-            self.timers.remove(due)
-            self.now = due[0]
-            due[1](*due[2])
+        while (timer := min(self.timers, key=lambda entry: entry[0], default=None)) and timer[0] <= end:
+            self.timers.remove(timer)
+            self.now = timer[0]
+            timer[1](*timer[2])
         self.now = end
 
 
-def open_watch(clock: FakeLoop, discovery: Discovery) -> Stream:
+def open_watch(fake_loop: FakeLoop, discovery: Discovery) -> Stream:
+    """Open the watch and feed it a response head."""
     discovery.set_watch(True)
     assert discovery.stream is not None
     discovery.stream.connection_made(Mock())
@@ -53,28 +54,28 @@
     return discovery.stream
 
 
-def test_a_watch_that_missed_a_line_is_given_up_before_the_next() -> None:
-    clock, failed = FakeLoop(), list[float]()
-    loop = cast(asyncio.AbstractEventLoop, clock)
+def test_watch_that_missed_a_heartbeat_fails_before_the_next_is_due() -> None:
+    fake_loop, failed_at_s = FakeLoop(), list[float]()
+    loop = cast(asyncio.AbstractEventLoop, fake_loop)
     discovery = Discovery(loop, "127.0.0.1:1", "/list", False, lambda *_: None, Random(1))
-    discovery.on_failed = lambda: failed.append(clock.now)
-    stream = open_watch(clock, discovery)
-    for beat in (2.0, 4.0, 6.0):
-        clock.advance_to(beat)
+    discovery.on_failed = lambda: failed_at_s.append(fake_loop.now)
+    stream = open_watch(fake_loop, discovery)
+    for heartbeat_s in (2.0, 4.0, 6.0):
+        fake_loop.advance_to(heartbeat_s)
         stream.data_received(b"1\r\n\n\r\n")
-    assert not failed
-    clock.advance_to(20.0)
-    assert len(failed) == 1 and 8.0 < failed[0] <= 9.0
+    assert not failed_at_s
+    fake_loop.advance_to(20.0)
+    assert len(failed_at_s) == 1 and 8.0 < failed_at_s[0] <= 9.0
 
 
-def test_a_call_that_is_never_answered_is_given_up_in_time() -> None:
-    clock, failed = FakeLoop(), list[float]()
-    loop = cast(asyncio.AbstractEventLoop, clock)
+def test_fetch_without_a_response_fails_in_time() -> None:
+    fake_loop, failed_at_s = FakeLoop(), list[float]()
+    loop = cast(asyncio.AbstractEventLoop, fake_loop)
     discovery = Discovery(loop, "127.0.0.1:1", "/list", False, lambda *_: None, Random(1))
-    discovery.on_failed = lambda: failed.append(clock.now)
+    discovery.on_failed = lambda: failed_at_s.append(fake_loop.now)
     discovery.fetch()
-    clock.advance_to(20.0)
-    assert len(failed) == 1 and failed[0] <= 3.0
+    fake_loop.advance_to(20.0)
+    assert len(failed_at_s) == 1 and failed_at_s[0] <= 3.0
 
 
 INDENTED = json.dumps(
@@ -83,203 +84,205 @@
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-@pytest.mark.parametrize("watch", [True, False])
-def test_an_indented_list_is_read_on_a_watch_and_in_an_answer(watch: bool) -> None:
-    clock, lists = FakeLoop(), list[tuple[Any, ...]]()
-    loop = cast(asyncio.AbstractEventLoop, clock)
-    discovery = Discovery(loop, "127.0.0.1:1", "/list", True, lambda *told: lists.append(told), Random(1))
-    stream = Stream(discovery, "/list", watch)
+@pytest.mark.parametrize("is_watch", [True, False])
+def test_indented_list_is_decoded_on_a_watch_and_on_a_fetch(is_watch: bool) -> None:
+    fake_loop, lists = FakeLoop(), list[tuple[Any, ...]]()
+    loop = cast(asyncio.AbstractEventLoop, fake_loop)
+    discovery = Discovery(
+        loop, "127.0.0.1:1", "/list", True, lambda *received: lists.append(received), Random(1)
+    )
+    stream = Stream(discovery, "/list", is_watch)
     stream.connection_made(Mock())
-    lines = INDENTED + b"\n\n" + INDENTED.replace(b"44", b"45") + b"\n" if watch else INDENTED
-    for at in range(0, len(lines), 7):
-        part = lines[at : at + 7]
-        stream.data_received((CHUNKED_HEAD if not at else b"") + b"%x\r\n%b\r\n" % (len(part), part))
+    body = INDENTED + b"\n\n" + INDENTED.replace(b"44", b"45") + b"\n" if is_watch else INDENTED
+    for offset in range(0, len(body), 7):
+        part = body[offset : offset + 7]
+        stream.data_received((CHUNKED_HEAD if not offset else b"") + b"%x\r\n%b\r\n" % (len(part), part))
     stream.data_received(b"0\r\n\r\n")
-    assert [told[:2] for told in lists] == ([(44, True), (45, True)] if watch else [(44, True)])
+    assert [received[:2] for received in lists] == ([(44, True), (45, True)] if is_watch else [(44, True)])
     assert lists[0][2] == json.loads(INDENTED)["instances"] and stream.is_done
 
 
 @pytest.mark.parametrize(
-    "lines", [b"{not json\n", b'{\n"generation": 4,\n\n', b'{"generation": 4,\n}\n', b"]\n", b'{"a\n"}\n']
+    "raw", [b"{not json\n", b'{\n"generation": 4,\n\n', b'{"generation": 4,\n}\n', b"]\n", b'{"a\n"}\n']
 )
-def test_what_is_no_list_is_told_at_once(lines: bytes) -> None:
+def test_invalid_list_is_rejected_at_once(raw: bytes) -> None:
     with pytest.raises(PeerError):
-        objects = JsonStreamDecoder(LIST_DECODER)
-        objects.feed(lines)
-        list(objects.read_objects())
+        decoder = JsonStreamDecoder(LIST_DECODER)
+        decoder.feed(raw)
+        list(decoder.read_objects())
 
 
-def test_copies_that_lost_their_watches_together_ask_again_apart() -> None:
-    clock = FakeLoop()
-    loop = cast(asyncio.AbstractEventLoop, clock)
-    times = []
+def test_sidecars_that_lost_their_watches_together_retry_at_different_times() -> None:
+    fake_loop = FakeLoop()
+    loop = cast(asyncio.AbstractEventLoop, fake_loop)
+    retry_times_s = []
     for seed in range(40):
         discovery = Discovery(loop, "127.0.0.1:1", "/list", True, lambda *_: None, Random(seed))
-        stream = open_watch(clock, discovery)
-        clock.timers.clear()
+        stream = open_watch(fake_loop, discovery)
+        fake_loop.timers.clear()
         for _ in range(3):
             stream.connection_lost(None)
-            again, callback, args = clock.timers.pop()
+            retry_at_s, callback, args = fake_loop.timers.pop()
             callback(*args)
             assert discovery.stream is not None
             stream = discovery.stream
-        times.append(again)
-    assert len(set(times)) == 40 and max(times) > 2 * min(times)
+        retry_times_s.append(retry_at_s)
+    assert len(set(retry_times_s)) == 40 and max(retry_times_s) > 2 * min(retry_times_s)
 
 
-def test_a_list_older_than_a_drain_does_not_bring_the_endpoint_back() -> None:
+def test_list_older_than_a_drain_does_not_bring_the_endpoint_back() -> None:
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
-        async with sidecar(first, second) as one:
-            numbers = {endpoint_number(name): name for name in ("s-0", "s-1")}
+        async with sidecar(first, second) as running:
+            names = {endpoint_number(name): name for name in ("s-0", "s-1")}
 
-            def told(version: int, whole: bool, *entries: dict[str, Any]) -> set[str]:
-                one.driver.listed(version, whole, list(entries))
-                ready = {numbers[endpoint.id] for _, endpoint in one.driver.balancer.ring.order}
-                assert ready == {numbers[number] for number in one.upstream.pools}
+            def ready_after(version: int, is_full: bool, *entries: dict[str, Any]) -> set[str]:
+                running.driver.listed(version, is_full, list(entries))
+                ready = {names[endpoint.id] for _, endpoint in running.driver.balancer.ring.order}
+                assert ready == {names[number] for number in running.upstream.pools}
                 return ready
 
             both = first.entry("s-0"), second.entry("s-1")
-            told(45, False, first.entry("s-0", lifecycle="draining"))
-            assert told(42, True, *both) == {"s-1"}, "an old list, told whole"
-            assert told(46, True, both[1]) == {"s-1"}
-            assert told(44, True, *both) == {"s-1"}, "it was missing from a newer one"
-            since = first.entry("s-0", startedAtMs=99)
-            assert told(3, True, since, both[1]) == {"s-0", "s-1"}, "another process"
-            told(47, False, first.entry("s-0", lifecycle="gone"))
-            assert told(48, True, *both) == {"s-0", "s-1"}, "a newer list may take it back"
+            ready_after(45, False, first.entry("s-0", lifecycle="draining"))
+            assert ready_after(42, True, *both) == {"s-1"}, "an older full list"
+            assert ready_after(46, True, both[1]) == {"s-1"}
+            assert ready_after(44, True, *both) == {"s-1"}, "a newer full list left it out"
+            restarted = first.entry("s-0", startedAtMs=99)
+            assert ready_after(3, True, restarted, both[1]) == {"s-0", "s-1"}, "it is another process"
+            ready_after(47, False, first.entry("s-0", lifecycle="gone"))
+            assert ready_after(48, True, *both) == {"s-0", "s-1"}, "a newer list may bring it back"
 
     run(main())
 
 
-def test_an_empty_list_is_believed_and_the_next_one_serves_again() -> None:
+def test_empty_list_is_applied_and_the_next_list_serves_again() -> None:
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
-        async with sidecar(endpoint, registry=registry) as one:
+        async with sidecar(endpoint, registry=registry) as running:
             _, watch = await registry.asked.get()
             push(watch, 42, True)
-            while one.driver.balancer.ring.order:
+            while running.driver.balancer.ring.order:
                 await asyncio.sleep(0)
-            refused = await one.ask(request(deadline_ms=60))
+            refused = await running.ask(request(deadline_ms=60))
             assert refused.start.split()[1] == "503" and not endpoint.got
             push(watch, 43, True, endpoint.entry("s-0"))
-            while not one.driver.balancer.ring.order:
+            while not running.driver.balancer.ring.order:
                 await asyncio.sleep(0)
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await running.ask(request(rid="r2"))).body == b"ok"
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
-        b"",  # a reset or an end before any answer
+        b"",  # the connection ends before any response
         b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n17\r\n" + b'{"generation":44,"reset',
         b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n{"genera\r\n0\r\n\r\n',
     ],
 )
-def test_an_answer_that_breaks_off_changes_nothing_and_is_asked_for_again(
-    answer: bytes, capsys: pytest.CaptureFixture[str]
+def test_truncated_response_changes_nothing_and_the_call_is_retried(
+    response: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def main() -> None:
-        async def once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await read_message(reader)).start)
-            if len(asked) > 1:
-                again.set()
+        async def fail_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            request_lines.append((await read_message(reader)).start)
+            if len(request_lines) > 1:
+                retried.set()
                 await reader.read()
             else:
-                writer.write(answer)
+                writer.write(response)
             writer.close()
 
-        asked, again = list[str](), asyncio.Event()
-        listener = await asyncio.start_server(once, "127.0.0.1", 0)
+        request_lines, retried = list[str](), asyncio.Event()
+        listener = await asyncio.start_server(fail_once, "127.0.0.1", 0)
         registry = Registry()
-        async with listener, sidecar(Endpoint(), registry=registry) as one:
-            assert one.driver.discovery is not None
-            one.driver.discovery.change_address(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
-            await again.wait()
-            assert "from=41 " in asked[1], "nothing of it was taken"
-            assert (await one.ask(request())).body == b"ok"
-            one.driver.discovery.close()
+        async with listener, sidecar(Endpoint(), registry=registry) as running:
+            assert running.driver.discovery is not None
+            running.driver.discovery.change_address(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
+            await retried.wait()
+            assert "from=41 " in request_lines[1], "nothing of the response was applied"
+            assert (await running.ask(request())).body == b"ok"
+            running.driver.discovery.close()
 
     run(main())
     assert "Traceback" not in capsys.readouterr().err
 
 
-def test_the_first_pushed_list_is_waited_for_and_not_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What discovery has counts as told from a process's first moment, watch or no watch."""
+def test_wait_for_the_first_pushed_list_has_a_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With pushed lists a change binds from the start of a process, with or without a watch."""
 
     async def main() -> None:
         registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as one:
-            discovery = one.driver.discovery
+        async with sidecar(Endpoint(), registry=registry) as running:
+            discovery = running.driver.discovery
             assert discovery is not None
             monkeypatch.setattr("woadyard.net.discovery.PUSH_FIRST_LIST_TIMEOUT_S", 0.01)
             await discovery.wait_for_first_list()
-            assert not discovery.list_received.is_set(), "discovery may be down"
+            assert not discovery.list_received.is_set(), "it timed out, as discovery may be down"
             monkeypatch.setattr("woadyard.net.discovery.PUSH_FIRST_LIST_TIMEOUT_S", 60.0)
             waiting = asyncio.create_task(discovery.wait_for_first_list())
             _, watch = await registry.asked.get()
             assert not waiting.done()
             push(watch, 42, True)
             await waiting
-            assert not one.driver.listing.ready_numbers()
+            assert not running.driver.listing.ready_numbers()
 
     run(main())
 
 
-def test_discovery_that_is_down_is_asked_again_and_serves_once_it_is_back() -> None:
+def test_unreachable_discovery_is_retried_until_it_is_back() -> None:
     async def main() -> None:
         registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as one:
+        async with sidecar(Endpoint(), registry=registry) as running:
             _, watch = await registry.asked.get()
-            with socket.socket() as held:  # bound, and refusing: it does not listen
-                held.bind(("127.0.0.1", 0))
-                assert one.driver.discovery is not None
-                one.driver.discovery.change_address(f"127.0.0.1:{held.getsockname()[1]}")
-                while (backoff := one.driver.discovery.backoff).ceiling_s < backoff.max_s:
+            with socket.socket() as bound:  # it refuses connections until it listens
+                bound.bind(("127.0.0.1", 0))
+                assert running.driver.discovery is not None
+                running.driver.discovery.change_address(f"127.0.0.1:{bound.getsockname()[1]}")
+                while (backoff := running.driver.discovery.backoff).ceiling_s < backoff.max_s:
                     await asyncio.sleep(0.01)
-                assert (await one.ask(request())).body == b"ok", "by the list held"
-                held.listen()
-                held.setblocking(False)
-                peer, _ = await asyncio.get_running_loop().sock_accept(held)
+                assert (await running.ask(request())).body == b"ok", "by the current list"
+                bound.listen()
+                bound.setblocking(False)
+                peer, _ = await asyncio.get_running_loop().sock_accept(bound)
                 peer.close()
-                one.driver.discovery.close()
+                running.driver.discovery.close()
             watch.close()
 
     run(main())
 
 
-def test_an_address_that_was_named_for_a_moment_costs_no_connection() -> None:
-    """Two SIGHUPs in a row: the call of the first is given up before it is begun."""
+def test_address_replaced_at_once_gets_no_connection() -> None:
+    """Two SIGHUPs in a row: the call of the first is abandoned before it connects."""
 
     async def main() -> None:
         async def count(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            opened.append(writer)
+            connections.append(writer)
             if await reader.read(1):
-                asked.set()
+                requested.set()
 
-        opened, asked = list[asyncio.StreamWriter](), asyncio.Event()
+        connections, requested = list[asyncio.StreamWriter](), asyncio.Event()
         listener = await asyncio.start_server(count, "127.0.0.1", 0)
         registry, other = Registry(), Registry()
         closing = await other.start()
-        async with listener, closing, sidecar(Endpoint(), registry=registry) as one:
-            discovery = one.driver.discovery
+        async with listener, closing, sidecar(Endpoint(), registry=registry) as running:
+            discovery = running.driver.discovery
             assert discovery is not None
             await registry.asked.get()
             discovery.change_address(f"127.0.0.1:{other.port}")
             discovery.change_address(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
-            await asked.wait()
-            assert len(opened) == 1 and other.asked.empty()
+            await requested.wait()
+            assert len(connections) == 1 and other.asked.empty()
             discovery.close()
-            opened[0].close()
+            connections[0].close()
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    ("data", "end"),
+    ("data", "failure"),
     [
         (b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", StreamFailure.STATUS),
         (CHUNKED_HEAD + b'5\r\n{"a"\n\r\n0\r\n\r\n', StreamFailure.MALFORMED),
@@ -288,11 +291,11 @@
         (b"", StreamFailure.SILENT),
     ],
 )
-def test_the_end_of_a_call_is_logged_with_its_reason(
-    data: bytes, end: StreamFailure, caplog: pytest.LogCaptureFixture
+def test_failure_of_a_call_is_logged_with_its_reason(
+    data: bytes, failure: StreamFailure, caplog: pytest.LogCaptureFixture
 ) -> None:
-    clock = FakeLoop()
-    loop = cast(asyncio.AbstractEventLoop, clock)
+    fake_loop = FakeLoop()
+    loop = cast(asyncio.AbstractEventLoop, fake_loop)
     discovery = Discovery(loop, "127.0.0.1:1", "/list", False, lambda *_: None, Random(1))
     with caplog.at_level(logging.DEBUG, logger="woadyard.net.discovery"):
         discovery.set_watch(True)
@@ -300,8 +303,8 @@
         discovery.stream.connection_made(Mock())
         if data:
             discovery.stream.data_received(data)
-        clock.advance_to(3.0)
+        fake_loop.advance_to(3.0)
     ended = [record for record in caplog.records if record.getMessage() == "discovery call ended"]
-    assert [record.__dict__["reason"] for record in ended] == [end]
+    assert [record.__dict__["reason"] for record in ended] == [failure]
     lost = [record for record in caplog.records if record.getMessage() == LOST_MESSAGE]
-    assert [record.__dict__["reason"] for record in lost] == [end]
+    assert [record.__dict__["reason"] for record in lost] == [failure]
--- a/tests/test_discovery_overload.py
+++ b/tests/test_discovery_overload.py
@@ -1,8 +1,8 @@
-"""A fleet and a discovery that handles one call after another, on one simulated clock.
+"""A fleet and a discovery service that handles one call at a time, on one simulated clock.
 
-It answers 503 to who waited longer than its limit, yet works through that call in its turn all
-the same: a fleet that asks again too soon keeps it busy with calls that nobody waits for any
-more, and most are never told again (congestion collapse)."""
+The service rejects a call with 503 once it was queued for longer than a limit, yet still processes
+that call in its turn. A fleet that retries too soon keeps it busy with calls that nobody waits for,
+and most sidecars never receive a list again (congestion collapse)."""
 
 from __future__ import annotations
 
@@ -35,88 +35,90 @@
 from woadyard.net.upstream import Upstream
 from woadyard.wire import read_settings
 
-LIMIT_S = 2.0
+QUEUE_TIMEOUT_S = 2.0
 
 
-class World:
-    """The clock and the timers of all, in order."""
+class Simulation:
+    """The clock of the fleet and the service, and their timers in order."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.due: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
+        self.timers: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
         self.counter = itertools.count()
 
     def time(self) -> float:
         return self.now
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> None:
-        heapq.heappush(self.due, (self.now + delay, next(self.counter), callback, args))
+        heapq.heappush(self.timers, (self.now + delay, next(self.counter), callback, args))
 
     def run(self, end: float) -> None:
-        while self.due and self.due[0][0] <= end:
-            self.now, _, callback, args = heapq.heappop(self.due)
+        while self.timers and self.timers[0][0] <= end:
+            self.now, _, callback, args = heapq.heappop(self.timers)
             callback(*args)
         self.now = end
 
 
-class Crowded:
-    """The service: so many calls a second, each in its turn, and none while it is down."""
+class OverloadedService:
+    """Discovery: processes `calls_per_s` one after another, and none while it is down."""
 
-    def __init__(self, world: World, per_s: float) -> None:
-        self.world, self.per_s = world, per_s
-        self.line: deque[Stream] = deque()
-        self.busy, self.down = False, False
-        self.calls: list[float] = []  # when each began
+    def __init__(self, simulation: Simulation, calls_per_s: float) -> None:
+        self.simulation, self.calls_per_s = simulation, calls_per_s
+        self.queue: deque[Stream] = deque()
+        self.is_busy, self.is_down = False, False
+        self.call_times_s: list[float] = []
 
     def call(self, stream: Stream) -> None:
-        self.calls.append(self.world.now)
-        self.world.call_later(LIMIT_S, self._refuse, stream)
-        if not self.down:
-            self.line.append(stream)
-            self._serve()
+        self.call_times_s.append(self.simulation.now)
+        self.simulation.call_later(QUEUE_TIMEOUT_S, self._reject, stream)
+        if not self.is_down:
+            self.queue.append(stream)
+            self._process_next()
 
-    def _refuse(self, stream: Stream) -> None:
+    def _reject(self, stream: Stream) -> None:
         if not stream.is_done and not stream.status:
             stream.data_received(b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy")
 
-    def _serve(self) -> None:
-        if self.line and not self.busy:
-            self.busy = True
-            self.world.call_later(1.0 / self.per_s, self._served, self.line.popleft())
+    def _process_next(self) -> None:
+        if self.queue and not self.is_busy:
+            self.is_busy = True
+            self.simulation.call_later(1.0 / self.calls_per_s, self._finish_call, self.queue.popleft())
 
-    def _served(self, stream: Stream) -> None:
-        self.busy = False
+    def _finish_call(self, stream: Stream) -> None:
+        self.is_busy = False
         if not stream.is_done:
             line = b'{"generation": 1, "reset": false, "instances": []}\n'
             stream.data_received(CHUNKED_HEAD + b"%x\r\n%b\r\n" % (len(line), line))
-            self._beat(stream)
-        self._serve()
+            self._send_heartbeat(stream)
+        self._process_next()
 
-    def _beat(self, stream: Stream) -> None:
+    def _send_heartbeat(self, stream: Stream) -> None:
         if not stream.is_done:
             stream.data_received(b"1\r\n\n\r\n")
-            self.world.call_later(2.0, self._beat, stream)
+            self.simulation.call_later(2.0, self._send_heartbeat, stream)
 
 
 class Sidecar:
-    """One sidecar's module and discovery."""
+    """The policy and the discovery client of one sidecar; it is also their event loop."""
 
-    def __init__(self, world: World, service: Crowded, seed: int, copies: int) -> None:
-        self.world, self.service = world, service
-        self.told: list[float] = []
+    def __init__(
+        self, simulation: Simulation, service: OverloadedService, seed: int, fleet_size: int
+    ) -> None:
+        self.simulation, self.service = simulation, service
+        self.received_at_s: list[float] = []
         loop = cast(asyncio.AbstractEventLoop, self)
-        raw = {**settings_of(10.0), "instances": copies}
-        read = read_settings(json.dumps(raw).encode())
-        self.driver = Driver(loop, seed, read, raw, Upstream(loop, Driver.now, 64))
+        raw = {**settings_of(10.0), "instances": fleet_size}
+        parsed = read_settings(json.dumps(raw).encode())
+        self.driver = Driver(loop, seed, parsed, raw, Upstream(loop, Driver.now, 64))
         self.discovery = self.driver.discovery = Discovery(
-            loop, "127.0.0.1:1", "/list", False, self._listen, Random(seed)
+            loop, "127.0.0.1:1", "/list", False, self._on_list, Random(seed)
         )
 
     def time(self) -> float:
-        return self.world.now
+        return self.simulation.now
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> None:
-        self.world.call_later(delay, callback, *args)
+        self.simulation.call_later(delay, callback, *args)
 
     def create_task(self, coro: Coroutine[Any, Any, None]) -> Mock:
         coro.close()
@@ -129,110 +131,130 @@
             stream.connection_made(Mock())
             self.service.call(stream)
 
-    def _listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
+    def _on_list(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         self.driver.listed(version, whole, entries)
-        self.told.append(self.world.now)
+        self.received_at_s.append(self.simulation.now)
 
-    def lose(self) -> None:
+    def lose_watch(self) -> None:
         if (stream := self.discovery.stream) is not None and not stream.is_done:
             stream.connection_lost(ConnectionResetError())
 
 
-def fleet(
-    monkeypatch: pytest.MonkeyPatch, copies: int, per_s: float, seed: int, known_copies: int = 1
+def run_fleet(
+    monkeypatch: pytest.MonkeyPatch, size: int, calls_per_s: float, seed: int, configured_size: int = 1
 ) -> list[Sidecar]:
-    """Sidecars that start together, with all that they do up to 40 s; `known_copies` by their settings."""
-    world = World()
+    """Run `size` sidecars that start together for 40 s; their settings give `configured_size`."""
+    simulation = Simulation()
     monkeypatch.setattr("woadyard.net.discovery.LOG", Mock())
-    monkeypatch.setattr("woadyard.net.turns.now_us", lambda: round(world.now * 1e6))
-    service = Crowded(world, per_s)
-    sidecars = [Sidecar(world, service, seed * 1_000 + number, known_copies) for number in range(copies)]
-    for one in sidecars:
-        one.driver.start(None)
-    world.run(40.0)
+    monkeypatch.setattr("woadyard.net.turns.now_us", lambda: round(simulation.now * 1e6))
+    service = OverloadedService(simulation, calls_per_s)
+    sidecars = [
+        Sidecar(simulation, service, seed * 1_000 + number, configured_size) for number in range(size)
+    ]
+    for sidecar in sidecars:
+        sidecar.driver.start(None)
+    simulation.run(40.0)
     return sidecars
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_fleet_whose_calls_crowd_discovery_is_told_all_the_same(
+def test_fleet_that_overloads_discovery_still_receives_its_lists(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """100 sidecars start together, and discovery serves 20 calls a second: 5 s of work."""
-    sidecars = fleet(monkeypatch, 100, 20.0, seed)
-    assert all(one.told for one in sidecars), "none stays out"
-    assert max(one.told[0] for one in sidecars) < 20.0
-    assert len(sidecars[0].service.calls) <= 300
+    """100 sidecars start together, and discovery processes 20 calls per second: 5 s of work."""
+    sidecars = run_fleet(monkeypatch, 100, 20.0, seed)
+    assert all(sidecar.received_at_s for sidecar in sidecars), "every sidecar receives a list"
+    assert max(sidecar.received_at_s[0] for sidecar in sidecars) < 20.0
+    assert len(sidecars[0].service.call_times_s) <= 300
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_many_copies_wait_longer_until_even_a_slow_discovery_has_told_them_all(
+def test_large_fleet_backs_off_until_a_slow_discovery_has_served_it(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """It serves 14 calls a second, as where each has to tell some 50 changes: 7 s of work for 100 copies."""
-    sidecars = fleet(monkeypatch, 100, 14.0, seed, known_copies=100)
-    sidecars[0].world.run(60.0)
-    assert all(one.told for one in sidecars), "none stays out"
-    assert len(sidecars[0].service.calls) <= 500
+    """14 calls per second, as with some 50 changes in each response: 7 s of work for 100 sidecars."""
+    sidecars = run_fleet(monkeypatch, 100, 14.0, seed, configured_size=100)
+    sidecars[0].simulation.run(60.0)
+    assert all(sidecar.received_at_s for sidecar in sidecars), "every sidecar receives a list"
+    assert len(sidecars[0].service.call_times_s) <= 500
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_fleet_that_lost_discovery_comes_back_spread(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
-    """Where discovery has time for all, none is late, and the calls do not come together."""
-    sidecars = fleet(monkeypatch, 200, 1_000.0, seed)
-    world, service = sidecars[0].world, sidecars[0].service
-    service.down = True
-    for one in sidecars:
-        one.lose()
-    world.run(48.0)
-    service.down = False
-    world.run(60.0)
-    calls = [at for at in service.calls if at >= 48.0]
-    assert max(min(at for at in one.told if at >= 48.0) for one in sidecars) < 53.0 and len(calls) == 200
-    assert max(sum(at <= other < at + 0.01 for other in calls) for at in calls) <= 8
-
-
-def queued(chain: SimulatedSidecar, stream: Stream) -> None:
-    """Turned away after its wait in a crowd."""
+def test_reconnects_after_an_outage_are_spread(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
+    """With enough capacity, no sidecar is late, and the calls do not arrive all at once."""
+    sidecars = run_fleet(monkeypatch, 200, 1_000.0, seed)
+    simulation, service = sidecars[0].simulation, sidecars[0].service
+    service.is_down = True
+    for sidecar in sidecars:
+        sidecar.lose_watch()
+    simulation.run(48.0)
+    service.is_down = False
+    simulation.run(60.0)
+    call_times_s = [time_s for time_s in service.call_times_s if time_s >= 48.0]
+    assert (
+        max(min(time_s for time_s in sidecar.received_at_s if time_s >= 48.0) for sidecar in sidecars) < 53.0
+        and len(call_times_s) == 200
+    )
+    assert (
+        max(sum(start_s <= other_s < start_s + 0.01 for other_s in call_times_s) for start_s in call_times_s)
+        <= 8
+    )
+
+
+def status_503_after_queueing(sidecar: SimulatedSidecar, stream: Stream) -> None:
+    """The overloaded service rejects the call after its queue timeout."""
     stream.connection_made(Mock())
-    chain.call_later(LIMIT_S, stream.data_received, b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy")
+    sidecar.call_later(
+        QUEUE_TIMEOUT_S, stream.data_received, b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy"
+    )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(
     period_s=st.sampled_from(PERIODS_S),
-    slow=st.sampled_from([None, connect_timeout]),
-    refusal=st.sampled_from([None, *FAST_FAILURES]),
-    first=st.booleans(),
+    slow_failure=st.sampled_from([None, connect_timeout]),
+    fast_failure=st.sampled_from([None, *FAST_FAILURES]),
+    is_slow_first=st.booleans(),
     seed=st.one_of(st.none(), st.integers(0, 1_000)),
 )
-def test_any_chain_of_silence_connect_refusal_and_waits_ends_in_time(
-    period_s: float, slow: CallOutcome | None, refusal: CallOutcome | None, first: bool, seed: int | None
+def test_list_arrives_in_time_after_silence_and_any_two_failures(
+    period_s: float,
+    slow_failure: CallOutcome | None,
+    fast_failure: CallOutcome | None,
+    is_slow_first: bool,
+    seed: int | None,
 ) -> None:
-    """What a silent watch missed binds after 6 s; the waits as drawn, or the longest there are."""
+    """A change that a silent watch missed binds after 6 s; delays are random or the longest possible."""
     with pytest.MonkeyPatch.context() as monkeypatch:
-        chain = SimulatedSidecar(monkeypatch, period_s)
+        sidecar = SimulatedSidecar(monkeypatch, period_s)
         if seed is not None:
-            chain.driver.balancer.ctx.rng = Random(seed)
-            chain.discovery.rng = chain.discovery.backoff.rng = Random(seed)
-        chain.seconds_until_list()
-        events = [one for one in ((slow, refusal) if first else (refusal, slow)) if one is not None]
-        assert chain.seconds_until_list(*events) <= 5.3
+            sidecar.driver.balancer.ctx.rng = Random(seed)
+            sidecar.discovery.rng = sidecar.discovery.backoff.rng = Random(seed)
+        sidecar.seconds_until_list()
+        failures = [
+            failure
+            for failure in ((slow_failure, fast_failure) if is_slow_first else (fast_failure, slow_failure))
+            if failure is not None
+        ]
+        assert sidecar.seconds_until_list(*failures) <= 5.3
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(
     period_s=st.sampled_from(PERIODS_S),
-    before=st.lists(st.sampled_from([*FAST_FAILURES, connect_timeout, queued]), min_size=1, max_size=12),
-    refusal=st.sampled_from([None, *FAST_FAILURES]),
+    outage=st.lists(
+        st.sampled_from([*FAST_FAILURES, connect_timeout, status_503_after_queueing]), min_size=1, max_size=12
+    ),
+    fast_failure=st.sampled_from([None, *FAST_FAILURES]),
 )
-def test_after_any_outage_a_call_begun_too_soon_and_a_refusal_the_list_is_there_in_time(
-    period_s: float, before: list[CallOutcome], refusal: CallOutcome | None
+def test_list_arrives_in_time_after_any_outage_and_one_more_failure(
+    period_s: float, outage: list[CallOutcome], fast_failure: CallOutcome | None
 ) -> None:
-    """Discovery can be reached again just after the last of these was begun."""
+    """Discovery becomes reachable just after the start of the last call of the outage."""
     with pytest.MonkeyPatch.context() as monkeypatch:
-        chain = SimulatedSidecar(monkeypatch, period_s)
-        chain.seconds_until_list()
-        chain.outcomes = list(before)
-        while chain.outcomes:
-            chain.advance_to(chain.now + 0.01)
-        assert chain.seconds_until_list(*[refusal] if refusal else []) <= 4.9
+        sidecar = SimulatedSidecar(monkeypatch, period_s)
+        sidecar.seconds_until_list()
+        sidecar.outcomes = list(outage)
+        while sidecar.outcomes:
+            sidecar.advance_to(sidecar.now + 0.01)
+        assert sidecar.seconds_until_list(*[fast_failure] if fast_failure else []) <= 4.9
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoints as lists tell them, and the watch that brings the lists."""
+"""How received lists change the endpoints, and the watch that receives the lists."""
 
 from __future__ import annotations
 
@@ -33,108 +33,108 @@
 from woadyard.policy import Balancer
 
 
-def lists(one: Sidecar) -> asyncio.Queue[tuple[int, list[Entry]]]:
-    """All lists that the module is told from now on."""
-    told: asyncio.Queue[tuple[int, list[Entry]]] = asyncio.Queue()
-    real = one.driver.balancer.members
+def received_lists(running: Sidecar) -> asyncio.Queue[tuple[int, list[Entry]]]:
+    """Return a queue of all lists that the policy receives from now on."""
+    lists: asyncio.Queue[tuple[int, list[Entry]]] = asyncio.Queue()
+    real = running.driver.balancer.members
 
     def members(now: int, mode: int, entries: list[Entry]) -> list[Action]:
-        told.put_nowait((mode, list(entries)))
+        lists.put_nowait((mode, list(entries)))
         return real(now, mode, entries)
 
-    vars(one.driver.balancer)["members"] = members
-    return told
+    vars(running.driver.balancer)["members"] = members
+    return lists
 
 
 @on_loop
-async def test_endpoint_numbers_come_from_the_name_alone() -> None:
+async def test_endpoint_numbers_depend_on_the_name_alone() -> None:
     first, second = Endpoint(), Endpoint()
-    async with sidecar(first, second) as one, sidecar(second, first, known=False) as other:
+    async with sidecar(first, second) as running, sidecar(second, first, known=False) as other:
         other.told(second.entry("s-1"), first.entry("s-0"))
-        assert set(one.driver.balancer.endpoints) == set(other.driver.balancer.endpoints)
-        assert endpoint_number("s-0") in one.driver.balancer.endpoints
+        assert set(running.driver.balancer.endpoints) == set(other.driver.balancer.endpoints)
+        assert endpoint_number("s-0") in running.driver.balancer.endpoints
     assert endpoint_number("s-5be2a07c") == 0x850D21AD14919D0C, "the same after a restart"
 
 
 @on_loop
-async def test_a_start_in_wall_time_is_converted_once() -> None:
+async def test_start_in_wall_clock_time_is_converted_once() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        wall = 1_700_000_000_000_000
-        one.driver.listing.wall_clock.read_wall_us = lambda: wall
-        started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
-        before = Driver.now()
-        one.told(started)
-        (known,) = one.driver.balancer.endpoints.values()
-        boot = known.boot
-        assert before - 4_000_000 <= boot <= Driver.now() - 4_000_000
-        wall += 3_600_000_000  # the wall clock is set: no restart
-        one.told(started)
-        assert known.boot == boot
+    async with sidecar(endpoint) as running:
+        wall_us = 1_700_000_000_000_000
+        running.driver.listing.wall_clock.read_wall_us = lambda: wall_us
+        started = endpoint.entry(startedAtMs=wall_us // 1000 - 4_000)
+        before_us = Driver.now()
+        running.told(started)
+        (known,) = running.driver.balancer.endpoints.values()
+        boot_us = known.boot
+        assert before_us - 4_000_000 <= boot_us <= Driver.now() - 4_000_000
+        wall_us += 3_600_000_000  # the wall clock is stepped: no restart
+        running.told(started)
+        assert known.boot == boot_us
 
 
 @pytest.mark.parametrize("change", [{"startedAtMs": 5}, {"lifecycle": "draining"}, {"lifecycle": "gone"}])
 @on_loop
-async def test_a_new_start_or_a_drain_drops_the_idle_connections(change: dict[str, Any]) -> None:
+async def test_restart_or_drain_closes_the_idle_connections(change: dict[str, Any]) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        await one.ask(request())
-        one.told(endpoint.entry("s-0", **change), whole=False)
+    async with sidecar(endpoint) as running:
+        await running.ask(request())
+        running.told(endpoint.entry("s-0", **change), whole=False)
         await endpoint.closed.acquire()
-        assert not one.upstream.links
+        assert not running.upstream.links
 
 
 @on_loop
-async def test_a_new_address_drops_the_old_pool() -> None:
+async def test_new_address_closes_the_old_pool() -> None:
     old, new = Endpoint(), Endpoint()
-    async with sidecar(old, new) as one:
-        one.told(old.entry("s-0"))
-        await one.ask(request())
-        one.told(new.entry("s-0"), whole=False)
+    async with sidecar(old, new) as running:
+        running.told(old.entry("s-0"))
+        await running.ask(request())
+        running.told(new.entry("s-0"), whole=False)
         await old.closed.acquire()
-        assert (await one.ask(request(rid="r2"))).body == b"ok"
+        assert (await running.ask(request(rid="r2"))).body == b"ok"
         assert len(old.got) == len(new.got) == 1
 
 
 @on_loop
-async def test_a_whole_list_replaces_and_a_connection_out_is_not_kept() -> None:
-    release = asyncio.Event()
+async def test_connection_in_use_is_closed_after_a_full_list_removed_its_endpoint() -> None:
+    may_answer = asyncio.Event()
 
     async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        await release.wait()
+        await may_answer.wait()
         writer.write(answer())
 
     endpoint = Endpoint(slow)
-    async with sidecar(endpoint) as one:
-        asked = asyncio.create_task(one.ask(request()))
+    async with sidecar(endpoint) as running:
+        response = asyncio.create_task(running.ask(request()))
         await endpoint.arrived.acquire()
-        one.told()
-        release.set()
-        assert (await asked).body == b"ok", "what was sent is finished"
+        running.told()
+        may_answer.set()
+        assert (await response).body == b"ok", "the request in flight is finished"
         await endpoint.closed.acquire()
 
 
 @on_loop
-async def test_known_goes_in_as_cached_and_the_watch_resumes_where_it_ended() -> None:
+async def test_watch_resumes_from_the_last_received_list() -> None:
     endpoint, registry = Endpoint(), Registry()
-    async with sidecar(endpoint, registry=registry) as one:
-        told = lists(one)
+    async with sidecar(endpoint, registry=registry) as running:
+        lists = received_lists(running)
         start, watch = await registry.asked.get()
         assert start == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
         push(watch, 44, False, endpoint.entry("s-0", lifecycle="draining"))
-        mode, (entry,) = await told.get()
+        mode, (entry,) = await lists.get()
         assert (mode, entry.phase) == (LIST_DELTA, DRAINING)
         watch.close()
         start, watch = await registry.asked.get()
         assert "from=44 " in start
         push(watch, 45, True, endpoint.entry("s-9"))
-        mode, (entry,) = await told.get()
+        mode, (entry,) = await lists.get()
         assert (mode, entry.endpoint) == (LIST_FULL, endpoint_number("s-9"))
-        assert list(one.driver.balancer.endpoints) == [endpoint_number("s-9")]
+        assert list(running.driver.balancer.endpoints) == [endpoint_number("s-9")]
 
 
 @on_loop
-async def test_known_is_told_as_the_cached_list(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_configured_list_is_passed_on_as_the_cached_list(monkeypatch: pytest.MonkeyPatch) -> None:
     modes: list[int] = []
     real = Balancer.members
 
@@ -149,11 +149,11 @@
 
 
 @on_loop
-async def test_a_silent_watch_is_opened_anew() -> None:
+async def test_silent_watch_is_reopened() -> None:
     registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as one:
-        assert one.driver.discovery is not None
-        one.driver.discovery.silence_timeout_s = 0.05
+    async with sidecar(Endpoint(), registry=registry) as running:
+        assert running.driver.discovery is not None
+        running.driver.discovery.silence_timeout_s = 0.05
         await registry.asked.get()
         start, _ = await registry.asked.get()
         assert "from=41 " in start
@@ -171,26 +171,26 @@
     ],
 )
 @on_loop
-async def test_a_bad_line_is_logged_and_the_watch_restarted(
+async def test_invalid_line_is_logged_and_the_watch_is_reopened(
     line: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as one:
+    async with sidecar(Endpoint(), registry=registry) as running:
         _, watch = await registry.asked.get()
         push_raw(watch, line)
         start, watch = await registry.asked.get()
-        assert "from=41 " in start, "nothing of the bad line was taken"
-        assert (await one.ask(request())).body == b"ok"
+        assert "from=41 " in start, "nothing of the invalid line was applied"
+        assert (await running.ask(request())).body == b"ok"
     assert "bad line from discovery" in caplog.messages
 
 
 @on_loop
-async def test_endpoints_that_left_are_forgotten_after_the_grace() -> None:
+async def test_removed_endpoints_are_forgotten_after_the_drain_grace() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as one:
-        one.told()
-        (place,) = one.driver.places.values()
-        assert place.removed_at_us is not None, "kept for the grace"
-        place.removed_at_us -= 500_000
-        one.told(whole=False)
-        assert not one.driver.places and not one.upstream.pools
+    async with sidecar(endpoint) as running:
+        running.told()
+        (listed,) = running.driver.places.values()
+        assert listed.removed_at_us is not None, "kept for the grace"
+        listed.removed_at_us -= 500_000
+        running.told(whole=False)
+        assert not running.driver.places and not running.upstream.pools
--- a/tests/test_log_divergence.py
+++ b/tests/test_log_divergence.py
@@ -1,4 +1,4 @@
-"""Logs that part and meet again: one history survives, and no name has two lists."""
+"""Logs that diverge and are merged again: one history survives, and no list version has two contents."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from woadyard.registry.service import DeposedError, Registry
 from woadyard.registry.tail import Tail
 
-WHO = strategies.integers(0, 2)
-NAMES = strategies.sampled_from(["s-1", "s-2", "s-3"])
+MEMBER_INDEXES = strategies.integers(0, 2)
+INSTANCE_IDS = strategies.sampled_from(["s-1", "s-2", "s-3"])
 
 
-class Still(Registry):
-    """Without a loop: nothing comes due."""
+class RegistryWithoutLoop(Registry):
+    """A registry without an event loop: no timer fires."""
 
     def arm(self) -> None:
         pass
@@ -39,115 +39,122 @@
 
 
 class Client:
-    """A sidecar's list, as it is told by whichever process it asks."""
+    """A sidecar's list, fetched from any of the processes."""
 
     def __init__(self) -> None:
-        self.held, self.entries = CurrentVersion(), dict[str, Any]()
-
-    def ask(self, registry: Registry) -> None:
-        name, book = self.held.version, registry.book(ListBook)
-        registry.hear(name.lineage, name.term, "a client")
-        term = name.term if name.lineage == registry.host.lineage else -1
-        told = {**book.changes_since(term, name.generation), "lineage": registry.host.lineage}
-        named = msgspec.convert(told, ListMessage).version
-        if told["lineage"] and self.held.evaluate(named, told["reset"], 0.0) == TAKE:
-            self.held.replace(named, 0.0)
-            self.held.accepts_any_full_list = False
-            if told["reset"]:
+        self.current, self.entries = CurrentVersion(), dict[str, Any]()
+
+    def fetch_list(self, registry: Registry) -> None:
+        version, endpoint_list = self.current.version, registry.book(ListBook)
+        registry.hear(version.lineage, version.term, "a client")
+        term = version.term if version.lineage == registry.host.lineage else -1
+        response = {**endpoint_list.changes_since(term, version.generation), "lineage": registry.host.lineage}
+        received = msgspec.convert(response, ListMessage).version
+        if response["lineage"] and self.current.evaluate(received, response["reset"], 0.0) == TAKE:
+            self.current.replace(received, 0.0)
+            self.current.accepts_any_full_list = False
+            if response["reset"]:
                 self.entries.clear()
-            self.entries.update({one["instanceId"]: one for one in told["instances"]})
-            self.entries = {k: one for k, one in self.entries.items() if one["lifecycle"] != "gone"}
+            self.entries.update({entry["instanceId"]: entry for entry in response["instances"]})
+            self.entries = {k: entry for k, entry in self.entries.items() if entry["lifecycle"] != "gone"}
 
 
-class Parted(RuleBasedStateMachine):
-    """Three processes of one log. Any may be given the writer's place at any moment, be
-    killed, or follow any other; a client asks any of them."""
+class DivergingLogs(RuleBasedStateMachine):
+    """Three processes of one log. Any of them may be promoted to leader at any moment, be killed,
+    or follow any other one; a client fetches its list from any of them."""
 
     @initialize()
     def begin(self) -> None:
         self.folder, self.served = Path(tempfile.mkdtemp()), dict[ListVersion, Any]()
         self.client = Client()
-        self.all = [self.open(0), self.open(1, "whom"), self.open(2, "whom")]
-        self.all[0].lead()
+        self.members = [self.open(0), self.open(1, "whom"), self.open(2, "whom")]
+        self.members[0].lead()
         for n in (1, 2):
-            self.follows(n, 0)
+            self.follow_leader(n, 0)
 
     def teardown(self) -> None:
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def open(self, who: int, writer: str | None = None) -> Registry:
-        journal = Journal(self.folder / str(who))
-        journal.tail = Tail(6)  # so that states are taken whole as well
-        return Still(journal, clock=lambda: 0, writer=writer)
-
-    @rule(who=WHO, name=NAMES, zone=strategies.sampled_from("ab"), drop=strategies.booleans())
-    def write(self, who: int, name: str, zone: str, drop: bool) -> None:
-        if self.all[who].leads:
-            self.all[who].commit({"op": "drop", "id": name} if drop else put(name, zone))
+    def open(self, index: int, writer: str | None = None) -> Registry:
+        journal = Journal(self.folder / str(index))
+        journal.tail = Tail(6)  # short, so that whole snapshots are transferred as well
+        return RegistryWithoutLoop(journal, clock=lambda: 0, writer=writer)
+
+    @rule(
+        index=MEMBER_INDEXES,
+        name=INSTANCE_IDS,
+        zone=strategies.sampled_from("ab"),
+        drop=strategies.booleans(),
+    )
+    def write(self, index: int, name: str, zone: str, drop: bool) -> None:
+        if self.members[index].leads:
+            self.members[index].commit({"op": "drop", "id": name} if drop else put(name, zone))
         else:
             with pytest.raises(DeposedError):
-                self.all[who].commit(put(name, zone))
-
-    @rule(who=WHO)
-    def promote(self, who: int) -> None:
-        self.all[who] = self.open(who)
-        self.all[who].lead(take_over=True)
-
-    @rule(who=WHO)
-    def killed(self, who: int) -> None:
-        """Started again as it was, a writer that lost its place too."""
-        one = self.all[who] = self.open(who, self.all[who].writer)
-        if one.writer is None:
-            one.lead()
-
-    @rule(who=WHO, whom=WHO)
-    def follows(self, who: int, whom: int) -> None:
-        mine, theirs = self.all[who], self.all[whom]
-        if who == whom or not theirs.leads:
+                self.members[index].commit(put(name, zone))
+
+    @rule(index=MEMBER_INDEXES)
+    def promote(self, index: int) -> None:
+        self.members[index] = self.open(index)
+        self.members[index].lead(take_over=True)
+
+    @rule(index=MEMBER_INDEXES)
+    def kill_and_restart(self, index: int) -> None:
+        """Start it again in its last role, even a leader that was replaced meanwhile."""
+        restarted = self.members[index] = self.open(index, self.members[index].writer)
+        if restarted.writer is None:
+            restarted.lead()
+
+    @rule(index=MEMBER_INDEXES, leader_index=MEMBER_INDEXES)
+    def follow_leader(self, index: int, leader_index: int) -> None:
+        follower, leader = self.members[index], self.members[leader_index]
+        if index == leader_index or not leader.leads:
             return
-        if mine.leads:
-            theirs.hear(mine.host.lineage, mine.seen, "a peer")
-            mine.hear(theirs.host.lineage, theirs.seen, "a peer")
-            assert not (mine.leads and theirs.leads), "of two that write, one stops"
+        if follower.leads:
+            leader.hear(follower.host.lineage, follower.seen, "a peer")
+            follower.hear(leader.host.lineage, leader.seen, "a peer")
+            assert not (follower.leads and leader.leads), "one of two leaders steps down"
             return
-        mine.follow("whom")
-        host, seen = mine.host, mine.seen
-        theirs.hear(host.lineage, seen, "a replica")
-        told = theirs.log_after(host.applied, host.chain, host.lineage)
+        follower.follow("whom")
+        host, seen = follower.host, follower.seen
+        leader.hear(host.lineage, seen, "a replica")
+        response = leader.log_after(host.applied, host.chain, host.lineage)
         try:
-            Follower(mine, Random(1), 1.0).take(told)
+            Follower(follower, Random(1), 1.0).take(response)
         except RecordError:
-            assert seen > theirs.host.term, "only an older term is not followed"
-            assert not theirs.leads, "and its writer stopped"
+            assert seen > leader.host.term, "only a leader of an older term is refused"
+            assert not leader.leads, "and it stepped down"
         else:
-            assert mine.host.dump() == theirs.host.dump()
-            assert mine.host.chain == mine.journal.tail.chain_at(mine.host.applied)
+            assert follower.host.dump() == leader.host.dump()
+            assert follower.host.chain == follower.journal.tail.chain_at(follower.host.applied)
 
-    @rule(who=WHO)
-    def asks(self, who: int) -> None:
-        self.client.ask(self.all[who])
-        assert self.client.entries == self.served_at(self.client.held.version)
+    @rule(index=MEMBER_INDEXES)
+    def client_fetches_list(self, index: int) -> None:
+        self.client.fetch_list(self.members[index])
+        assert self.client.entries == self.served_at(self.client.current.version)
 
-    def served_at(self, name: ListVersion) -> Any:
-        self.no_name_has_two_lists()
-        return self.served.get(name, {})
+    def served_at(self, version: ListVersion) -> Any:
+        self.no_version_has_two_lists()
+        return self.served.get(version, {})
 
     @invariant()
-    def no_name_has_two_lists(self) -> None:
-        for one in getattr(self, "all", []):
-            book = one.book(ListBook)
-            name = ListVersion(one.host.lineage, book.term, book.version)
-            assert self.served.setdefault(name, dict(book.entries)) == book.entries
+    def no_version_has_two_lists(self) -> None:
+        for member in getattr(self, "members", []):
+            endpoint_list = member.book(ListBook)
+            list_version = ListVersion(member.host.lineage, endpoint_list.term, endpoint_list.version)
+            assert self.served.setdefault(list_version, dict(endpoint_list.entries)) == endpoint_list.entries
 
 
-def test_a_writer_back_from_a_crash_never_outdoes_the_one_given_its_place() -> None:
-    mine = next_term(0, False)
-    promoted = next_term(mine, False)
+def test_terms_of_a_restarted_leader_stay_below_those_of_its_successor() -> None:
+    restarted = next_term(0, False)
+    promoted = next_term(restarted, False)
     for _ in range(100):
-        before, mine = mine, next_term(mine, True)
-        assert before < mine < promoted
-    assert next_term(mine, False) != next_term(mine, False), "two given it at once differ"
+        before, restarted = restarted, next_term(restarted, True)
+        assert before < restarted < promoted
+    assert next_term(restarted, False) != next_term(restarted, False), (
+        "two promoted at once get different terms"
+    )
 
 
-TestParted = Parted.TestCase
-TestParted.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
+TestDivergingLogs = DivergingLogs.TestCase
+TestDivergingLogs.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -1,7 +1,7 @@
-"""Drains that discovery cannot tell of: real processes, and a discovery that turns every call away.
+"""Drains while discovery is overloaded: real processes, and a discovery that rejects every call.
 
-A change binds a sidecar at the latest 6 s after discovery had it, heard or not; the grace of a
-drain and the slack of the rules come on top (STANDING.md, PROTOCOL)."""
+A change binds a sidecar at most 6 s after discovery has it, whether it was received or not; the grace
+of a drain and the slack of the rules come on top (STANDING.md, PROTOCOL)."""
 
 from __future__ import annotations
 
@@ -24,33 +24,33 @@
 
 @dataclass
 class Draining:
-    """An endpoint that goes on answering for a while after it began to drain, and then turns away."""
+    """An endpoint that serves requests for a while after it began to drain, and then rejects them."""
 
-    answers_for_s: float
+    serves_for_s: float
     drained_at: float = float("inf")
     arrived_at: list[float] = field(default_factory=list)
 
     async def handle(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
         now = time.monotonic()
         self.arrived_at.append(now)
-        writer.write(answer() if now < self.drained_at + self.answers_for_s else NOT_RUN)
+        writer.write(answer() if now < self.drained_at + self.serves_for_s else NOT_RUN)
 
     def late(self) -> list[float]:
-        """Arrivals after the drain bound every sidecar, in seconds after discovery had it."""
+        """Return the arrivals after the drain bound every sidecar, in seconds since discovery had it."""
         bound = self.drained_at + BINDING_S + GRACE_S + SLACK_S
-        return [round(at - self.drained_at, 2) for at in self.arrived_at if at > bound]
+        return [round(at_s - self.drained_at, 2) for at_s in self.arrived_at if at_s > bound]
 
 
 async def endpoints(lab: Lab, draining: list[Draining]) -> list[dict[str, Any]]:
-    found = [await lab.endpoint(one.handle) for one in draining]
-    return [one.entry(f"s-{number}") for number, one in enumerate(found)]
+    listeners = [await lab.endpoint(behaviour.handle) for behaviour in draining]
+    return [listener.entry(f"s-{number}") for number, listener in enumerate(listeners)]
 
 
-@pytest.mark.parametrize("answers_for_s", [0.0, 2.0])
-async def test_no_request_reaches_a_drained_endpoint_though_discovery_turns_all_calls_away(
-    lab: Lab, answers_for_s: float
+@pytest.mark.parametrize("serves_for_s", [0.0, 2.0])
+async def test_no_request_reaches_a_drained_endpoint_while_discovery_rejects_all_calls(
+    lab: Lab, serves_for_s: float
 ) -> None:
-    draining = [Draining(answers_for_s) for _ in range(4)]
+    draining = [Draining(serves_for_s) for _ in range(4)]
     entries = await endpoints(lab, draining)
     registry = await lab.listen(OverloadedRegistry(entries=entries))
     sidecar = await lab.sidecar(endpoints=entries, discovery=registry, settings=ASKING)
@@ -58,23 +58,23 @@
     load = asyncio.ensure_future(sidecar.load())
     await asyncio.sleep(0.5)
     registry.overload()
-    for one in draining:
-        one.drained_at = time.monotonic()
+    for endpoint in draining:
+        endpoint.drained_at = time.monotonic()
     await asyncio.sleep(BINDING_S + 2.5)
     load.cancel()
-    assert all(one.arrived_at for one in draining) and registry.rejected
-    assert not any(one.late() for one in draining)
+    assert all(endpoint.arrived_at for endpoint in draining) and registry.rejected
+    assert not any(endpoint.late() for endpoint in draining)
 
 
-async def test_a_process_that_starts_into_the_crowd_sends_nothing_once_the_drain_binds(lab: Lab) -> None:
+async def test_process_started_during_an_overload_sends_nothing_once_the_drain_binds(lab: Lab) -> None:
     draining = [Draining(2.0) for _ in range(4)]
     entries = await endpoints(lab, draining)
     registry = await lab.listen(OverloadedRegistry(is_overloaded=True))
-    for one in draining:
-        one.drained_at = time.monotonic()
+    for endpoint in draining:
+        endpoint.drained_at = time.monotonic()
     sidecar = await lab.sidecar(endpoints=entries, discovery=registry, settings=ASKING)
     load = asyncio.ensure_future(sidecar.load())
     await asyncio.sleep(BINDING_S + 2.5)
     load.cancel()
     assert registry.rejected and sidecar.statuses[503]
-    assert not any(one.arrived_at for one in draining), "the list from before the start has no lease"
+    assert not any(endpoint.arrived_at for endpoint in draining), "the configured list grants no lease"
--- a/tests/test_wallclock.py
+++ b/tests/test_wallclock.py
@@ -1,4 +1,4 @@
-"""Starts told in wall time, while the wall clock is stepped."""
+"""Conversion of start times from wall-clock time while the wall clock is stepped."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Clocks:
-    """Both clocks of a machine, in microseconds."""
+    """The monotonic clock of a machine and the offset of its wall clock, in microseconds."""
 
     def __init__(self) -> None:
         self.now, self.offset = 50 * SECOND, EPOCH
@@ -19,31 +19,29 @@
 
 
 @pytest.mark.parametrize("step", [0, 5 * SECOND, -5 * SECOND, HOUR, -HOUR])
-@pytest.mark.parametrize("other_too", [False, True])
-def test_a_start_is_taken_for_no_older_than_it_is_whatever_the_wall_clock_did(
-    step: int, other_too: bool
-) -> None:
-    """Stepped here alone, or at the endpoint's machine as well, before it started."""
+@pytest.mark.parametrize("is_other_stepped", [False, True])
+def test_start_never_appears_older_than_it_is_after_a_step(step: int, is_other_stepped: bool) -> None:
+    """The step is on this machine alone, or on the endpoint's machine as well before the start."""
     clocks = Clocks()
     clocks.offset += step
     started = clocks.now - 2 * SECOND
-    told = started + EPOCH + (step if other_too else 0)
-    found = clocks.wall.start_time_us(clocks.now, told)
-    assert started <= found <= clocks.now
+    reported = started + EPOCH + (step if is_other_stepped else 0)
+    converted = clocks.wall.start_time_us(clocks.now, reported)
+    assert started <= converted <= clocks.now
 
 
-def test_without_a_step_it_is_exact() -> None:
+def test_conversion_is_exact_without_a_step() -> None:
     clocks = Clocks()
     clocks.now += 10 * SECOND
     assert clocks.wall.start_time_us(clocks.now, clocks.now + EPOCH - 3 * SECOND) == clocks.now - 3 * SECOND
 
 
-def test_a_start_in_the_future_of_every_known_clock_counts_as_now() -> None:
+def test_start_in_the_future_counts_as_now() -> None:
     clocks = Clocks()
     assert clocks.wall.start_time_us(clocks.now, clocks.now + EPOCH + HOUR) == clocks.now
 
 
-def test_many_steps_are_not_all_remembered() -> None:
+def test_number_of_remembered_offsets_is_bounded() -> None:
     clocks = Clocks()
     for _ in range(50):
         clocks.offset += SECOND
