--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -138,7 +138,7 @@
 
             def ready_after(version: int, is_full: bool, *entries: dict[str, Any]) -> set[str]:
                 running.driver.listed(version, is_full, list(entries))
-                ready = {names[endpoint.id] for _, endpoint in running.driver.balancer.ring.order}
+                ready = {names[endpoint.id] for _, endpoint in running.driver.balancer.ring.ready_order}
                 assert ready == {names[number] for number in running.upstream.pools}
                 return ready
 
@@ -161,12 +161,12 @@
         async with sidecar(endpoint, registry=registry) as running:
             _, watch = await registry.asked.get()
             push(watch, 42, True)
-            while running.driver.balancer.ring.order:
+            while running.driver.balancer.ring.ready_order:
                 await asyncio.sleep(0)
             refused = await running.ask(request(deadline_ms=60))
             assert refused.start.split()[1] == "503" and not endpoint.got
             push(watch, 43, True, endpoint.entry("s-0"))
-            while not running.driver.balancer.ring.order:
+            while not running.driver.balancer.ring.ready_order:
                 await asyncio.sleep(0)
             assert (await running.ask(request(rid="r2"))).body == b"ok"
 
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -66,11 +66,11 @@
         before_us = Driver.now()
         running.told(started)
         (known,) = running.driver.balancer.endpoints.values()
-        boot_us = known.boot
+        boot_us = known.boot_us
         assert before_us - 4_000_000 <= boot_us <= Driver.now() - 4_000_000
         wall_us += 3_600_000_000  # the wall clock is stepped: no restart
         running.told(started)
-        assert known.boot == boot_us
+        assert known.boot_us == boot_us
 
 
 @pytest.mark.parametrize("change", [{"startedAtMs": 5}, {"lifecycle": "draining"}, {"lifecycle": "gone"}])
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -35,7 +35,7 @@
 from woadyard.net.attempts import Attempts
 from woadyard.net.discovery import Discovery
 from woadyard.net.endpoint_table import EndpointTable, ListedEndpoint
-from woadyard.net.message import Answer, Call
+from woadyard.net.message import Call, Response
 from woadyard.net.observe import Listener, Observer, Observers
 from woadyard.net.requests import Requests
 from woadyard.net.sharing import Shared, Trust
@@ -198,7 +198,7 @@
 
     def wanted(self) -> list[int]:
         """The endpoints that the module sends to from here."""
-        return [one.id for one in self.balancer.endpoints.values() if one.own and one.ready]
+        return [one.id for one in self.balancer.endpoints.values() if one.in_subset and one.is_ready]
 
     def used(self) -> dict[int, int]:
         return {one.id: one.inflight for one in self.balancer.endpoints.values() if one.inflight}
@@ -230,7 +230,7 @@
     # --- Actions ----------------------------------------------------------------------
 
     def _failed(self, call: Call) -> None:
-        self.requests.answer(call, Answer(500))
+        self.requests.send_response(call, Response(500))
 
     def _do(self, action: Action) -> None:
         match action:
@@ -239,7 +239,7 @@
             case Timer(token, delay_us):
                 self.turns.fire(delay_us, token)
             case Refuse(request, after_us):
-                self.requests.refuse(request, after_us)
+                self.requests.reject(request, after_us)
             case Fail(request):
                 self.requests.fail(request)
             case Cancel(request, copy):
