--- a/woadyard/net/discovery.py
+++ b/woadyard/net/discovery.py
@@ -22,7 +22,7 @@
 # On an unchanged list a heartbeat arrives every 2 s. Soon after a missed one the watch counts as dead, as
 # a network partition closes no connection. A change made meanwhile binds after 6 s, and the next call may
 # fail as well.
-SILENT_S = 2.5
+SILENCE_TIMEOUT_S = 2.5
 # Delays before a watch is reopened; the first one spreads sidecars that lost their watches together.
 # A new address binds 4 s after it was configured.
 RETRY_INITIAL_S, RETRY_MAX_S = 0.3, 1.2
@@ -73,7 +73,7 @@
         self.current = CurrentVersion()
         self.latest_term = ("", 0)  # lineage and term of the list being passed on, or of the last one
         self.stream: Stream | None = None  # the watch
-        self.silence_timeout_s = SILENT_S
+        self.silence_timeout_s = SILENCE_TIMEOUT_S
         self.connect_tasks: set[asyncio.Task[None]] = set()
         self.is_moving = False  # to an address that has not sent a list yet
         self.is_lost = False  # an outage was logged and has not ended
