--- a/tests/test_discovery_failures.py
+++ b/tests/test_discovery_failures.py
@@ -62,8 +62,8 @@
         )
         self.driver.start(None)
 
-    def on_list(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        self.driver.listed(version, whole, entries)
+    def on_list(self, version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
+        self.driver.listed(version, is_full, entries)
         self.received_at_s.append(self.now)
 
     def create_task(self, coro: Coroutine[Any, Any, None]) -> Mock:
--- a/tests/test_discovery_overload.py
+++ b/tests/test_discovery_overload.py
@@ -131,8 +131,8 @@
             stream.connection_made(Mock())
             self.service.call(stream)
 
-    def _on_list(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        self.driver.listed(version, whole, entries)
+    def _on_list(self, version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
+        self.driver.listed(version, is_full, entries)
         self.received_at_s.append(self.simulation.now)
 
     def lose_watch(self) -> None:
