--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,15 @@
 
 import pytest
 
-from tests.sockets import Endpoint, Registry, push, read_message, request, run, sidecar
+from tests.sockets import (
+    Endpoint,
+    FakeDiscovery,
+    http_request,
+    push_list,
+    read_message,
+    run_sidecar,
+    run_test,
+)
 from woadyard.errors import PeerError
 from woadyard.net.discovery import LOST_MESSAGE, Discovery
 from woadyard.net.json_stream import JsonStreamDecoder
@@ -133,11 +141,11 @@
 def test_list_older_than_a_drain_does_not_bring_the_endpoint_back() -> None:
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
-        async with sidecar(first, second) as running:
+        async with run_sidecar(first, second) as running:
             names = {endpoint_number(name): name for name in ("s-0", "s-1")}
 
             def ready_after(version: int, is_full: bool, *entries: dict[str, Any]) -> set[str]:
-                running.driver.listed(version, is_full, list(entries))
+                running.driver.apply_list(version, is_full, list(entries))
                 ready = {names[endpoint.id] for _, endpoint in running.driver.balancer.ring.ready_order}
                 assert ready == {names[number] for number in running.upstream.pools}
                 return ready
@@ -152,25 +160,25 @@
             ready_after(47, False, first.entry("s-0", lifecycle="gone"))
             assert ready_after(48, True, *both) == {"s-0", "s-1"}, "a newer list may bring it back"
 
-    run(main())
+    run_test(main())
 
 
 def test_empty_list_is_applied_and_the_next_list_serves_again() -> None:
     async def main() -> None:
-        endpoint, registry = Endpoint(), Registry()
-        async with sidecar(endpoint, registry=registry) as running:
-            _, watch = await registry.asked.get()
-            push(watch, 42, True)
+        endpoint, registry = Endpoint(), FakeDiscovery()
+        async with run_sidecar(endpoint, discovery_server=registry) as running:
+            _, watch = await registry.watches.get()
+            push_list(watch, 42, True)
             while running.driver.balancer.ring.ready_order:
                 await asyncio.sleep(0)
-            refused = await running.ask(request(deadline_ms=60))
-            assert refused.start.split()[1] == "503" and not endpoint.got
-            push(watch, 43, True, endpoint.entry("s-0"))
+            refused = await running.send(http_request(deadline_ms=60))
+            assert refused.start_line.split()[1] == "503" and not endpoint.received
+            push_list(watch, 43, True, endpoint.entry("s-0"))
             while not running.driver.balancer.ring.ready_order:
                 await asyncio.sleep(0)
-            assert (await running.ask(request(rid="r2"))).body == b"ok"
+            assert (await running.send(http_request(rid="r2"))).body == b"ok"
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
@@ -187,7 +195,7 @@
 ) -> None:
     async def main() -> None:
         async def fail_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            request_lines.append((await read_message(reader)).start)
+            request_lines.append((await read_message(reader)).start_line)
             if len(request_lines) > 1:
                 retried.set()
                 await reader.read()
@@ -197,16 +205,16 @@
 
         request_lines, retried = list[str](), asyncio.Event()
         listener = await asyncio.start_server(fail_once, "127.0.0.1", 0)
-        registry = Registry()
-        async with listener, sidecar(Endpoint(), registry=registry) as running:
+        registry = FakeDiscovery()
+        async with listener, run_sidecar(Endpoint(), discovery_server=registry) as running:
             assert running.driver.discovery is not None
             running.driver.discovery.change_address(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
             await retried.wait()
             assert "from=41 " in request_lines[1], "nothing of the response was applied"
-            assert (await running.ask(request())).body == b"ok"
+            assert (await running.send(http_request())).body == b"ok"
             running.driver.discovery.close()
 
-    run(main())
+    run_test(main())
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -214,8 +222,8 @@
     """With pushed lists a change binds from the start of a process, with or without a watch."""
 
     async def main() -> None:
-        registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as running:
+        registry = FakeDiscovery()
+        async with run_sidecar(Endpoint(), discovery_server=registry) as running:
             discovery = running.driver.discovery
             assert discovery is not None
             monkeypatch.setattr("woadyard.net.discovery.PUSH_FIRST_LIST_TIMEOUT_S", 0.01)
@@ -223,27 +231,27 @@
             assert not discovery.list_received.is_set(), "it timed out, as discovery may be down"
             monkeypatch.setattr("woadyard.net.discovery.PUSH_FIRST_LIST_TIMEOUT_S", 60.0)
             waiting = asyncio.create_task(discovery.wait_for_first_list())
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             assert not waiting.done()
-            push(watch, 42, True)
+            push_list(watch, 42, True)
             await waiting
-            assert not running.driver.listing.ready_numbers()
+            assert not running.driver.listed_endpoints.ready_numbers()
 
-    run(main())
+    run_test(main())
 
 
 def test_unreachable_discovery_is_retried_until_it_is_back() -> None:
     async def main() -> None:
-        registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as running:
-            _, watch = await registry.asked.get()
+        registry = FakeDiscovery()
+        async with run_sidecar(Endpoint(), discovery_server=registry) as running:
+            _, watch = await registry.watches.get()
             with socket.socket() as bound:  # it refuses connections until it listens
                 bound.bind(("127.0.0.1", 0))
                 assert running.driver.discovery is not None
                 running.driver.discovery.change_address(f"127.0.0.1:{bound.getsockname()[1]}")
                 while (backoff := running.driver.discovery.backoff).ceiling_s < backoff.max_s:
                     await asyncio.sleep(0.01)
-                assert (await running.ask(request())).body == b"ok", "by the current list"
+                assert (await running.send(http_request())).body == b"ok", "by the current list"
                 bound.listen()
                 bound.setblocking(False)
                 peer, _ = await asyncio.get_running_loop().sock_accept(bound)
@@ -251,7 +259,7 @@
                 running.driver.discovery.close()
             watch.close()
 
-    run(main())
+    run_test(main())
 
 
 def test_address_replaced_at_once_gets_no_connection() -> None:
@@ -265,20 +273,20 @@
 
         connections, requested = list[asyncio.StreamWriter](), asyncio.Event()
         listener = await asyncio.start_server(count, "127.0.0.1", 0)
-        registry, other = Registry(), Registry()
+        registry, other = FakeDiscovery(), FakeDiscovery()
         closing = await other.start()
-        async with listener, closing, sidecar(Endpoint(), registry=registry) as running:
+        async with listener, closing, run_sidecar(Endpoint(), discovery_server=registry) as running:
             discovery = running.driver.discovery
             assert discovery is not None
-            await registry.asked.get()
+            await registry.watches.get()
             discovery.change_address(f"127.0.0.1:{other.port}")
             discovery.change_address(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
             await requested.wait()
-            assert len(connections) == 1 and other.asked.empty()
+            assert len(connections) == 1 and other.watches.empty()
             discovery.close()
             connections[0].close()
 
-    run(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_discovery_failures.py
+++ b/tests/test_discovery_failures.py
@@ -17,7 +17,7 @@
 
 from tests.sockets import SETTINGS
 from tests.test_discovery import CHUNKED_HEAD, FakeLoop
-from woadyard.__main__ import Reload
+from woadyard.__main__ import ConfigReloader
 from woadyard.net import discovery as discovery_module
 from woadyard.net.config import Config
 from woadyard.net.discovery import Discovery
@@ -51,7 +51,7 @@
         self.outcomes: list[CallOutcome] = []
         self.watches: list[Stream] = []
         self.received_at_s: list[float] = []
-        monkeypatch.setattr("woadyard.net.turns.now_us", lambda: round(self.now * 1e6))
+        monkeypatch.setattr("woadyard.net.event_dispatcher.now_us", lambda: round(self.now * 1e6))
         raw = settings_of(period_s)
         loop = cast(asyncio.AbstractEventLoop, self)
         settings = read_settings(json.dumps(raw).encode())
@@ -63,7 +63,7 @@
         self.driver.start(None)
 
     def on_list(self, version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
-        self.driver.listed(version, is_full, entries)
+        self.driver.apply_list(version, is_full, entries)
         self.received_at_s.append(self.now)
 
     def create_task(self, coro: Coroutine[Any, Any, None]) -> Mock:
@@ -302,11 +302,11 @@
     sidecar.seconds_until_list()
     if is_failing:
         sidecar.watches[-1].connection_lost(ConnectionResetError())
-    active = {"discovery": "127.0.0.1:1", "settings": sidecar.driver.raw}
+    active = {"discovery": "127.0.0.1:1", "settings": sidecar.driver.raw_settings}
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**active, "settings": settings_of(after_s)}))
     config = cast(Config, Mock(path=str(path), raw=active))
-    Reload(config, sidecar.driver, sidecar.discovery, Mock())()
+    ConfigReloader(config, sidecar.driver, sidecar.discovery, Mock())()
     if not is_failing:
         sidecar.watches[-1].connection_lost(ConnectionResetError())
     assert sidecar.seconds_until_list(connection_refused, status_503) <= (2.2 if after_s else 0.6)
--- a/tests/test_discovery_overload.py
+++ b/tests/test_discovery_overload.py
@@ -132,7 +132,7 @@
             self.service.call(stream)
 
     def _on_list(self, version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
-        self.driver.listed(version, is_full, entries)
+        self.driver.apply_list(version, is_full, entries)
         self.received_at_s.append(self.simulation.now)
 
     def lose_watch(self) -> None:
@@ -146,7 +146,7 @@
     """Run `size` sidecars that start together for 40 s; their settings give `configured_size`."""
     simulation = Simulation()
     monkeypatch.setattr("woadyard.net.discovery.LOG", Mock())
-    monkeypatch.setattr("woadyard.net.turns.now_us", lambda: round(simulation.now * 1e6))
+    monkeypatch.setattr("woadyard.net.event_dispatcher.now_us", lambda: round(simulation.now * 1e6))
     service = OverloadedService(simulation, calls_per_s)
     sidecars = [
         Sidecar(simulation, service, seed * 1_000 + number, configured_size) for number in range(size)
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -9,16 +9,16 @@
 
 from tests.sockets import (
     Endpoint,
+    FakeDiscovery,
     Message,
-    Registry,
     Sidecar,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    push,
-    push_raw,
-    request,
-    sidecar,
+    push_line,
+    push_list,
+    run_sidecar,
 )
 from woadyard.interface import (
     DRAINING,
@@ -49,8 +49,8 @@
 @on_loop
 async def test_endpoint_numbers_depend_on_the_name_alone() -> None:
     first, second = Endpoint(), Endpoint()
-    async with sidecar(first, second) as running, sidecar(second, first, known=False) as other:
-        other.told(second.entry("s-1"), first.entry("s-0"))
+    async with run_sidecar(first, second) as running, run_sidecar(second, first, known=False) as other:
+        other.set_list(second.entry("s-1"), first.entry("s-0"))
         assert set(running.driver.balancer.endpoints) == set(other.driver.balancer.endpoints)
         assert endpoint_number("s-0") in running.driver.balancer.endpoints
     assert endpoint_number("s-5be2a07c") == 0x850D21AD14919D0C, "the same after a restart"
@@ -59,17 +59,17 @@
 @on_loop
 async def test_start_in_wall_clock_time_is_converted_once() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as running:
+    async with run_sidecar(endpoint) as running:
         wall_us = 1_700_000_000_000_000
-        running.driver.listing.wall_clock.read_wall_us = lambda: wall_us
+        running.driver.listed_endpoints.wall_clock.read_wall_us = lambda: wall_us
         started = endpoint.entry(startedAtMs=wall_us // 1000 - 4_000)
         before_us = Driver.now()
-        running.told(started)
+        running.set_list(started)
         (known,) = running.driver.balancer.endpoints.values()
         boot_us = known.boot_us
         assert before_us - 4_000_000 <= boot_us <= Driver.now() - 4_000_000
         wall_us += 3_600_000_000  # the wall clock is stepped: no restart
-        running.told(started)
+        running.set_list(started)
         assert known.boot_us == boot_us
 
 
@@ -77,23 +77,23 @@
 @on_loop
 async def test_restart_or_drain_closes_the_idle_connections(change: dict[str, Any]) -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as running:
-        await running.ask(request())
-        running.told(endpoint.entry("s-0", **change), whole=False)
-        await endpoint.closed.acquire()
-        assert not running.upstream.links
+    async with run_sidecar(endpoint) as running:
+        await running.send(http_request())
+        running.set_list(endpoint.entry("s-0", **change), is_full=False)
+        await endpoint.connection_closed.acquire()
+        assert not running.upstream.connections
 
 
 @on_loop
 async def test_new_address_closes_the_old_pool() -> None:
     old, new = Endpoint(), Endpoint()
-    async with sidecar(old, new) as running:
-        running.told(old.entry("s-0"))
-        await running.ask(request())
-        running.told(new.entry("s-0"), whole=False)
-        await old.closed.acquire()
-        assert (await running.ask(request(rid="r2"))).body == b"ok"
-        assert len(old.got) == len(new.got) == 1
+    async with run_sidecar(old, new) as running:
+        running.set_list(old.entry("s-0"))
+        await running.send(http_request())
+        running.set_list(new.entry("s-0"), is_full=False)
+        await old.connection_closed.acquire()
+        assert (await running.send(http_request(rid="r2"))).body == b"ok"
+        assert len(old.received) == len(new.received) == 1
 
 
 @on_loop
@@ -102,32 +102,32 @@
 
     async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await may_answer.wait()
-        writer.write(answer())
+        writer.write(http_response())
 
     endpoint = Endpoint(slow)
-    async with sidecar(endpoint) as running:
-        response = asyncio.create_task(running.ask(request()))
-        await endpoint.arrived.acquire()
-        running.told()
+    async with run_sidecar(endpoint) as running:
+        response = asyncio.create_task(running.send(http_request()))
+        await endpoint.request_arrived.acquire()
+        running.set_list()
         may_answer.set()
         assert (await response).body == b"ok", "the request in flight is finished"
-        await endpoint.closed.acquire()
+        await endpoint.connection_closed.acquire()
 
 
 @on_loop
 async def test_watch_resumes_from_the_last_received_list() -> None:
-    endpoint, registry = Endpoint(), Registry()
-    async with sidecar(endpoint, registry=registry) as running:
+    endpoint, registry = Endpoint(), FakeDiscovery()
+    async with run_sidecar(endpoint, discovery_server=registry) as running:
         lists = received_lists(running)
-        start, watch = await registry.asked.get()
+        start, watch = await registry.watches.get()
         assert start == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
-        push(watch, 44, False, endpoint.entry("s-0", lifecycle="draining"))
+        push_list(watch, 44, False, endpoint.entry("s-0", lifecycle="draining"))
         mode, (entry,) = await lists.get()
         assert (mode, entry.phase) == (LIST_DELTA, DRAINING)
         watch.close()
-        start, watch = await registry.asked.get()
+        start, watch = await registry.watches.get()
         assert "from=44 " in start
-        push(watch, 45, True, endpoint.entry("s-9"))
+        push_list(watch, 45, True, endpoint.entry("s-9"))
         mode, (entry,) = await lists.get()
         assert (mode, entry.endpoint) == (LIST_FULL, endpoint_number("s-9"))
         assert list(running.driver.balancer.endpoints) == [endpoint_number("s-9")]
@@ -143,19 +143,19 @@
         return real(self, now, mode, entries)
 
     monkeypatch.setattr(Balancer, "members", members)
-    async with sidecar(Endpoint()):
+    async with run_sidecar(Endpoint()):
         pass
     assert modes == [LIST_CACHED]
 
 
 @on_loop
 async def test_silent_watch_is_reopened() -> None:
-    registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as running:
+    registry = FakeDiscovery()
+    async with run_sidecar(Endpoint(), discovery_server=registry) as running:
         assert running.driver.discovery is not None
         running.driver.discovery.silence_timeout_s = 0.05
-        await registry.asked.get()
-        start, _ = await registry.asked.get()
+        await registry.watches.get()
+        start, _ = await registry.watches.get()
         assert "from=41 " in start
 
 
@@ -174,23 +174,23 @@
 async def test_invalid_line_is_logged_and_the_watch_is_reopened(
     line: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    registry = Registry()
-    async with sidecar(Endpoint(), registry=registry) as running:
-        _, watch = await registry.asked.get()
-        push_raw(watch, line)
-        start, watch = await registry.asked.get()
+    registry = FakeDiscovery()
+    async with run_sidecar(Endpoint(), discovery_server=registry) as running:
+        _, watch = await registry.watches.get()
+        push_line(watch, line)
+        start, watch = await registry.watches.get()
         assert "from=41 " in start, "nothing of the invalid line was applied"
-        assert (await running.ask(request())).body == b"ok"
+        assert (await running.send(http_request())).body == b"ok"
     assert "bad line from discovery" in caplog.messages
 
 
 @on_loop
 async def test_removed_endpoints_are_forgotten_after_the_drain_grace() -> None:
     endpoint = Endpoint()
-    async with sidecar(endpoint) as running:
-        running.told()
-        (listed,) = running.driver.places.values()
+    async with run_sidecar(endpoint) as running:
+        running.set_list()
+        (listed,) = running.driver.endpoints_by_number.values()
         assert listed.removed_at_us is not None, "kept for the grace"
         listed.removed_at_us -= 500_000
-        running.told(whole=False)
-        assert not running.driver.places and not running.upstream.pools
+        running.set_list(is_full=False)
+        assert not running.driver.endpoints_by_number and not running.upstream.pools
--- a/tests/test_log_divergence.py
+++ b/tests/test_log_divergence.py
@@ -14,7 +14,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from tests.test_registry import ENTRY
-from woadyard.errors import RecordError
+from woadyard.errors import LogEntryError
 from woadyard.lists import ListBook
 from woadyard.net.list_version import TAKE, CurrentVersion, ListMessage, ListVersion
 from woadyard.registry.follow import Follower
@@ -121,7 +121,7 @@
         response = leader.log_after(host.applied, host.chain, host.lineage)
         try:
             Follower(follower, Random(1), 1.0).take(response)
-        except RecordError:
+        except LogEntryError:
             assert seen > leader.host.term, "only a leader of an older term is refused"
             assert not leader.leads, "and it stepped down"
         else:
--- a/woadyard/net/client_connection.py
+++ b/woadyard/net/client_connection.py
@@ -10,12 +10,12 @@
 import httptools
 
 from woadyard.net.disconnects import DisconnectDetector, reset_connection
+from woadyard.net.event_dispatcher import now_us
 from woadyard.net.message import READ_SIZE, Call, EndpointStream, Response, Upload
 from woadyard.net.request_head import BadRequestError, accept_request, serialize_response
 from woadyard.net.request_parser import RequestParser
 from woadyard.net.streamed_response import StreamedResponse
 from woadyard.net.timeouts import MAX_STALLED_CHECKS, MAX_UPLOAD_US, MIN_BODY_PROGRESS_BYTES
-from woadyard.net.turns import now_us
 
 if TYPE_CHECKING:
     from woadyard.net.server import Server
@@ -349,7 +349,7 @@
     def reject(self, error: BadRequestError) -> None:
         """Respond with a plain 4xx or 501, and close the connection."""
         LOG.info("request refused", extra={"status": error.status, "why": str(error)})
-        self.server.driver.metrics.malformed(error.status)
+        self.server.driver.metrics.request_malformed(error.status)
         if self.discards_body:  # there was a response already
             self._linger()
             return
--- a/woadyard/net/discovery.py
+++ b/woadyard/net/discovery.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from woadyard.membership import Listen
+from woadyard.membership import ListHandler
 from woadyard.net.backoff import Backoff
 from woadyard.net.list_stream import Stream, StreamFailure
 from woadyard.net.list_version import REFUSE, TAKE, CurrentVersion, ListMessage, ListVersion
@@ -53,7 +53,7 @@
         addresses: str,
         path: str,
         uses_push: bool,
-        on_list: Listen,
+        on_list: ListHandler,
         rng: random.Random,
     ) -> None:
         self.loop, self.path = loop, path
--- a/woadyard/net/endpoint_table.py
+++ b/woadyard/net/endpoint_table.py
@@ -7,8 +7,8 @@
 from woadyard.errors import PeerError
 from woadyard.interface import DRAINING, GONE, READY, Entry
 from woadyard.net.active_settings import ActiveSettings
+from woadyard.net.event_dispatcher import now_us
 from woadyard.net.state import Bans, endpoint_number
-from woadyard.net.turns import now_us
 from woadyard.net.upstream import Upstream
 from woadyard.net.wallclock import WallClock
 
@@ -51,7 +51,7 @@
             parsed = [self._parse_entry(raw_entry) for raw_entry in raw]
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
             raise PeerError(f"invalid list entry: {error!r}") from None
-        self.bans.note(raw_entry["instanceId"] for raw_entry in raw)
+        self.bans.add_listed(raw_entry["instanceId"] for raw_entry in raw)
         return [pair for pair in parsed if not self._is_outdated(version, *pair)]
 
     def apply(self, version: int, is_full: bool, parsed: ParsedEntries) -> None:
@@ -79,14 +79,14 @@
     def may_start(self, endpoint: int, now: int) -> bool:
         """Whether a request may be sent there now: it is ready, or was removed within the grace."""
         known = self.by_number.get(endpoint)
-        if known is None or endpoint in self.bans.out:
+        if known is None or endpoint in self.bans.banned_numbers:
             return False
         return known.removed_at_us is None or now < known.removed_at_us + self._start_grace_us()
 
     def may_have_started(self, endpoint: int, now: int) -> bool:
         """Whether a request already in flight may have been sent there: the whole grace counts."""
         known = self.by_number.get(endpoint)
-        if known is None or endpoint in self.bans.out:
+        if known is None or endpoint in self.bans.banned_numbers:
             return False
         return known.removed_at_us is None or now < known.removed_at_us + self.active_settings.drain_grace_us
 
@@ -152,9 +152,9 @@
             self._open_pool(number, listed)
 
     def _open_pool(self, number: int, endpoint: ListedEndpoint) -> None:
-        if number not in self.bans.out:
+        if number not in self.bans.banned_numbers:
             host, _, port = endpoint.address.rpartition(":")
-            self.upstream.place(number, host, int(port))
+            self.upstream.open_pool(number, host, int(port))
 
     def _remove(self, now: int, version: int, number: int, endpoint: ListedEndpoint) -> None:
         self.removed[number] = max(version, self.removed.get(number, (0, 0))[0]), endpoint.started_ms
@@ -162,4 +162,4 @@
             del self.removed[next(iter(self.removed))]
         if endpoint.removed_at_us is None:
             endpoint.removed_at_us = now
-            self.upstream.remove(number)
+            self.upstream.close_pool(number)
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -27,7 +27,7 @@
 from woadyard.errors import ConfigError, PeerError
 from woadyard.interface import MOOT, Arrival, Outcome, Send, Settings
 from woadyard.net.backoff import Backoff
-from woadyard.net.config import address
+from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
 
 CALL_S, LAST_S = 2.0, 0.3
@@ -63,7 +63,7 @@
         rng: random.Random,
     ) -> None:
         self.settings, self.named, self.orders, self.rng = settings, named, orders, rng
-        self.replicas = [address(one.strip()) for one in settings.service.split(",")]
+        self.replicas = [parse_address(one.strip()) for one in settings.service.split(",")]
         self.turn = rng.randrange(len(self.replicas))
         self.position = Position(build=build)
         self.spans = Spans(name, secrets.token_hex(6), now_us(), self.position, settings.spans)
@@ -77,30 +77,30 @@
 
     # --- What the driver tells --------------------------------------------------------
 
-    def taken(self, now: int, event: Arrival) -> None:
+    def request_accepted(self, now: int, event: Arrival) -> None:
         pass
 
-    def sent(self, now: int, action: Send) -> bytes:
+    def attempt_started(self, now: int, action: Send) -> bytes:
         return self.spans.attempt(now, action.request, action.endpoint)
 
-    def ended(self, now: int, event: Outcome) -> None:
+    def attempt_ended(self, now: int, event: Outcome) -> None:
         self.spans.ended(event.request, event.endpoint, event.outcome != MOOT)
 
     def unsent(self, request: int, endpoint: int) -> None:
         """An attempt is about to end of which no byte was written."""
         self.spans.ended(request, endpoint, False)
 
-    def answered(self, now: int, request: int, status: int) -> None:
+    def request_answered(self, now: int, request: int, status: int) -> None:
         pass
 
-    def refused(self, now: int, request: int) -> None:
+    def request_refused(self, now: int, request: int) -> None:
         self.spans.refused(now)
 
-    def listed(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
+    def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         lineage, term = self.named()
         self._act(now, lineage=lineage, term=term, generation=version)
 
-    def retuned(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
+    def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         self._act(now, settings=digest(raw))
 
     def experiment(self, revision: int) -> None:
@@ -226,6 +226,6 @@
     if settings is not None:
         for one in settings.service.split(","):
             try:
-                address(one.strip())
+                parse_address(one.strip())
             except ConfigError as error:
                 raise ConfigError(f"audit.service: {error}") from None
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -88,9 +88,9 @@
     def reject_request(self) -> Response:
         """The answer to a request that this sidecar takes no more."""
         metrics = self.driver.metrics
-        metrics.taken()
-        metrics.refused()
-        metrics.answered(503, 0)
+        metrics.request_received()
+        metrics.request_rejected()
+        metrics.response_sent(503, 0)
         return Response(503, b"Retry-After: 1\r\n" if self.driver.settings.retry_after else b"")
 
     def claim_request_id(self, name: bytes, expires: int) -> None:
@@ -146,7 +146,7 @@
             self.abort_connection(last)
 
     def _is_over_limit(self) -> bool:
-        both = len(self.connections) + len(self.driver.upstream.links)
+        both = len(self.connections) + len(self.driver.upstream.connections)
         return both > self.max_sockets or len(self.connections) > max(
             1, CLIENT_SOCKET_SHARE * self.max_sockets
         )
@@ -155,7 +155,7 @@
         """With a second process of this sidecar each has half of all descriptors,
         and in its half what each has besides the sockets of both sides."""
         most = int((self.total_sockets + self.reserved_fds) * part) - self.reserved_fds
-        self.max_sockets = self.driver.upstream.most = max(16, most)
+        self.max_sockets = self.driver.upstream.max_sockets = max(16, most)
         while self._is_over_limit() and self.release_connection():
             pass
 
@@ -250,7 +250,7 @@
 
     def _check_pending_response(self, caller: ClientConnection) -> None:
         if caller.detector is not None and not caller.detector.is_disconnected():
-            self.driver.attempts.invariants.closed(caller.call)
+            self.driver.attempts.invariants.check_closed(caller.call)
 
     def abort_connection(self, caller: ClientConnection) -> None:
         """Break a connection off at once, whatever is unwritten."""
