--- a/tests/test_bad_bytes.py
+++ b/tests/test_bad_bytes.py
@@ -105,7 +105,9 @@
 
 
 @pytest.mark.parametrize("pipelined", [1, 3])
-@pytest.mark.parametrize("malformed", [b"nonsense\r\n\r\n", GARBAGE, http_request(rid=""), b"POST /pay"], ids=len)
+@pytest.mark.parametrize(
+    "malformed", [b"nonsense\r\n\r\n", GARBAGE, http_request(rid=""), b"POST /pay"], ids=len
+)
 @on_loop
 async def test_complete_requests_before_a_malformed_one_are_all_answered(
     pipelined: int, malformed: bytes
@@ -163,7 +165,9 @@
         assert (await proxy.send(http_request(rid="other"))).body == b"ok"
         assert len(endpoint.received) < 1001, "it does not wait for all of them"
         (connection,) = (each for each in proxy.server.connections if each.pipelined)
-        assert len(connection.pipelined) <= READ_SIZE // len(http_request(rid="a0")), "as many as one read holds"
+        assert len(connection.pipelined) <= READ_SIZE // len(http_request(rid="a0")), (
+            "as many as one read holds"
+        )
         for _ in range(1000):
             assert (await read_message(reader)).body == b"ok"
         order = [message.headers["x-request-id"] for message in endpoint.received]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -139,7 +139,9 @@
             pending_response = asyncio.create_task(proxy.send(http_request("put")))
             await connecting.wait()
             (call,) = proxy.driver.calls.values()
-            await wait_until(lambda: not past_window or proxy.driver.now() >= call.attempts[0].sent_us + window)
+            await wait_until(
+                lambda: not past_window or proxy.driver.now() >= call.attempts[0].sent_us + window
+            )
             may_connect.set()
             response = await pending_response
         assert len(received) == (1 if past_window else 2)
@@ -234,9 +236,7 @@
         attempt_outcomes = record_outcomes(proxy)
         response = await proxy.send(http_request("pay", deadline_ms=400))
         assert [each.outcome for each in attempt_outcomes] == [expected] and len(endpoint.received) == 1
-        assert response.start_line.split()[1] in ("502", "504"), (
-            "it may have run: the client must not retry"
-        )
+        assert response.start_line.split()[1] in ("502", "504"), "it may have run: the client must not retry"
 
 
 @pytest.mark.parametrize("change", ["moved", "banned", "left out"])
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,7 +1,6 @@
 """Clients that disconnect: no attempt for them begins any more, and their requests are forgotten.
 
-A client has disconnected once it closes or resets its connection, and also when it half-closes
-it: that is how a sidecar, as the client of the next tier, cancels a request.
+A client that closes, resets or half-closes its connection has disconnected: a sidecar half-closes to cancel.
 """
 
 from __future__ import annotations
@@ -155,7 +154,9 @@
         monkeypatch.setattr(endpoint_connection, "encode_request", request_bytes)
         vars(proxy.driver.dispatcher)["start_timer"] = lambda delay, token: state.timers.append(token)
         if delayed:
-            monkeypatch.setattr(EndpointConnection, "connection_made", lambda *args: state.delayed_connects.append(args))
+            monkeypatch.setattr(
+                EndpointConnection, "connection_made", lambda *args: state.delayed_connects.append(args)
+            )
         yield state
         state.client.socket.close()
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -172,7 +172,9 @@
                 assert response.start_line.startswith(
                     "HTTP/1.1 502"
                 )  # a 503 would say that a retry is harmless
-        runs = Counter(message.headers["x-request-id"] for endpoint in endpoints for message in endpoint.received)
+        runs = Counter(
+            message.headers["x-request-id"] for endpoint in endpoints for message in endpoint.received
+        )
         for n, effect in enumerate((before, after)):
             assert 1 <= runs[f"r{n}"] <= (1 if effect == "fragile" else 3)
         await wait_until_settled(proxy)
