--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -296,7 +296,7 @@
     assert not unanswered, "every request is answered in the end"
     assert not ledger.balancer.requests
     assert not any(
-        turn.requests or turn.attempts_in_flight for turn in ledger.balancer.sequencer.queues.values()
+        turn.unfinished or turn.attempts_in_flight for turn in ledger.balancer.sequencer.queues.values()
     )
 
 
--- a/woadyard/policy/__init__.py
+++ b/woadyard/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of woadyard: `Balancer` (balancer.py), and what it is made of."""
+"""The balancing policy: `Balancer` makes every decision, through the parts it is composed of."""
 
 from woadyard.policy.arms import assign_arm
 from woadyard.policy.balancer import Balancer
--- a/woadyard/policy/arms.py
+++ b/woadyard/policy/arms.py
@@ -1,4 +1,4 @@
-"""Arms of an experiment: which of them a request is assigned to."""
+"""Assignment of requests to the arms of an experiment."""
 
 from bisect import bisect_right
 from itertools import accumulate
@@ -7,10 +7,13 @@
 from woadyard.policy.state import splitmix64
 
 
-def assign_arm(split: Split | None, affinity: int, request: int) -> int:
-    """Drawn by a salted hash of the affinity, or of the request where there is none; 0 with no split. Shares
-    are cuts of the hash, one after the other: one that changes moves no more keys than it must."""
+def assign_arm(split: Split | None, affinity: int, request_id: int) -> int:
+    """Return the arm of a request, by a salted hash of its affinity, or of its id where it has none.
+
+    Without a split the arm is 0. Each arm takes one interval of the hash range, in the order of the arms, so
+    that a changed share moves no more keys than necessary.
+    """
     if split is None:
         return 0
-    mark = splitmix64(splitmix64(affinity or request) ^ split.salt) / 2.0**64
-    return min(bisect_right(list(accumulate(split.shares)), mark), len(split.shares) - 1)
+    position = splitmix64(splitmix64(affinity or request_id) ^ split.salt) / 2.0**64
+    return min(bisect_right(list(accumulate(split.shares)), position), len(split.shares) - 1)
--- a/woadyard/policy/lease.py
+++ b/woadyard/policy/lease.py
@@ -1,56 +1,59 @@
-"""The membership lease: how long a list may be acted on without word from discovery.
+"""The membership lease: how long the endpoint list may be used without contact with discovery.
 
-A change of the list binds a sidecar at the latest `BINDING_US` after discovery had it, heard or not
-(STANDING.md, "One clock for silence"). Each list, and each heartbeat of the watch that told it, therefore
-renews a lease that runs out before the next change could bind. Nothing has to notice that a watch was lost:
-a lease that is not renewed ends by itself, and without one no request is sent.
+A change of the list binds a sidecar at the latest `BINDING_US` after discovery had it, received or not
+(STANDING.md, "One clock for silence"). Therefore each received list, and each heartbeat of the watch that
+delivered it, renews a lease that expires before the next change could bind. Nothing has to detect the loss of
+a watch: a lease that is not renewed expires, and without a lease no request is sent.
 
-Times are those of the module's clock, in microseconds.
+Times and durations are in microseconds, times by the balancer's clock.
 """
 
 from math import inf
 
-# A change counts as told so long after it was made, or after a new address of discovery was named.
+# A change is binding so long after it was made, and so long after discovery's new address was published.
 BINDING_US, ADDRESS_CHANGE_BINDING_US = 6_000_000, 4_000_000
-# Reserve for heartbeats that are read late, and for a process held up between its clock and its write.
+# Allowance for heartbeats that are read late, and for a process suspended between its clock and its write.
 LEASE_MARGIN_US = 500_000
 LEASE_US, ADDRESS_CHANGE_LEASE_US = BINDING_US - LEASE_MARGIN_US, ADDRESS_CHANGE_BINDING_US - LEASE_MARGIN_US
-# Where lists are pushed, one from before the start is taken to be so old: the time that a restart may take.
-# Where discovery is asked it has no lease: the process before may have gone without word for any time.
+# Where lists are pushed, a list cached before the start is assumed to be this old: the time a restart may
+# take. Where they are watched it has no lease, as the previous process may have been without contact for any
+# time.
 CACHED_AGE_US = 3_000_000
-# One that takes over is ready after 3 s at most without a list, and news binds 2 s after it said so.
+# A process that takes over is ready after at most 3 s without a list, and changes bind 2 s after that.
 TAKE_OVER_LEASE_US = 4_500_000
-# An endpoint that answered was taking work when it was asked. One that drains may go on for some seconds
-# (1.94 s seen, docs/incidents/incident-1.md), so an answer counts for less than the rest of `BINDING_US`.
+# An endpoint that responded was accepting work when the request was sent. A draining endpoint may accept work
+# for some seconds (1.94 s in docs/incidents/incident-1.md), so a response counts for less than the rest of
+# `BINDING_US`.
 RESPONSE_LEASE_US = 2_500_000
-# Without heartbeats (the simulator's wire): the times that discovery may go unasked after a failed call.
+# Without heartbeats (the simulator's wire): for how many of the longest intervals between calls to discovery
+# the lease lasts after a failed call, and the share of that which is used.
 FAILED_CALL_INTERVALS, FAILED_CALL_SHARE = 4, 0.9
 
 
 class MembershipLease:
-    """Until when sends may rest on the list that is held."""
+    """Until when requests may be sent by the current list; handlers are named after the balancer's events."""
 
     def __init__(self) -> None:
         self.expires_us: float = inf  # of the list as a whole
         self.has_heartbeats = False  # the host confirms the list as long as its watch lives
-        self.responses_extend = True  # an endpoint's own answer may stand in for the list
-        self.renewal_cap_us: float = inf  # no renewal without a list goes past this
+        self.responses_extend = True  # a response of an endpoint extends the lease for that endpoint
+        self.renewal_cap_us: float = inf  # renewals without a list do not go past this
 
     def start(self, now: int, alone: bool, heartbeats: bool, pushed: bool) -> None:
-        """The process starts, by a list of unknown age, alone or beside the one that it takes over from."""
+        """The process starts with a list of unknown age, alone or beside the process that it replaces."""
         self.has_heartbeats = heartbeats
-        cached = TAKE_OVER_LEASE_US
+        lease_us = TAKE_OVER_LEASE_US
         if alone:
-            cached = LEASE_US - CACHED_AGE_US if pushed else 0
-        self.expires_us = now + cached if heartbeats else inf
+            lease_us = LEASE_US - CACHED_AGE_US if pushed else 0
+        self.expires_us = now + lease_us if heartbeats else inf
 
     def confirm(self, now: int) -> None:
-        """Discovery told a list, or that nothing changed since."""
+        """Discovery sent a list, or confirmed that nothing has changed since."""
         self.expires_us = now + LEASE_US if self.has_heartbeats else inf
         self.responses_extend, self.renewal_cap_us = True, inf
 
     def unreachable(self, since: int) -> None:
-        """Nobody listens at discovery's address: no change binds before it can be reached again."""
+        """Nothing listens at discovery's address: no change binds before it is reachable again."""
         if self.has_heartbeats:
             self.expires_us = max(
                 self.expires_us,
@@ -58,27 +61,27 @@
             )
 
     def call_failed(self, now: int, ask_within_us: int) -> None:
-        """A call failed. With heartbeats that changes nothing: the lease runs out by itself."""
+        """A call to discovery failed. With heartbeats this changes nothing: the lease expires by itself."""
         if not self.has_heartbeats:
             self.expires_us = now + int(FAILED_CALL_INTERVALS * FAILED_CALL_SHARE * ask_within_us)
 
     def silent(self) -> None:
-        """The watch fell silent: what it misses binds by that moment, whatever endpoints answer."""
+        """The watch has fallen silent: the changes it misses bind by then, whatever endpoints respond."""
         self.responses_extend = False
 
     def moved(self, now: int) -> None:
-        """Discovery has another address: all that it has binds by the time of the change of address."""
+        """Discovery has a new address: all its changes bind by the time the change of address does."""
         if self.has_heartbeats:
             self.renewal_cap_us = now + ADDRESS_CHANGE_LEASE_US
             self.expires_us = min(self.expires_us, self.renewal_cap_us)
         self.responses_extend = False
 
-    def expiry_us(self, answered_at: int) -> float:
-        """Until when an endpoint may be sent to whose latest answer was asked for then (0: none came)."""
-        if self.responses_extend and answered_at:
-            return max(self.expires_us, answered_at + RESPONSE_LEASE_US)
+    def expiry_us(self, last_success_sent_us: int) -> float:
+        """Until when an endpoint may be used, by when its latest successful attempt was sent (0: none)."""
+        if self.responses_extend and last_success_sent_us:
+            return max(self.expires_us, last_success_sent_us + RESPONSE_LEASE_US)
         return self.expires_us
 
-    def allows(self, now: int, answered_at: int) -> bool:
-        """Whether an endpoint may be sent to now."""
-        return now < self.expiry_us(answered_at)
+    def allows(self, now: int, last_success_sent_us: int) -> bool:
+        """Whether an endpoint may be sent requests now."""
+        return now < self.expiry_us(last_success_sent_us)
