--- a/woadyard/__init__.py
+++ b/woadyard/__init__.py
@@ -1,7 +1,7 @@
-"""woadyard: the decisions of a load balancer for services that call services.
+"""woadyard: the decisions of a load balancer for service-to-service traffic.
 
-Make a `Balancer` from a seed and `Settings`, tell it one event at a time and
-carry out the actions it returns; `woadyard.interface` says what each means.
+Create a `Balancer` from a seed and `Settings`, pass it one event at a time and carry out the actions it
+returns; `woadyard.interface` describes both.
 """
 
 from woadyard.interface import (
--- a/woadyard/adapter.py
+++ b/woadyard/adapter.py
@@ -1,7 +1,7 @@
-"""Adapter: hosts many balancer instances on the simulator's wire.
+"""Adapter that hosts many balancer instances on the simulator's wire.
 
-It decodes, hands each event to the instance it is for and encodes what the
-instance returns. It decides nothing and shares nothing between instances.
+It decodes batches of events, passes each event to its instance and encodes the returned actions. It makes no
+decisions and shares nothing between instances.
 """
 
 from __future__ import annotations
@@ -18,13 +18,18 @@
 
 
 class Host:
-    """All instances of this process, and the wire's numbered lists."""
+    """The balancer instances of this process, and the numbered endpoint lists of the wire."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
         self.lists: Lists = {}
 
     def handle_batch(self, body: memoryview) -> bytes:
+        """Process one batch of events and return the encoded reply.
+
+        Raises:
+            WireError: the batch is malformed.
+        """
         now, count, tail = wire.read_batch_head(body)
         reply = wire.Reply()
         offset = wire.BATCH_HEAD.size
@@ -34,7 +39,7 @@
                 instance, actions = self.handle_event(now, body, offset, tail)
             except wire.WireError:
                 raise
-            except Exception as error:  # whatever the module raises is reported
+            except Exception as error:  # an error in a balancer is reported in the reply
                 (instance,) = wire.KILL.unpack_from(body, offset + 1)
                 reply.add_fault(instance, f"{type(error).__name__}: {error}")
                 actions = []
@@ -46,82 +51,99 @@
     def handle_event(
         self, now: int, body: memoryview, offset: int, tail: memoryview
     ) -> tuple[int, list[Action]]:
+        """Process the event at the offset. Return the instance it is for, and the instance's actions.
+
+        Events of an instance that has ended are dropped, as they may arrive late.
+        """
         code = body[offset]
-        at = offset + 1
+        position = offset + 1
         if code == wire.EV_REQ:
-            i, rid, cls, tenant, key, expires, hint, options = wire.REQ.unpack_from(body, at)
-            if (one := self.instances.get(i)) is None:
-                return i, []
+            instance, request_id, cls, tenant, key, expires_us, work_us, options = wire.REQ.unpack_from(
+                body, position
+            )
+            if (balancer := self.instances.get(instance)) is None:
+                return instance, []
             if not options & wire.OPTION_HINT:
-                hint = 0
-            repeat = bool(options & wire.OPTION_REPEAT)
-            return i, one.request(now, Arrival(rid, cls, expires, tenant, key, hint, repeat))
+                work_us = 0
+            is_retry = bool(options & wire.OPTION_REPEAT)
+            return instance, balancer.request(
+                now, Arrival(request_id, cls, expires_us, tenant, key, work_us, is_retry)
+            )
         if code == wire.EV_RETURNED:
-            i, rid, copy, endpoint, raw, delay, over, n, *load = wire.RETURNED.unpack_from(body, at)
-            if (one := self.instances.get(i)) is None:
-                return i, []
-            if raw not in wire.OUTCOMES:
-                raise wire.WireError(f"unknown outcome {raw}")
-            report = load[:n] if n else None
-            outcome = wire.OUTCOMES[raw]
-            ended = Outcome(rid, copy, endpoint, outcome, delay, over != 0, report)
-            return i, one.outcome(now, ended)
+            instance, request_id, attempt, endpoint, value, delay_us, over, count, *load = (
+                wire.RETURNED.unpack_from(body, position)
+            )
+            if (balancer := self.instances.get(instance)) is None:
+                return instance, []
+            if value not in wire.OUTCOMES:
+                raise wire.WireError(f"unknown outcome {value}")
+            report = load[:count] if count else None
+            outcome = wire.OUTCOMES[value]
+            ended = Outcome(request_id, attempt, endpoint, outcome, delay_us, over != 0, report)
+            return instance, balancer.outcome(now, ended)
         if code == wire.EV_FIRED:
-            i, token = wire.ID_VALUE.unpack_from(body, at)
-            one = self.instances.get(i)
-            return i, one.timer(now, token) if one else []
-        return self.handle_uncommon_event(code, now, body, at, tail)
+            instance, token = wire.ID_VALUE.unpack_from(body, position)
+            balancer = self.instances.get(instance)
+            return instance, balancer.timer(now, token) if balancer else []
+        return self.handle_uncommon_event(code, now, body, position, tail)
 
     def handle_uncommon_event(
-        self, code: int, now: int, body: memoryview, at: int, tail: memoryview
+        self, code: int, now: int, body: memoryview, position: int, tail: memoryview
     ) -> tuple[int, list[Action]]:
+        """Process an event other than a request, an outcome or a timer."""
         if code == wire.EV_MANIFEST:
-            number, start, count = wire.MANIFEST.unpack_from(body, at)
-            self.lists[number] = wire.read_entries(tail, start, count)
+            number, offset, count = wire.MANIFEST.unpack_from(body, position)
+            self.lists[number] = wire.read_entries(tail, offset, count)
             return -1, []
         if code == wire.EV_INIT:
-            i, seed, start, size = wire.INIT.unpack_from(body, at)
-            settings = wire.read_settings(wire.tail_bytes(tail, start, size))
-            one = self.instances[i] = Balancer(seed, settings)
-            return i, one.start(now)
-        (i,) = wire.KILL.unpack_from(body, at)
+            instance, seed, offset, size = wire.INIT.unpack_from(body, position)
+            settings = wire.read_settings(wire.tail_bytes(tail, offset, size))
+            created = self.instances[instance] = Balancer(seed, settings)
+            return instance, created.start(now)
+        (instance,) = wire.KILL.unpack_from(body, position)
         if code == wire.EV_KILL:
-            self.instances.pop(i, None)
-            return i, []
+            self.instances.pop(instance, None)
+            return instance, []
         if not wire.EV_INIT < code < wire.EV_MANIFEST:
             raise wire.WireError(f"unknown event code {code}")
-        found = self.instances.get(i)
-        return i, self.deliver(found, code, now, body, at, tail) if found else []
+        balancer = self.instances.get(instance)
+        return instance, self.deliver(balancer, code, now, body, position, tail) if balancer else []
 
     def deliver(
-        self, one: Balancer, code: int, now: int, body: memoryview, at: int, tail: memoryview
+        self, balancer: Balancer, code: int, now: int, body: memoryview, position: int, tail: memoryview
     ) -> list[Action]:
+        """Decode an event of a running instance and pass it on."""
         if code == wire.EV_BACKENDS:
-            _, _, raw, number = wire.BACKENDS.unpack_from(body, at)
-            if raw not in wire.LIST_MODES:
-                raise wire.WireError(f"unknown list mode {raw}")
-            failed = wire.LIST_MODES[raw] == LIST_FAILED
+            _, _, value, number = wire.BACKENDS.unpack_from(body, position)
+            if value not in wire.LIST_MODES:
+                raise wire.WireError(f"unknown list mode {value}")
+            failed = wire.LIST_MODES[value] == LIST_FAILED
             if not failed and number not in self.lists:
                 raise wire.WireError(f"list {number} was never sent")
-            return one.members(now, wire.LIST_MODES[raw], () if failed else self.lists[number])
+            return balancer.members(now, wire.LIST_MODES[value], () if failed else self.lists[number])
         if code == wire.EV_HEAD:
-            _, rid, copy, endpoint, delay = wire.HEAD.unpack_from(body, at)
-            return one.head(now, Outcome(rid, copy, endpoint, OK, delay))
+            _, request_id, attempt, endpoint, delay_us = wire.HEAD.unpack_from(body, position)
+            return balancer.head(now, Outcome(request_id, attempt, endpoint, OK, delay_us))
         if code == wire.EV_ABANDONED:
-            _, rid = wire.ID_VALUE.unpack_from(body, at)
-            return one.gone(now, rid)
-        # The module asks for no probe and no message: what comes is read and left.
+            _, request_id = wire.ID_VALUE.unpack_from(body, position)
+            return balancer.gone(now, request_id)
+        # Balancers request no probes and no messages: such events are validated and dropped.
         if code == wire.EV_PROBED:
-            _, _, raw, *_ = wire.PROBED.unpack_from(body, at)
-            if raw not in wire.OUTCOMES:
-                raise wire.WireError(f"unknown outcome {raw}")
+            _, _, value, *_ = wire.PROBED.unpack_from(body, position)
+            if value not in wire.OUTCOMES:
+                raise wire.WireError(f"unknown outcome {value}")
         else:
-            _, _, start, size = wire.MAIL.unpack_from(body, at)
-            wire.tail_bytes(tail, start, size)
+            _, _, offset, size = wire.MAIL.unpack_from(body, position)
+            wire.tail_bytes(tail, offset, size)
         return []
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batches from the source until its end.
+
+    Raises:
+        WireError: the input is malformed.
+    """
     host = Host()
     while (body := wire.read_frame(source)) is not None:
         sink.write(host.handle_batch(body))
@@ -136,7 +158,7 @@
         print(f"woadyard.adapter: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        print("woadyard.adapter: the reader of the replies went away", file=sys.stderr)
+        print("woadyard.adapter: the reader of the replies closed the pipe", file=sys.stderr)
         return 1
     return 0
 
--- a/woadyard/interface.py
+++ b/woadyard/interface.py
@@ -1,26 +1,29 @@
-"""What goes into a `Balancer` and what comes out: types only, no decisions.
+"""Input and output types of a `Balancer`; no decisions are made here.
 
-One `Balancer` (in `woadyard.policy`) serves one sidecar. It is made from a
-seed and the `Settings` and then told one event at a time: each of its methods
-takes the time in µs and returns the `Action`s to carry out at that time, in
-their order. The caller owes it a clock that never goes back, one `outcome` for
-each `Send`, and each `Timer` at its time or after, never before.
+One `Balancer` (in `woadyard.policy`) serves one sidecar. It is created from a seed and the `Settings`, and
+then receives one event at a time: each event method takes the time in µs and returns the `Action`s to carry
+out at that time, in order. The caller must provide a monotonic clock, one `outcome` for each `Send`, and each
+`Timer` at its time or later, never earlier.
 
     start(now, alone)         the sidecar is up, alone or beside the process that it
-                              takes over from; a cached list follows
-    members(now, mode, list)  discovery's view: LIST_FULL, _DELTA, _CACHED, _FAILED
-    retune(now, Settings)     new settings; classes keep their numbers, more may follow
-    detach(now, endpoint)     an operator takes it out, above all lists
-    attach(now, endpoint)     and puts it back
-    request(now, Arrival)     a request to be answered exactly once
-    whole(now, request, expires)  the last byte of a loading request has come
+                              replaces; a cached list follows
+    members(now, mode, list)  a list from discovery: LIST_FULL, _DELTA, _CACHED, _FAILED
+    confirmed(now)            the watch sent a heartbeat: nothing has changed
+    unreachable(now, since)   nothing listens at discovery's address
+    silent(now)               the watch has been silent for too long
+    moved(now)                discovery has a new address
+    retune(now, Settings)     new settings; classes keep their numbers, more may be added
+    detach(now, endpoint)     an operator takes an endpoint out of use, whatever lists say
+    attach(now, endpoint)     an operator puts an endpoint back into use
+    request(now, Arrival)     a request, which gets exactly one final answer
+    whole(now, request, expires)  the last byte of a request body has arrived
     outcome(now, Outcome)     how one attempt ended; each `Send` gets one
-    head(now, Outcome)        an answer that is passed on as it comes has started
-    gone(now, request)        the client left; nothing more is owed
-    timer(now, token)         a `Timer` asked for has come due
-    trust(now, factors)       how far others' verdicts lower endpoints, by number
-    limit(now, caps, others)  how many attempts each endpoint may have out from here
-    split(now, Split | None)  the experiment in force, told before the list that it speaks of
+    head(now, Outcome)        a response that is streamed to the client has started
+    gone(now, request)        the client disconnected; no answer is needed any more
+    timer(now, token)         a requested `Timer` has fired
+    trust(now, factors)       factors on the endpoints' weights by other sidecars' verdicts
+    limit(now, caps, others)  attempts that may be in flight from here, by endpoint
+    split(now, Split | None)  the experiment in force, sent before the list that it refers to
 """
 
 from __future__ import annotations
@@ -35,16 +38,16 @@
 # only where `Settings.full_unproven` does not say otherwise.
 OK, ERROR, FULL, TIMEOUT, NO_CONNECT, RESET, CANCELLED, MOOT = range(8)
 NEVER_RAN = frozenset((FULL, NO_CONNECT, MOOT))
-# Whether a class may be repeated, and among which endpoints a key is known.
+# Whether requests of a class may be repeated, and which endpoints recognize a repeat by its key.
 SAFE, KEYED, UNSAFE = range(3)
 SCOPE_ALL, SCOPE_ZONE, SCOPE_CELL = range(3)
 # Phases of an endpoint and kinds of list.
 GONE, READY, DRAINING = range(3)
 LIST_FULL, LIST_FAILED, LIST_DELTA, LIST_CACHED = range(4)
-# What sidecars tell each other of an endpoint (`Verdict`).
+# States of an endpoint that sidecars report to each other (`Verdict`).
 EJECTED, DEGRADED, COLD = "ejected", "degraded", "cold"
-# Names in a load report: requests held, requests waiting, share of CPU in use,
-# recent service time in ms, requests served a second, errors a second.
+# Names in a load report: requests in progress, requests queued, share of CPU in use, recent service time in
+# ms, requests served per second, errors per second.
 HELD, WAITING, BUSY, LATENCY_MS, SERVED_RATE, ERROR_RATE = (
     "held", "waiting", "busy", "latency_ms", "served_rate", "error_rate",
 )  # fmt: skip
@@ -55,28 +58,28 @@
     """One class of requests; times in µs."""
 
     effect: int = UNSAFE  # SAFE, KEYED or UNSAFE to repeat
-    scope: int = SCOPE_ALL  # KEYED: the endpoints that drop a repeat
-    window_us: int = 0  # KEYED: how long they remember, from the first send
-    aim_us: int = 1_000_000  # an answer within this earns the whole worth
+    scope: int = SCOPE_ALL  # KEYED: the endpoints that recognize and drop a repeat
+    window_us: int = 0  # KEYED: how long they remember a key, from the first send
+    aim_us: int = 1_000_000  # latency target: a response within it earns the whole worth
     aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    deadline_us: int = 1_000_000  # a client waits no longer, over all its tries
+    deadline_us: int = 1_000_000  # the longest time a client waits, over all its retries
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth after the aim
-    stream: bool = False  # the answer is a stream; `head` tells that it started
-    sequential: bool = False  # requests with one key run one at a time, as taken
+    late_worth: float = 0.0  # share of the worth that a response after the aim earns
+    stream: bool = False  # the response is a stream; `head` reports its start
+    sequential: bool = False  # requests with the same key run one at a time, in order of arrival
 
     def __post_init__(self) -> None:
         if self.effect not in (SAFE, KEYED, UNSAFE):
-            raise ValueError(f"effect is unknown: {self.effect}")
+            raise ValueError(f"unknown effect: {self.effect}")
         if self.scope not in (SCOPE_ALL, SCOPE_ZONE, SCOPE_CELL):
-            raise ValueError(f"scope is unknown: {self.scope}")
+            raise ValueError(f"unknown scope: {self.scope}")
         _positive(self, ("aim_us", "deadline_us"))
         _not_negative(self, ("window_us", "aim_stretch", "worth", "late_worth"))
 
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """Weights of the parts by which service is counted; 0 where a part is not."""
+    """Weights of the parts of the service score; 0 where a part does not count."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -86,71 +89,73 @@
 
 @dataclass(slots=True, frozen=True)
 class Locality:
-    """How zones are chosen; times in µs, shares from 0 to 1."""
+    """Settings of zone-aware routing; times in µs, shares from 0 to 1."""
 
     regions: tuple[int, ...]  # of each zone, by its number
-    leave: float = 0.5  # a zone with this share of failed outcomes is left
+    leave: float = 0.5  # share of failed outcomes at which a zone is left
     window_us: int = 2_000_000  # over which outcomes are counted
-    away_us: int = 5_000_000  # a zone that was left stays away for so long, doubled when again
-    ramp_us: int = 10_000_000  # over which it gets its whole share back
-    # With less healthy capacity than this, all zones are used; one of two or two of three may be lost.
+    away_us: int = 5_000_000  # how long a zone is left, doubled for each exit in a row
+    ramp_us: int = 10_000_000  # over which a zone regains its whole share
+    # With a smaller share of healthy capacity all zones are used; one of two or two of three zones may fail.
     panic: float = 0.3
 
     def __post_init__(self) -> None:
         _positive(self, ("leave", "window_us", "away_us", "ramp_us"))
         _not_negative(self, ("panic",))
         if self.leave > 1.0 or self.panic > 1.0:
-            raise ValueError(f"leave and panic are shares up to 1: {self.leave}, {self.panic}")
+            raise ValueError(f"leave and panic must be at most 1: {self.leave}, {self.panic}")
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that is fixed at the start. The defaults hold where a setting is
-    absent; they are the careful choice, never a figure of some deployment.
-    Times in µs; prices in points of service, each for its rate or share."""
+    """Settings of a balancer, all fixed at the start.
+
+    A default applies where a setting is absent; it is the conservative choice, never the value of some
+    deployment. Times are in µs, and prices in points of service, each for its rate or share.
+    """
 
     classes: tuple[RequestClass, ...]
     retired: frozenset[int] = frozenset()  # numbers of classes that take no new requests
-    me: int = 0  # this copy's number; may be past `instances` while a tier grows
-    instances: int = 1  # copies of this tier at the start
+    me: int = 0  # this sidecar's number; may exceed `instances` while the tier grows
+    instances: int = 1  # sidecars of this tier at the start
     zone: int = 0
     zones: int = 1
-    locality: Locality | None = None  # most requests stay in the zone
+    locality: Locality | None = None  # zone-aware routing: most requests stay in the zone
     stage: int = 0  # the tier this sidecar sends to
     stages: int = 1
-    tenants: tuple[float, ...] = ()  # requests a second in each one's share, all sidecars
-    over_share_worth: float = 1.0  # worth of a request past its tenant's share
-    worth_by_work: bool = False  # a heavy request is worth more than a light one
-    asks_discovery: bool = False  # the list comes only when asked for
-    passes_deadline: bool = False  # calls carry the time their caller has left
-    warm_keys: bool = False  # an endpoint serves a key it met lately with less work
-    marks_retry: bool = False  # clients mark their repeats
-    rated: bool = False  # the list's ratings tell sizes
-    rating_is_live: bool = False  # and fall with load
+    tenants: tuple[float, ...] = ()  # share of each tenant in requests per second, over all sidecars
+    over_share_worth: float = 1.0  # factor on the worth of a request over its tenant's share
+    worth_by_work: bool = False  # the worth of a request grows with its work
+    asks_discovery: bool = False  # the sidecar requests the list; otherwise it is pushed
+    passes_deadline: bool = False  # requests carry the time that is left to their client
+    warm_keys: bool = False  # an endpoint serves a recently used key with less work
+    marks_retry: bool = False  # clients mark their retries
+    rated: bool = False  # ratings in the list give the endpoints' sizes
+    rating_is_live: bool = False  # and decrease with their load
     report_fields: tuple[str, ...] = ()
-    reports_pulled: bool = False  # only probes bring reports
+    reports_pulled: bool = False  # load reports come only with probes
     can_cancel: bool = False
     can_probe: bool = False
     can_tell: bool = False
-    second_copies: bool = False  # a request may have two attempts out at once
-    retry_after: bool = False  # clients are told `Refuse.retry_after_us`
+    second_copies: bool = False  # a request may have two attempts in flight at once
+    retry_after: bool = False  # clients receive `Refuse.retry_after_us`
     max_retry_after_us: int = 0
     max_attempts: int = 1
     max_held: int = 1_000_000
-    streams: int = 1  # attempts that one connection carries at once
-    idle_us: int = 0  # idle connections are closed after this; 0 = not known
+    streams: int = 1  # concurrent attempts per connection
+    idle_us: int = 0  # idle timeout of connections; 0 = unknown
     connect_timeout_us: int = 0
-    cpu_us_per_s: float = 0.0  # CPU this copy may use; 0 = no limit is known
+    cpu_us_per_s: float = 0.0  # CPU time this sidecar may use; 0 = unknown
     cpu_us_per_request: float = 0.0
-    resolution_us: int = 1000  # events come in batches at least so far apart
-    answer_slack_us: int = 0  # a final answer may follow the deadline by this
-    ask_within_us: int = 10_000_000
-    key_rest_us: int = 0  # a key's rest after an attempt that may still run
-    shares_verdicts: bool = False  # `Verdict`s are told to the other sidecars
-    full_unproven: bool = False  # FULL may also come for work that had begun
-    cold_share: float = 1.0  # of its capacity that a starting endpoint has at least
-    cold_us: int = 0  # until it is warm at the latest
-    tip_multiple: float = 1.0  # of its present capacity that tips it over, sent
+    resolution_us: int = 1000  # least time between batches of events
+    answer_slack_us: int = 0  # how late after the deadline a final answer may come
+    ask_within_us: int = 10_000_000  # the longest time that discovery may go without a call
+    key_rest_us: int = 0  # pause of a key after an attempt that may still be running
+    shares_verdicts: bool = False  # `Verdict`s are reported to the other sidecars
+    full_unproven: bool = False  # FULL may also end an attempt that had begun to run
+    cold_share: float = 1.0  # least share of its capacity that a starting endpoint has
+    cold_us: int = 0  # longest time until it is warm
+    tip_multiple: float = 1.0  # multiple of its current capacity that overloads it when sent
     tip_for_us: int = 1_000_000  # for this long
     goal: Goal = Goal()
     cross_zone_price: float = 0.0
@@ -158,7 +163,7 @@
     waste_price: float = 0.0
     connection_price: float = 0.0
     handshake_price: float = 0.0
-    late_fail_price: float = 0.0  # worth that ends unserved after its aim
+    late_fail_price: float = 0.0  # for worth that ends unserved after its aim
     peer_price: float = 0.0
     discovery_price: float = 0.0
 
@@ -169,7 +174,7 @@
         _not_negative(self, ("me", "idle_us", "connect_timeout_us", "answer_slack_us", "key_rest_us"))
         _not_negative(self, ("cold_share", "cold_us", "tip_multiple", "max_retry_after_us"))
         if any(not 0.0 <= share < inf for share in self.tenants):
-            raise ValueError(f"tenants has a share that is no rate: {self.tenants}")
+            raise ValueError(f"tenants has a share that is negative or not finite: {self.tenants}")
 
 
 def _positive(of: object, names: tuple[str, ...]) -> None:
@@ -186,13 +191,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One line of a discovery list."""
+    """One entry of a discovery list."""
 
     endpoint: int
     phase: int  # READY, DRAINING or GONE
-    boot: int  # when its process started; 0 = long ago
-    rating: float  # its size among the others; 1 where none is known
-    cell: int  # endpoints of one cell share what they know of keys, and often a rack
+    boot: int  # when its process started, in µs; 0 = long ago
+    rating: float  # its size relative to the others; 1 where unknown
+    cell: int  # endpoints of one cell share their memory of keys, and often a rack
     zone: int
     kind: int
 
@@ -201,58 +206,58 @@
 class Split:
     """An experiment: arms are sets of endpoints, each with a share of the requests.
 
-    `woadyard.policy.arm_of` tells the arm that a request is assigned to. It is served there, repeats too;
-    where the arm has no endpoint that is well, by the control arm: then `Send.arm` is another.
+    `woadyard.policy.assign_arm` returns the arm of a request. All its attempts go to endpoints of that arm,
+    or of the control arm if the arm has no usable endpoint: then `Send.arm` differs from the assigned arm.
     """
 
     revision: int
-    salt: int  # of the draw, 64 bits: other experiments draw others
-    shares: tuple[float, ...]  # by arm; they add up to 1
-    control: int  # the arm of endpoints that no other has
+    salt: int  # of the hash that assigns arms, 64 bits; it differs between experiments
+    shares: tuple[float, ...]  # of the requests, by arm; they add up to 1
+    control: int  # the arm of all endpoints that are in no other
     arm_of: Mapping[int, int]  # by endpoint
 
     def __post_init__(self) -> None:
         if not self.shares or abs(sum(self.shares) - 1.0) > 1e-6 or min(self.shares) < 0.0:
             raise PlanError(f"shares of the arms must add up to 1: {self.shares}")
         if not {self.control, *self.arm_of.values()} <= set(range(len(self.shares))):
-            raise PlanError(f"an endpoint or the control is of an arm that is none of {len(self.shares)}")
+            raise PlanError(f"an endpoint or the control names an arm that is not one of {len(self.shares)}")
         if not 0 <= self.salt < 2**64:
-            raise PlanError(f"the salt must be of 64 bits: {self.salt}")
+            raise PlanError(f"the salt must be an unsigned 64-bit integer: {self.salt}")
 
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A request the sidecar has taken; `expires` is when its client gives up."""
+    """A request that the sidecar received; `expires` is when its client gives up."""
 
     request: int
     cls: int
     expires: int
     tenant: int = 0
-    key: int = 0  # what it is about; 0 = none
-    work_us: int = 0  # hint of its cost; 0 = none given
-    repeated: bool = False  # the client marked it as a further try
-    home: int | None = None  # the endpoint to go to first, where it may: affinity
-    loading: bool = False  # its body is still coming; `whole` tells of the last byte
-    affinity: int = 0  # what its arm is drawn by; 0 = by the request itself
+    key: int = 0  # of the object it concerns; 0 = none
+    work_us: int = 0  # hint of its cost; 0 = none
+    repeated: bool = False  # the client marked it as a retry
+    home: int | None = None  # the endpoint preferred by affinity
+    loading: bool = False  # its body is still arriving; `whole` reports the last byte
+    affinity: int = 0  # what its arm is assigned by; 0 = by the request id
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How one attempt ended, or (for `head`) that its answer has started."""
+    """How one attempt ended, or (for `head`) that its response has started."""
 
     request: int
-    copy: int
+    copy: int  # attempt index
     endpoint: int
     outcome: int
     delay_us: int  # since it was sent
     over: bool = False  # the request has its final answer
     report: Sequence[float] | None = None
-    spent: bool = False  # part of its body is gone: it can't be sent again
+    spent: bool = False  # part of the request body was consumed: it cannot be sent again
 
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """What one probe found."""
+    """The result of one probe."""
 
     endpoint: int
     outcome: int
@@ -262,13 +267,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; attempts of a request count 0, 1, 2 ... as sent."""
+    """Start an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of their sends."""
 
     request: int
     endpoint: int
     timeout_us: int
-    arm: int = 0  # that it goes to; 0 without a split
-    start_by: int = 0  # its first byte may leave before this; 0 without a bound
+    arm: int = 0  # of the endpoint; 0 without a split
+    start_by: int = 0  # time before which its first byte must be sent; 0 = no bound
 
 
 @dataclass(slots=True, frozen=True)
@@ -281,7 +286,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: refused, and a retry is harmless."""
+    """Final answer: the request was rejected, and a retry by the client is harmless."""
 
     request: int
     retry_after_us: int
@@ -289,22 +294,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed; it promises nothing."""
+    """Final answer: the request failed, and may or may not have run."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting on one attempt."""
+    """Cancel one attempt."""
 
     request: int
-    copy: int
+    copy: int  # attempt index
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask an endpoint whether it is well, at a price."""
+    """Probe the health of an endpoint, at a price."""
 
     endpoint: int
 
@@ -318,19 +323,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Subscribe to discovery's changes, or end that."""
+    """Start or end the watch of discovery's changes."""
 
     on: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    """Fetch discovery's whole list once."""
+    """Fetch the full list from discovery once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Tell:
-    """A message to one sidecar of the tier, or (None) to all."""
+    """Send a message to one sidecar of the tier, or (None) to all."""
 
     target: int | None
     payload: bytes
@@ -338,7 +343,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """What this sidecar found of an endpoint, for the others; None takes it back."""
+    """This sidecar's opinion on an endpoint, reported to the others; a state of None withdraws it."""
 
     endpoint: int
     state: str | None  # EJECTED, DEGRADED or COLD
@@ -346,7 +351,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operator."""
+    """A log message for operators."""
 
     text: str
 
--- a/woadyard/wire.py
+++ b/woadyard/wire.py
@@ -1,7 +1,7 @@
-"""Binary codec of the simulator's wire: frames in, frames out, no decisions.
+"""Binary codec of the simulator's wire protocol.
 
-The only module that knows the wire's record layouts, codes and settings
-names; it turns them into the types of `woadyard.interface` and back.
+The only module that knows the record layouts, codes and settings names of the wire. It converts them to and
+from the types of `woadyard.interface` and makes no decisions.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 REQ = struct.Struct(">IQBHQQIB")
 HEAD = struct.Struct(">IQBII")
 RETURNED = struct.Struct(">IQBIHIBB4f")
-ID_VALUE = struct.Struct(">IQ")  # Abandoned and Fired
+ID_VALUE = struct.Struct(">IQ")  # of EV_ABANDONED and EV_FIRED
 PROBED = struct.Struct(">IIHIB4f")
 MAIL = struct.Struct(">IHII")
 KILL = struct.Struct(">I")
@@ -91,7 +91,7 @@
 
 
 class WireError(Exception):
-    """What was read is not a frame of this wire."""
+    """The input is not a valid frame of the wire protocol."""
 
 
 def _read_exactly(stream: BinaryIO, size: int) -> bytes:
@@ -106,40 +106,45 @@
 
 
 def read_frame(stream: BinaryIO) -> memoryview | None:
-    """The next batch without its length field, or None at the end of input."""
+    """Read the next batch, without its length field. Return None at the end of input.
+
+    Raises:
+        WireError: the input ends inside a frame.
+    """
     head = _read_exactly(stream, LENGTH.size)
     if not head:
         return None
     if len(head) < LENGTH.size:
-        raise WireError("input ends inside a frame's length")
+        raise WireError("the input ends inside the length field of a frame")
     (length,) = LENGTH.unpack(head)
     body = _read_exactly(stream, length)
     if len(body) < length:
-        raise WireError(f"truncated batch: {len(body)} of {length} bytes")
+        raise WireError(f"truncated batch: received {len(body)} of {length} bytes")
     return memoryview(body)
 
 
 def read_batch_head(body: memoryview) -> tuple[int, int, memoryview]:
-    """Clock, number of records and tail of a batch."""
+    """Return the time in µs, the number of records and the tail of a batch."""
     if len(body) < BATCH_HEAD.size:
-        raise WireError("batch shorter than its header")
+        raise WireError("the batch is shorter than its header")
     now, count = BATCH_HEAD.unpack_from(body)
     start = BATCH_HEAD.size + count * EVENT_SIZE
     if start > len(body):
-        raise WireError(f"{count} records do not fit into the batch")
+        raise WireError(f"{count} records exceed the size of the batch")
     return now, count, body[start:]
 
 
 def tail_bytes(tail: memoryview, offset: int, length: int) -> bytes:
     if offset + length > len(tail):
-        raise WireError("a record points past the tail")
+        raise WireError("a record refers to bytes past the end of the tail")
     return bytes(tail[offset : offset + length])
 
 
 def read_entries(tail: memoryview, offset: int, count: int) -> tuple[interface.Entry, ...]:
+    """Read the entries of a list from the tail of a batch."""
     end = offset + count * ENTRY.size
     if end > len(tail):
-        raise WireError("a list points past the tail")
+        raise WireError("a list extends past the end of the tail")
     return tuple(_entries(tail[offset:end]))
 
 
@@ -151,17 +156,21 @@
 
 
 def read_settings(raw: bytes) -> interface.Settings:
-    """The start-up settings; unknown keys are skipped, absent ones get defaults."""
+    """Read the settings of an instance. Unknown keys are skipped, absent ones get defaults.
+
+    Raises:
+        WireError: the settings are not valid.
+    """
     try:
         info = json.loads(raw)
         return _settings(info)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        raise WireError(f"settings can't be read: {type(error).__name__}: {error}") from None
+        raise WireError(f"invalid settings: {type(error).__name__}: {error}") from None
 
 
 def _settings(info: dict[str, Any]) -> interface.Settings:
-    caps = info.get("ceilings", {})
-    rules = info.get("invariants", {})
+    ceilings = info.get("ceilings", {})
+    invariants = info.get("invariants", {})
     report = info.get("load-report", {})
     prices = info.get("prices", {})
     family = info.get("family-info", {})
@@ -174,7 +183,7 @@
         stage=int(info.get("stage", 0)),
         stages=max(1, len(info.get("layers", ()))),
         classes=tuple(_request_class(entry) for entry in info["classes"]),
-        tenants=tuple(float(t.get("allowance-per-s", 0.0)) for t in info.get("accounts", ())),
+        tenants=tuple(float(account.get("allowance-per-s", 0.0)) for account in info.get("accounts", ())),
         over_share_worth=float(info.get("over-share-worth", 1.0)),
         worth_by_work=info.get("worth-by", "request") == "work",
         asks_discovery=info.get("discovery", "push") == "ask",
@@ -185,28 +194,28 @@
         rating_is_live=info.get("weight-kind") == "live",
         report_fields=tuple(REPORT_FIELDS.get(name, str(name)) for name in report.get("fields", ())),
         reports_pulled=report.get("how") == "pull",
-        can_cancel=bool(caps.get("cancel", False)),
-        can_probe=bool(caps.get("probes", False)),
-        can_tell=bool(caps.get("may-tell", False)),
-        second_copies=bool(caps.get("second-copies", False)),
-        retry_after=bool(caps.get("retry-after", False)),
-        max_retry_after_us=int(caps.get("max-retry-after-us", 0)),
-        max_attempts=int(caps.get("max-attempts", 1)),
-        max_held=int(caps.get("most-held", 1_000_000)),
-        streams=max(1, int(caps.get("max-streams", 1))),
-        idle_us=int(caps.get("conn-idle-us", 0)),
-        connect_timeout_us=int(caps.get("connect-timeout-us", 0)),
-        cpu_us_per_s=float(caps.get("cpu-us-per-s", 0.0)),
-        cpu_us_per_request=float(caps.get("cpu-us-per-request", 0.0)),
+        can_cancel=bool(ceilings.get("cancel", False)),
+        can_probe=bool(ceilings.get("probes", False)),
+        can_tell=bool(ceilings.get("may-tell", False)),
+        second_copies=bool(ceilings.get("second-copies", False)),
+        retry_after=bool(ceilings.get("retry-after", False)),
+        max_retry_after_us=int(ceilings.get("max-retry-after-us", 0)),
+        max_attempts=int(ceilings.get("max-attempts", 1)),
+        max_held=int(ceilings.get("most-held", 1_000_000)),
+        streams=max(1, int(ceilings.get("max-streams", 1))),
+        idle_us=int(ceilings.get("conn-idle-us", 0)),
+        connect_timeout_us=int(ceilings.get("connect-timeout-us", 0)),
+        cpu_us_per_s=float(ceilings.get("cpu-us-per-s", 0.0)),
+        cpu_us_per_request=float(ceilings.get("cpu-us-per-request", 0.0)),
         resolution_us=int(info.get("resolution-us", 1000)),
-        answer_slack_us=int(rules.get("answer-slack-us", 0)),
-        ask_within_us=int(rules.get("ask-within-us", 10_000_000)),
-        key_rest_us=int(rules.get("key-rest-us", 0)),
-        full_unproven=bool(rules.get("full-unproven", False)),
-        cold_share=float(rules.get("cold-share", 1.0)),
-        cold_us=int(rules.get("cold-us", 0)),
-        tip_multiple=float(rules.get("tip-multiple", 1.0)),
-        tip_for_us=int(rules.get("overload-for-us", 1_000_000)),
+        answer_slack_us=int(invariants.get("answer-slack-us", 0)),
+        ask_within_us=int(invariants.get("ask-within-us", 10_000_000)),
+        key_rest_us=int(invariants.get("key-rest-us", 0)),
+        full_unproven=bool(invariants.get("full-unproven", False)),
+        cold_share=float(invariants.get("cold-share", 1.0)),
+        cold_us=int(invariants.get("cold-us", 0)),
+        tip_multiple=float(invariants.get("tip-multiple", 1.0)),
+        tip_for_us=int(invariants.get("overload-for-us", 1_000_000)),
         goal=interface.Goal(
             whole=float(goal.get("whole", 1.0)),
             worst_window=float(goal.get("worst-window", 0.0)),
@@ -242,7 +251,7 @@
 
 
 class Reply:
-    """Collects one reply's records and tail."""
+    """The records and the tail of one reply."""
 
     __slots__ = ("_records", "_tail", "_tail_size")
 
@@ -265,19 +274,19 @@
                     )
                 )
             elif type(action) is interface.Timer:
-                delay = min(action.delay_us, MAX_U32)
-                records.append(ACT_TIMER.pack(67, instance, action.token, delay))
+                capped_us = min(action.delay_us, MAX_U32)
+                records.append(ACT_TIMER.pack(67, instance, action.token, capped_us))
             else:
                 records.append(self._pack_uncommon(instance, action))
 
     def _pack_uncommon(self, instance: int, action: interface.Action) -> bytes:
         match action:
-            case interface.Refuse(request, after):
-                return ACT_REFUSE.pack(72, instance, request, after)
+            case interface.Refuse(request, retry_after_us):
+                return ACT_REFUSE.pack(72, instance, request, retry_after_us)
             case interface.Fail(request):
                 return ACT_ID.pack(70, instance, request)
-            case interface.Cancel(request, copy):
-                return ACT_COPY.pack(71, instance, request, copy)
+            case interface.Cancel(request, attempt):
+                return ACT_COPY.pack(71, instance, request, attempt)
             case interface.Probe(endpoint):
                 return ACT_ENDPOINT.pack(65, instance, endpoint)
             case interface.Close(endpoint):
@@ -287,15 +296,15 @@
             case interface.Fetch():
                 return ACT_PLAIN.pack(68, instance)
             case interface.Tell(target, payload):
-                to = MAX_U32 if target is None else target
+                receiver = MAX_U32 if target is None else target
                 offset, size = self._append_to_tail(payload)
-                return ACT_TELL.pack(73, instance, to, offset, size)
+                return ACT_TELL.pack(73, instance, receiver, offset, size)
             case interface.Log(text):
                 return ACT_TEXT.pack(66, instance, *self._append_to_tail(text.encode()))
-        raise TypeError(f"no record for {action!r}")
+        raise TypeError(f"the wire has no record for {action!r}")
 
     def add_fault(self, instance: int, text: str) -> None:
-        """The wire's internal error: the decision code is broken."""
+        """Add an internal error of an instance: its code raised an exception."""
         self._records.append(ACT_TEXT.pack(69, instance, *self._append_to_tail(text.encode())))
 
     def _append_to_tail(self, data: bytes) -> tuple[int, int]:
