--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what a sidecar is told; they model no endpoints."""
+"""Entries, settings and requests for tests of one balancer; no endpoint is modelled."""
 
 from __future__ import annotations
 
@@ -36,6 +36,7 @@
 
 
 def ready_entries(size: int, boot: int = 0) -> list[Entry]:
+    """Entries of endpoints 100, 101, ..., in cells of four and in two zones."""
     return [Entry(100 + n, READY, boot, 1.0, n // 4, n % 2, 0) for n in range(size)]
 
 
@@ -53,27 +54,28 @@
 
 
 class Client:
-    """Numbers the requests of one balancer and remembers what it sent."""
+    """Sends numbered requests to one balancer."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
         self.last_id = 0
 
     def submit(self, now: int, cls: int = 0, tenant: int = 0, key: int = 0) -> tuple[int, list[Action]]:
+        """Send a request and return its id and the balancer's actions."""
         self.last_id += 1
         expires = now + self.balancer.settings.classes[cls].deadline_us
         return self.last_id, self.balancer.request(now, Arrival(self.last_id, cls, expires, tenant, key))
 
-    def serve(self, now: int, delay: int, cls: int = 0) -> bool:
-        """One request answered after the delay; False if it was not sent."""
-        rid, actions = self.submit(now, cls)
+    def serve(self, now: int, delay_us: int, cls: int = 0) -> bool:
+        """Send a request that succeeds after the delay. Return False if the balancer did not send it."""
+        request_id, actions = self.submit(now, cls)
         if not (sent := sends(actions)):
             return False
-        done = Outcome(rid, 0, sent[0].endpoint, OK, delay, over=True)
-        self.balancer.outcome(now + delay, done)
+        done = Outcome(request_id, 0, sent[0].endpoint, OK, delay_us, over=True)
+        self.balancer.outcome(now + delay_us, done)
         return True
 
 
-def left_endpoint(driver: Client) -> int:
-    """An endpoint of the left group: ties go there, so one request at a time draws it."""
-    return driver.balancer.ring.groups[0][0][0].id
+def left_endpoint(client: Client) -> int:
+    """Return an endpoint of the left group, to which a single request in flight always goes."""
+    return client.balancer.ring.groups[0][0][0].id
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The membership lease: what renews it, what ends it, and that every send needs it."""
+"""Tests of the membership lease: what renews it, what ends it, and that every send requires it."""
 
 from __future__ import annotations
 
@@ -28,30 +28,31 @@
 HEARTBEAT = b"1\r\n\n\r\n"
 
 
-def leased(now: int = 0) -> MembershipLease:
+def confirmed_lease(now: int = 0) -> MembershipLease:
     lease = MembershipLease()
     lease.start(now, True, True, False)
     lease.confirm(now)
     return lease
 
 
-def balancer_of(size: int = 8, stage: int = 0) -> Balancer:
+def watching_balancer(size: int = 8, stage: int = 0) -> Balancer:
+    """A balancer that received its list at 0, from a discovery whose watch has heartbeats."""
     balancer = Balancer(1, replace(SETTINGS, asks_discovery=True, stage=stage))
     balancer.start(0, True, True)
     balancer.members(0, LIST_FULL, ready_entries(size))
     return balancer
 
 
-def test_a_lease_that_is_not_renewed_ends_before_a_change_could_bind() -> None:
-    lease = leased()
+def test_a_lease_that_is_not_renewed_expires_before_a_change_can_bind() -> None:
+    lease = confirmed_lease()
     assert lease.allows(LEASE_US - 1, 0) and not lease.allows(LEASE_US, 0)
     lease.confirm(4 * SECOND)
     assert lease.allows(4 * SECOND + LEASE_US - 1, 0)
     assert LEASE_US + 150 * MS < BINDING_US
 
 
-def test_an_answer_stands_in_for_the_list_for_a_while_but_not_after_silence_or_a_move() -> None:
-    lease = leased()
+def test_a_response_extends_the_lease_unless_the_watch_is_silent_or_discovery_moved() -> None:
+    lease = confirmed_lease()
     late = LEASE_US + SECOND
     assert lease.allows(late, late - RESPONSE_LEASE_US + 1)
     assert not lease.allows(late, late - RESPONSE_LEASE_US)
@@ -62,8 +63,8 @@
     assert not lease.allows(late + ADDRESS_CHANGE_BINDING_US, late + ADDRESS_CHANGE_BINDING_US - 1)
 
 
-def test_a_new_address_shortens_the_lease_and_only_a_list_of_it_lifts_that() -> None:
-    lease = leased()
+def test_a_new_address_shortens_the_lease_until_a_list_comes_from_it() -> None:
+    lease = confirmed_lease()
     lease.moved(SECOND)
     assert not lease.allows(SECOND + ADDRESS_CHANGE_BINDING_US - 150 * MS, 0)
     lease.unreachable(SECOND)
@@ -72,46 +73,46 @@
     assert lease.expires_us == 2 * SECOND + LEASE_US
 
 
-def test_a_discovery_that_nobody_serves_binds_nothing_while_it_is_away() -> None:
-    balancer = balancer_of()
-    driver = Client(balancer)
+def test_no_change_binds_while_nothing_listens_at_discoverys_address() -> None:
+    balancer = watching_balancer()
+    client = Client(balancer)
     for second in range(1, 60):
         balancer.unreachable(second * SECOND, second * SECOND)
-        assert driver.serve(second * SECOND + 500 * MS, 5 * MS)
-    _, actions = driver.submit(59 * SECOND + LEASE_US)
-    assert [type(one) for one in actions] == [Refuse]
+        assert client.serve(second * SECOND + 500 * MS, 5 * MS)
+    _, actions = client.submit(59 * SECOND + LEASE_US)
+    assert [type(action) for action in actions] == [Refuse]
 
 
-def test_behind_the_entry_a_request_waits_for_the_lease() -> None:
-    balancer = balancer_of(stage=1)
-    rid, actions = Client(balancer).submit(10 * SECOND)
-    assert not sends(actions) and rid in balancer.requests
+def test_behind_the_entry_tier_a_request_waits_for_the_lease() -> None:
+    balancer = watching_balancer(stage=1)
+    request_id, actions = Client(balancer).submit(10 * SECOND)
+    assert not sends(actions) and request_id in balancer.requests
     (timer,) = actions
     balancer.members(10 * SECOND + MS, LIST_FULL, ready_entries(8))
     assert sends(balancer.timer(10 * SECOND + 5 * MS, timer.token))  # type: ignore[union-attr]
 
 
-def test_the_guard_and_the_first_byte_both_heed_the_lease() -> None:
-    """A connection that comes up after the lease ended is not written to."""
-    balancer = balancer_of()
-    rid = 1
-    at = LEASE_US - 100 * MS
-    (sent,) = sends(balancer.request(at, Arrival(rid, 0, at + SECOND)))
+def test_the_send_guard_and_the_first_byte_both_require_the_lease() -> None:
+    """Nothing is written to a connection that opens after the lease has expired."""
+    balancer = watching_balancer()
+    request_id = 1
+    now = LEASE_US - 100 * MS
+    (sent,) = sends(balancer.request(now, Arrival(request_id, 0, now + SECOND)))
     assert sent.start_by == LEASE_US
-    request = balancer.requests[rid]
-    other = next(one for one in balancer.endpoints.values() if one.id != sent.endpoint)
+    request = balancer.requests[request_id]
+    other = next(known for known in balancer.endpoints.values() if known.id != sent.endpoint)
     assert not balancer._send(LEASE_US, request, other)
-    balancer.outcome(LEASE_US, Outcome(rid, 0, sent.endpoint, MOOT, 100 * MS))
-    assert rid not in balancer.requests, "refused: it never ran"
+    balancer.outcome(LEASE_US, Outcome(request_id, 0, sent.endpoint, MOOT, 100 * MS))
+    assert request_id not in balancer.requests, "rejected: it never ran"
 
 
-def test_an_endpoint_put_back_gets_its_first_request_only_under_a_lease() -> None:
-    balancer = balancer_of(2)
-    driver = Client(balancer)
+def test_an_attached_endpoint_gets_its_trial_only_under_a_lease() -> None:
+    balancer = watching_balancer(2)
+    client = Client(balancer)
     balancer.detach(SECOND, 100)
     balancer.attach(SECOND, 100)
     balancer.membership.trial_due_us[100] = 0
-    _, actions = driver.submit(LEASE_US)
+    _, actions = client.submit(LEASE_US)
     assert not sends(actions)
 
 
@@ -121,43 +122,43 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 4_000)), max_size=60), st.booleans())
-def test_whatever_happens_no_send_rests_on_a_list_that_could_be_bound(steps: list[Step], known: bool) -> None:
-    """Against a second reckoning: the last moment at which discovery confirmed the list, was known to be
-    away, or the endpoint had answered."""
+def test_no_send_uses_a_list_whose_changes_may_bind(steps: list[Step], known: bool) -> None:
+    """Checked against a second implementation, by the last time at which discovery confirmed the list or was
+    known to be unreachable, or the endpoint responded."""
     balancer = Balancer(1, replace(SETTINGS, asks_discovery=True))
     balancer.start(0, True, True)
     balancer.members(0, LIST_CACHED if known else LIST_FULL, ready_entries(6))
-    driver, now = Client(balancer), 1
-    confirmed, away, moved = (None if known else 0), None, None
+    client, now = Client(balancer), 1
+    confirmed, refused_at, moved = (None if known else 0), None, None
     answered: dict[int, int] = {}
-    for step, wait in steps:
-        now += wait * MS
+    for step, wait_ms in steps:
+        now += wait_ms * MS
         if step in ("beat", "list"):
-            confirmed, away, moved = now, None, None
+            confirmed, refused_at, moved = now, None, None
             answered.clear()
             balancer.confirmed(now) if step == "beat" else balancer.members(now, LIST_FULL, ready_entries(6))
         elif step == "failed":
             balancer.members(now, LIST_FAILED, [])
         elif step == "refused":
             balancer.unreachable(now, now)
-            away = now
+            refused_at = now
         elif step == "silent":
             balancer.silent(now)
         elif step == "moved":
             balancer.moved(now)
             moved = now
         else:
-            rid, actions = driver.submit(now)
+            request_id, actions = client.submit(now)
             for sent in sends(actions)[:1]:
-                assert confirmed is not None or away is not None, "by a list from before the start"
-                since = max(answered.get(sent.endpoint, 0), confirmed or 0, away or 0)
+                assert confirmed is not None or refused_at is not None, "a cached list has no lease"
+                since = max(answered.get(sent.endpoint, 0), confirmed or 0, refused_at or 0)
                 assert now < since + BINDING_US
                 if moved is not None:
-                    assert now < max(moved, away or 0) + ADDRESS_CHANGE_BINDING_US
-                if now >= max(confirmed or 0, away or 0) + BINDING_US:
+                    assert now < max(moved, refused_at or 0) + ADDRESS_CHANGE_BINDING_US
+                if now >= max(confirmed or 0, refused_at or 0) + BINDING_US:
                     assert now < answered[sent.endpoint] + RESPONSE_LEASE_US
                 answered[sent.endpoint] = now
-                balancer.outcome(now + MS, Outcome(rid, 0, sent.endpoint, OK, MS, over=True))
+                balancer.outcome(now + MS, Outcome(request_id, 0, sent.endpoint, OK, MS, over=True))
                 now += MS
 
 
@@ -165,8 +166,8 @@
     return chain.driver.balancer.ctx.lease.expires_us / 1e6
 
 
-def beating(chain: Chain) -> Stream:
-    """The watch of a chain that has told its list."""
+def open_watch(chain: Chain) -> Stream:
+    """Let a chain receive its list and return its watch."""
     chain.after()
     stream = chain.discovery.stream
     assert stream is not None
@@ -178,7 +179,7 @@
     monkeypatch: pytest.MonkeyPatch, period_s: float
 ) -> None:
     chain = Chain(monkeypatch, period_s)
-    stream = beating(chain)
+    stream = open_watch(chain)
     for _ in range(10):
         chain.go_to(chain.now + 2.0)
         stream.data_received(HEARTBEAT)
@@ -186,9 +187,9 @@
 
 
 @pytest.mark.parametrize("piece", [b"1\r\n \r\n", b"2\r\n{\n\r\n", b""])
-def test_bytes_that_are_no_whole_line_renew_nothing(monkeypatch: pytest.MonkeyPatch, piece: bytes) -> None:
+def test_an_incomplete_line_renews_nothing(monkeypatch: pytest.MonkeyPatch, piece: bytes) -> None:
     chain = Chain(monkeypatch, 3.0)
-    stream = beating(chain)
+    stream = open_watch(chain)
     before = expires_s(chain)
     chain.go_to(chain.now + 1.0)
     if piece:
@@ -198,7 +199,7 @@
 
 def test_heartbeats_before_the_list_renew_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     chain = Chain(monkeypatch, 3.0)
-    beating(chain)
+    open_watch(chain)
     before = expires_s(chain)
     chain.events = [unanswered]
     chain.discovery.watch(True)
@@ -211,13 +212,13 @@
 @pytest.mark.parametrize("period_s", [0.0, 3.0, 10.0])
 @pytest.mark.parametrize("path", ["reset", "silent", "again", "moved", "replaced", "retuned", "stopped"])
 @pytest.mark.parametrize("then", [busy, reset, hanging, unanswered])
-def test_on_every_path_on_which_a_watch_is_lost_the_lease_ends(
+def test_the_lease_expires_however_the_watch_is_lost(
     monkeypatch: pytest.MonkeyPatch, period_s: float, path: str, then: object
 ) -> None:
-    """And the calls that follow fail: none of them renews it."""
+    """The calls that follow fail, and none of them renews it."""
     chain = Chain(monkeypatch, period_s)
-    stream = beating(chain)
-    lost = chain.now
+    stream = open_watch(chain)
+    lost_at = chain.now
     chain.events = [then] * 1000  # type: ignore[list-item]
     match path:
         case "reset":
@@ -233,22 +234,22 @@
             chain.discovery.retune(not chain.discovery.pushed)
         case "stopped":
             chain.discovery.watch(False)
-    chain.go_to(lost + 20.0)
+    chain.go_to(lost_at + 20.0)
     bound = (ADDRESS_CHANGE_BINDING_US if path == "moved" else BINDING_US) / 1e6
-    assert expires_s(chain) < lost + bound
+    assert expires_s(chain) < lost_at + bound
     assert chain.driver.balancer.ctx.lease.responses_extend is (path not in ("silent", "moved"))
 
 
 @pytest.mark.parametrize("replicas", [1, 2])
-async def test_only_a_single_address_that_refuses_connections_proves_that_discovery_is_away(
+async def test_only_a_single_address_that_refuses_connections_proves_discovery_unreachable(
     replicas: int,
 ) -> None:
-    away: list[float] = []
+    reported: list[float] = []
     loop = asyncio.get_running_loop()
     address = ",".join(f"127.0.0.1:{free_port()}" for _ in range(replicas))
     discovery = Discovery(loop, address, "/list", False, lambda *_: None, Random(1))
-    discovery.on_unreachable = away.append
+    discovery.on_unreachable = reported.append
     stream = Stream(discovery, "/list", True)
     await discovery._connect(stream)
     assert stream.end is CallEnd.REFUSED
-    assert away == ([stream.begun] if replicas == 1 else [])
+    assert reported == ([stream.begun] if replicas == 1 else [])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Discovery's lists, and what operators take out and put back."""
+"""Tests of lists from discovery, of detach and attach, and of the lease they imply."""
 
 from __future__ import annotations
 
@@ -24,112 +24,114 @@
 from woadyard.policy.lease import LEASE_US
 
 
-def test_list_modes_add_keep_and_remove() -> None:
+def test_list_modes_add_keep_and_remove_endpoints() -> None:
     balancer = started_balancer(4)
-    gone = replace(ready_entries(1)[0], phase=GONE)
-    balancer.members(SECOND, LIST_DELTA, [gone, replace(ready_entries(2)[1], phase=DRAINING)])
-    assert [one.id for _, one in sorted(balancer.ring.ready_order, key=lambda pair: pair[1].id)] == [102, 103]
+    removed = replace(ready_entries(1)[0], phase=GONE)
+    balancer.members(SECOND, LIST_DELTA, [removed, replace(ready_entries(2)[1], phase=DRAINING)])
+    assert [
+        endpoint.id for _, endpoint in sorted(balancer.ring.ready_order, key=lambda pair: pair[1].id)
+    ] == [102, 103]
     balancer.members(SECOND, LIST_FAILED, [])
     assert len(balancer.ring.ready_order) == 2, "the old list stays"
     balancer.members(SECOND, LIST_FULL, ready_entries(3))
-    assert {one.id for _, one in balancer.ring.ready_order} == {100, 101, 102}
+    assert {endpoint.id for _, endpoint in balancer.ring.ready_order} == {100, 101, 102}
     balancer.members(SECOND, LIST_CACHED, ready_entries(6))
     assert len(balancer.ring.ready_order) == 6
 
 
-def pause(copy: Balancer) -> int:
-    (action,) = copy.members(0, LIST_FAILED, [])
+def backoff_us(balancer: Balancer) -> int:
+    (action,) = balancer.members(0, LIST_FAILED, [])
     assert isinstance(action, Timer)
     return action.delay_us
 
 
-def test_discovery_is_asked_again_soon_and_by_copies_apart() -> None:
-    """What it has to tell counts as told after 6 s; 2.5 s of them pass in silence."""
-    copies = [Balancer(seed, replace(SETTINGS, asks_discovery=True)) for seed in range(40)]
-    first, *_, last = waits = [sorted(pause(copy) for copy in copies) for _ in range(8)]
+def test_discovery_is_called_again_soon_and_by_sidecars_at_different_times() -> None:
+    """Its changes bind after 6 s, of which 2.5 s pass before a silent watch is noticed."""
+    sidecars = [Balancer(seed, replace(SETTINGS, asks_discovery=True)) for seed in range(40)]
+    first, *_, last = delays_us = [sorted(backoff_us(sidecar) for sidecar in sidecars) for _ in range(8)]
     assert first[-1] <= SECOND and first[-1] - first[0] > SECOND // 2
-    assert last[-1] > 3 * SECOND and all(some[-1] <= 4 * SECOND for some in waits)
-    for copy in copies:
-        copy.members(0, LIST_DELTA, [])
-    assert all(pause(copy) <= SECOND for copy in copies)
+    assert last[-1] > 3 * SECOND and all(round_us[-1] <= 4 * SECOND for round_us in delays_us)
+    for sidecar in sidecars:
+        sidecar.members(0, LIST_DELTA, [])
+    assert all(backoff_us(sidecar) <= SECOND for sidecar in sidecars)
 
 
-def test_no_list_brings_back_what_was_taken_out_until_it_is_put_back() -> None:
+def test_no_list_brings_back_a_detached_endpoint_before_it_is_attached() -> None:
     balancer = started_balancer(2)
-    driver = Client(balancer)
+    client = Client(balancer)
     balancer.detach(0, 100)
     balancer.members(0, LIST_FULL, ready_entries(2))
     balancer.members(0, LIST_DELTA, [replace(ready_entries(2)[0], boot=5)])
     balancer.members(0, LIST_FULL, ready_entries(2)[1:])
     balancer.members(0, LIST_FULL, ready_entries(2))
     for n in range(50):
-        rid, actions = driver.submit(n)
-        assert {one.endpoint for one in sends(actions)} == {101}
-        balancer.outcome(n, Outcome(rid, 0, 101, OK, 1, over=True))
+        request_id, actions = client.submit(n)
+        assert {send.endpoint for send in sends(actions)} == {101}
+        balancer.outcome(n, Outcome(request_id, 0, 101, OK, 1, over=True))
     balancer.detach(60, 100)
     balancer.attach(60, 100)
-    assert balancer.endpoints[100].is_ready, "one call is enough, and no list is waited for"
+    assert balancer.endpoints[100].is_ready, "one call is enough, without waiting for a list"
 
 
-def test_what_is_put_back_counts_as_just_started_and_is_tried_soon() -> None:
+def test_an_attached_endpoint_counts_as_just_started_and_gets_a_trial_soon() -> None:
     balancer = started_balancer(8, cold_us=9 * SECOND)
-    driver = Client(balancer)
-    own = next(one for one in balancer.endpoints.values() if one.in_subset)
-    balancer.detach(0, own.id)
-    balancer.attach(SECOND, own.id)
-    assert own.id in balancer.endpoints
+    client = Client(balancer)
+    attached = next(known for known in balancer.endpoints.values() if known.in_subset)
+    balancer.detach(0, attached.id)
+    balancer.attach(SECOND, attached.id)
+    assert attached.id in balancer.endpoints
     balancer.members(2 * SECOND, LIST_FULL, ready_entries(8))
-    assert balancer.endpoints[own.id].boot_us == SECOND, "an old list tells of no restart"
-    tried = []
+    assert balancer.endpoints[attached.id].boot_us == SECOND, "the same list does not report a restart"
+    tried_us = []
     for now in range(SECOND, 4 * SECOND, SECOND // 4):
-        rid, actions = driver.submit(now)
+        request_id, actions = client.submit(now)
         (sent,) = sends(actions)
-        if sent.endpoint == own.id:
-            tried.append(now)
-        balancer.outcome(now, Outcome(rid, 0, sent.endpoint, OK, 1, over=True))
-    assert tried and len(tried) < 6, "at once, but as a cold one"
+        if sent.endpoint == attached.id:
+            tried_us.append(now)
+        balancer.outcome(now, Outcome(request_id, 0, sent.endpoint, OK, 1, over=True))
+    assert tried_us and len(tried_us) < 6, "at once, but with the budget of a cold endpoint"
 
 
-def test_one_put_back_that_cannot_be_reached_yet_is_tried_again() -> None:
+def test_the_trial_of_an_attached_endpoint_is_repeated_until_it_can_be_reached() -> None:
     balancer = started_balancer(2, cold_us=9 * SECOND)
-    driver = Client(balancer)
+    client = Client(balancer)
     balancer.detach(0, 100)
     balancer.attach(0, 100)
-    tried = 0
+    trial_count = 0
     for now in range(0, 4 * SECOND, SECOND // 10):
-        rid, actions = driver.submit(now)
+        request_id, actions = client.submit(now)
         for sent in sends(actions):
-            tried += sent.endpoint == 100
+            trial_count += sent.endpoint == 100
             outcome = NO_CONNECT if sent.endpoint == 100 else OK
-            balancer.outcome(now, Outcome(rid, 0, sent.endpoint, outcome, 1, over=outcome == OK))
-    assert tried >= 3
+            balancer.outcome(now, Outcome(request_id, 0, sent.endpoint, outcome, 1, over=outcome == OK))
+    assert trial_count >= 3
 
 
-def test_with_all_taken_out_requests_are_refused_at_once() -> None:
+def test_requests_are_rejected_at_once_if_all_endpoints_are_detached() -> None:
     balancer = started_balancer(2)
-    driver = Client(balancer)
+    client = Client(balancer)
     for number in (100, 101):
         balancer.detach(0, number)
-    _, actions = driver.submit(10)
-    assert [type(one) for one in actions] == [Refuse]
+    _, actions = client.submit(10)
+    assert [type(action) for action in actions] == [Refuse]
     assert not balancer.requests
 
 
-def test_one_that_takes_over_asks_discovery_sooner_than_copies_that_start_together() -> None:
-    def first(alone: bool) -> int:
+def test_a_process_that_takes_over_calls_discovery_sooner_than_a_mass_start() -> None:
+    def first_call_us(alone: bool) -> int:
         balancer = Balancer(1, replace(SETTINGS, asks_discovery=True, ask_within_us=10 * SECOND))
-        (asked,) = balancer.start(0, alone)
-        assert isinstance(asked, Timer)
-        return asked.delay_us
+        (timer,) = balancer.start(0, alone)
+        assert isinstance(timer, Timer)
+        return timer.delay_us
 
-    assert first(False) <= SECOND // 5 < first(True) <= 5 * SECOND // 2
+    assert first_call_us(False) <= SECOND // 5 < first_call_us(True) <= 5 * SECOND // 2
 
 
-def test_what_cannot_be_reached_is_tried_anew_only_where_an_operator_put_it_back() -> None:
+def test_only_attached_endpoints_get_another_trial_after_a_failed_connect() -> None:
     balancer = started_balancer(4)
-    rid, actions = Client(balancer).submit(SECOND)
+    request_id, actions = Client(balancer).submit(SECOND)
     endpoint = sends(actions)[0].endpoint
-    balancer.outcome(SECOND + MS, Outcome(rid, 0, endpoint, NO_CONNECT, MS))
+    balancer.outcome(SECOND + MS, Outcome(request_id, 0, endpoint, NO_CONNECT, MS))
     assert not balancer.membership.trial_due_us
     balancer.detach(2 * SECOND, endpoint)
     balancer.attach(3 * SECOND, endpoint)
@@ -138,75 +140,86 @@
     assert endpoint in balancer.membership.trial_due_us
 
 
-def asking(size: int = 16) -> Balancer:
-    """A copy whose list was told at 0, by a discovery whose watch has heartbeats."""
+def watching_balancer(size: int = 16) -> Balancer:
+    """A balancer that received its list at 0, from a discovery whose watch has heartbeats."""
     balancer = Balancer(1, replace(SETTINGS, asks_discovery=True, ask_within_us=3 * SECOND))
     balancer.start(0, True, True)
     balancer.members(0, LIST_FULL, ready_entries(size))
     return balancer
 
 
-def tried(turning_away: set[int], lost: bool, stop: int) -> dict[int, list[int]]:
-    """When each of 16 endpoints was sent something up to `stop`, 20 requests a second from 1 s on."""
-    balancer = asking()
+def send_times(full: set[int], lost: bool, stop_us: int) -> dict[int, list[int]]:
+    """Send 20 requests per second from 1 s to `stop_us` and return the times of the sends by endpoint.
+
+    `full` are the endpoints that reject everything; `lost` says that discovery is lost at 1 s.
+    """
+    balancer = watching_balancer()
     if lost:
         balancer.members(SECOND, LIST_FAILED, [])
-    when: dict[int, list[int]] = {}
-    driver = Client(balancer)
-    for now in range(SECOND, stop, 50 * MS):
+    times_us: dict[int, list[int]] = {}
+    client = Client(balancer)
+    for now in range(SECOND, stop_us, 50 * MS):
         if not lost:
             balancer.confirmed(now)
-        rid, actions = driver.submit(now)
-        for copy in range(3):
+        request_id, actions = client.submit(now)
+        for attempt in range(3):
             for sent in sends(actions):
-                when.setdefault(sent.endpoint, []).append(now)
-                outcome = FULL if sent.endpoint in turning_away else OK
-                actions = balancer.outcome(now + 5 * MS, Outcome(rid, copy, sent.endpoint, outcome, 5 * MS))
+                times_us.setdefault(sent.endpoint, []).append(now)
+                outcome = FULL if sent.endpoint in full else OK
+                actions = balancer.outcome(
+                    now + 5 * MS, Outcome(request_id, attempt, sent.endpoint, outcome, 5 * MS)
+                )
                 break
             else:
                 break
-    return when
+    return times_us
 
 
-def test_without_a_lease_what_answers_nothing_any_more_is_sent_nothing() -> None:
-    """It may drain, which discovery could not tell: what it has to tell binds after 6 s all the same."""
-    away = {105, 106, 113}  # all on its arc
-    lost, told = tried(away, True, 20 * SECOND), tried(away, False, 20 * SECOND)
-    assert all(max(lost[one]) < LEASE_US for one in away)
-    assert all(max(told[one]) > 10 * SECOND for one in away), "it may be full for the moment only"
-    assert any(max(times) > 19 * SECOND for one, times in lost.items() if one not in away)
+def test_without_a_lease_an_endpoint_that_serves_nothing_is_sent_nothing() -> None:
+    """It may be draining, which the lost discovery cannot report but which binds after 6 s all the same."""
+    rejecting = {105, 106, 113}  # all in the subset
+    lost, kept = (
+        send_times(rejecting, True, 20 * SECOND),
+        send_times(rejecting, False, 20 * SECOND),
+    )
+    assert all(max(lost[endpoint]) < LEASE_US for endpoint in rejecting)
+    assert all(max(kept[endpoint]) > 10 * SECOND for endpoint in rejecting), (
+        "it may be full for a moment only"
+    )
+    assert any(
+        max(times_us) > 19 * SECOND for endpoint, times_us in lost.items() if endpoint not in rejecting
+    )
 
 
-def test_without_a_lease_and_where_nothing_answers_nothing_is_sent() -> None:
-    everywhere = tried(set(range(100, 116)), True, 20 * SECOND)
-    assert max(max(times) for times in everywhere.values()) < LEASE_US
+def test_without_a_lease_nothing_is_sent_if_no_endpoint_serves_anything() -> None:
+    sent_us = send_times(set(range(100, 116)), True, 20 * SECOND)
+    assert max(max(times_us) for times_us in sent_us.values()) < LEASE_US
 
 
-def test_without_a_lease_after_long_silence_requests_are_refused_until_discovery_is_heard() -> None:
-    balancer = asking()
+def test_without_a_lease_requests_are_rejected_until_discovery_is_back() -> None:
+    balancer = watching_balancer()
     balancer.members(SECOND, LIST_FAILED, [])
-    driver = Client(balancer)
+    client = Client(balancer)
     for n in range(40):
-        _, actions = driver.submit(60 * SECOND + n * 100 * MS)
-        assert [type(one) for one in actions] == [Refuse]
+        _, actions = client.submit(60 * SECOND + n * 100 * MS)
+        assert [type(action) for action in actions] == [Refuse]
     assert not balancer.requests
     balancer.members(65 * SECOND, LIST_DELTA, [])
-    assert all(driver.serve(65 * SECOND + n * 100 * MS, 5 * MS) for n in range(40))
+    assert all(client.serve(65 * SECOND + n * 100 * MS, 5 * MS) for n in range(40))
 
 
-def test_an_answer_asked_for_before_the_drain_proves_nothing_of_later() -> None:
-    """What drains completes what it has."""
-    balancer = asking()
-    driver = Client(balancer)
-    rid, actions = driver.submit(SECOND)
+def test_a_response_extends_the_lease_from_the_time_its_request_was_sent() -> None:
+    """A draining endpoint completes the requests it has, so a response proves nothing of later requests."""
+    balancer = watching_balancer()
+    client = Client(balancer)
+    request_id, actions = client.submit(SECOND)
     (sent,) = sends(actions)
-    balancer.outcome(SECOND + 900 * MS, Outcome(rid, 0, sent.endpoint, OK, 900 * MS, over=True))
+    balancer.outcome(SECOND + 900 * MS, Outcome(request_id, 0, sent.endpoint, OK, 900 * MS, over=True))
     assert balancer.endpoints[sent.endpoint].last_success_sent_us == SECOND
 
 
-def test_a_list_from_before_the_start_is_no_word_of_discovery() -> None:
-    """It may be old: it has no lease, and calls that fail slowly are made again as late as any after a
-    start."""
+def test_a_cached_list_is_no_contact_with_discovery() -> None:
+    """It may be old: it has no lease, and the backoff of slow calls stays as after any start."""
     balancer = Balancer(1, replace(SETTINGS, asks_discovery=True, ask_within_us=3 * SECOND))
     balancer.start(0, True, True)
     balancer.members(0, LIST_CACHED, ready_entries(8))
@@ -214,4 +227,6 @@
     assert lease.expires_us == 0 and backoff.slow_failures
     balancer.members(SECOND, LIST_DELTA, [])
     assert lease.expires_us == SECOND + LEASE_US and not backoff.slow_failures
-    assert started_balancer(8).ctx.lease.expires_us == inf, "without heartbeats it lasts until a call fails"
+    assert started_balancer(8).ctx.lease.expires_us == inf, (
+        "without heartbeats the lease lasts until a call fails"
+    )
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""What a cold endpoint is sent by many copies together, against the standing page's bound."""
+"""Tests of the cold budget: all sidecars together against the bound of STANDING.md for a cold endpoint."""
 
 from __future__ import annotations
 
@@ -14,54 +14,58 @@
 from woadyard.interface import LIST_DELTA, LIST_FULL, OK, Outcome
 from woadyard.policy import Balancer
 
-COPIES, SIZE, START, END = 40, 24, 6 * SECOND, 26 * SECOND
-SPAN = 3 * SECOND // 2  # in which too much fells it
-SITE = replace(SETTINGS, instances=COPIES, tip_for_us=SPAN)
+SIDECARS, SIZE, START, END = 40, 24, 6 * SECOND, 26 * SECOND
+SPAN_US = 3 * SECOND // 2  # in which too many requests overload it
+TIER = replace(SETTINGS, instances=SIDECARS, tip_for_us=SPAN_US)
 
 
-def sent_to(fresh: int, seed: int, rate_hz: float) -> dict[int, list[int]]:
-    """When the `fresh` endpoints that start cold at `START` are sent anything; each copy
-    takes `rate_hz` requests a second at random, each served in 20 ms."""
+def send_times(cold_count: int, seed: int, rate_hz: float) -> dict[int, list[int]]:
+    """Return when each of the endpoints that start cold at `START` is sent requests.
+
+    Each sidecar receives `rate_hz` requests per second at random, each served in 20 ms.
+    """
     rng, due, sent = Random(seed), list[tuple[int, int, int, int]](), dict[int, list[int]]()
-    cold = [replace(entry, boot=START) for entry in ready_entries(fresh)]
-    copies = []
-    for n in range(COPIES):
-        balancer = Balancer(seed * 1000 + n, replace(SITE, me=n))
+    cold = [replace(entry, boot=START) for entry in ready_entries(cold_count)]
+    sidecars = []
+    for n in range(SIDECARS):
+        balancer = Balancer(seed * 1000 + n, replace(TIER, me=n))
         balancer.start(0)
         balancer.members(0, LIST_FULL, ready_entries(SIZE))
-        copies.append(Client(balancer))
+        sidecars.append(Client(balancer))
         heapq.heappush(due, (int(rng.expovariate(rate_hz) * SECOND), n, 0, 0))
-    told = False
+    is_listed = False
     while due and (event := heapq.heappop(due))[0] < END:
-        now, n, rid, endpoint = event
-        if now >= START and not told:
-            told = True
-            for copy in copies:
-                copy.balancer.members(now, LIST_DELTA, cold)
-        if rid:
-            copies[n].balancer.outcome(now, Outcome(rid, 0, endpoint, OK, 20 * MS, over=True))
+        now, n, request_id, endpoint = event
+        if now >= START and not is_listed:
+            is_listed = True
+            for sidecar in sidecars:
+                sidecar.balancer.members(now, LIST_DELTA, cold)
+        if request_id:
+            sidecars[n].balancer.outcome(now, Outcome(request_id, 0, endpoint, OK, 20 * MS, over=True))
             continue
-        rid, actions = copies[n].submit(now)
+        request_id, actions = sidecars[n].submit(now)
         for send in sends(actions):
-            heapq.heappush(due, (now + 20 * MS, n, rid, send.endpoint))
-            if told and send.endpoint < 100 + fresh:
+            heapq.heappush(due, (now + 20 * MS, n, request_id, send.endpoint))
+            if is_listed and send.endpoint < 100 + cold_count:
                 sent.setdefault(send.endpoint, []).append(now)
         heapq.heappush(due, (now + 1 + int(rng.expovariate(rate_hz) * SECOND), n, 0, 0))
     return sent
 
 
-@pytest.mark.parametrize(("fresh", "rate_hz"), [(1, 12.0), (12, 12.0), (12, 3.0)])
-def test_all_copies_together_stay_under_what_fells_a_cold_endpoint(fresh: int, rate_hz: float) -> None:
-    """It falls by more than N + 2 x root of N + 2 requests in the span, N being what it may
-    be sent then: the multiple of the share of its capacity that is warm. Its capacity is
-    taken as no more than what an endpoint of this fleet serves."""
-    sent = sent_to(fresh, 5, rate_hz)
+@pytest.mark.parametrize(("cold_count", "rate_hz"), [(1, 12.0), (12, 12.0), (12, 3.0)])
+def test_all_sidecars_together_do_not_overload_a_cold_endpoint(cold_count: int, rate_hz: float) -> None:
+    """More than N + 2 * sqrt(N) + 2 requests in the span overload it.
+
+    N is the tip multiple of the warm share of its capacity, which is assumed to be no more than what an
+    endpoint of this tier serves.
+    """
+    sent = send_times(cold_count, 5, rate_hz)
     worst = 0.0
     for times in sent.values():
-        for at, now in enumerate(times):
-            warm = SITE.cold_share + (1.0 - SITE.cold_share) * min(1.0, (now - START) / SITE.cold_us)
-            most = SITE.tip_multiple * warm * COPIES * rate_hz / SIZE * SPAN / SECOND
-            count = at + 1 - bisect_left(times, now - SPAN)
-            worst = max(worst, count / (most + 2 * sqrt(most) + 2))
-    print(f"{fresh} cold, {rate_hz}/s a copy: worst {worst:.2f} of the bound")
+        for index, now in enumerate(times):
+            warm_share = TIER.cold_share + (1.0 - TIER.cold_share) * min(1.0, (now - START) / TIER.cold_us)
+            budget = TIER.tip_multiple * warm_share * SIDECARS * rate_hz / SIZE * SPAN_US / SECOND
+            count = index + 1 - bisect_left(times, now - SPAN_US)
+            worst = max(worst, count / (budget + 2 * sqrt(budget) + 2))
+    print(f"{cold_count} cold, {rate_hz}/s per sidecar: worst {worst:.2f} of the bound")
     assert 0.0 < worst <= 1.0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones: near while it is well, left when it fails, taken back on a ramp."""
+"""Tests of zone-aware routing: how zones are shared, left when they fail, and taken back on a ramp."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 from woadyard.policy.zones import ZoneRouter
 from woadyard.standins import CUT, DROP, PASS
 
-# Zones 0 and 1 are of one region, 2 of another.
+# Zones 0 and 1 are in one region, zone 2 in another.
 LOCAL = Locality(regions=(0, 0, 1), window_us=SECOND, away_us=5 * SECOND, ramp_us=10 * SECOND, panic=0.5)
-EVEN = [4.0, 4.0, 4.0]
+EQUAL = [4.0, 4.0, 4.0]
 
 
 @pytest.mark.parametrize(
     ("healthy", "shares"),
     [
-        ([4.0, 4.0, 4.0], [1.0, 0.0, 0.0]),  # a fair part is enough for all
+        ([4.0, 4.0, 4.0], [1.0, 0.0, 0.0]),  # a fair part of the healthy capacity is enough
         ([3.0, 2.0, 2.0], [1.0, 0.0, 0.0]),
-        ([2.0, 4.0, 4.0], [0.6, 0.2, 0.2]),  # half of what it has, and the rest as they have room
+        ([2.0, 4.0, 4.0], [0.6, 0.2, 0.2]),  # the rest goes where capacity is spare
         ([0.0, 4.0, 4.0], [0.0, 0.5, 0.5]),
-        ([1.0, 2.0, 4.0], [3 / 7, 0.0, 4 / 7]),  # none of its region has room
-        ([0.0, 0.0, 5.9], [1 / 3, 1 / 3, 1 / 3]),  # panic: less than half of all is healthy
+        ([1.0, 2.0, 4.0], [3 / 7, 0.0, 4 / 7]),  # no zone of its region has spare capacity
+        ([0.0, 0.0, 5.9], [1 / 3, 1 / 3, 1 / 3]),  # panic: less than half of all capacity is healthy
         ([0.0, 0.0, 0.0], [1 / 3, 1 / 3, 1 / 3]),
     ],
 )
-def test_what_the_zone_can_bear_stays_and_the_rest_goes_where_there_is_room(
+def test_a_zone_keeps_its_fair_part_and_the_rest_goes_to_spare_capacity(
     healthy: list[float], shares: list[float]
 ) -> None:
-    found = ZoneRouter(replace(LOCAL, regions=(0, 1, 1)), 0, 3).refresh_shares(0, EVEN, healthy)
-    assert found == pytest.approx(shares)
+    computed = ZoneRouter(replace(LOCAL, regions=(0, 1, 1)), 0, 3).refresh_shares(0, EQUAL, healthy)
+    assert computed == pytest.approx(shares)
 
 
-def test_the_own_region_takes_what_spills_first() -> None:
-    assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, EVEN, [3.0, 4.0, 5.0]) == pytest.approx(
+def test_excess_requests_go_to_zones_of_the_own_region_first() -> None:
+    assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, EQUAL, [3.0, 4.0, 5.0]) == pytest.approx(
         [0.75, 0.0, 0.25]
     )
-    assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, EVEN, [3.0, 5.0, 4.0]) == pytest.approx(
+    assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, EQUAL, [3.0, 5.0, 4.0]) == pytest.approx(
         [0.75, 0.25, 0.0]
     )
     assert ZoneRouter(LOCAL, 0, 3).refresh_shares(0, [4.0, 6.0, 6.0], [2.0, 6.0, 6.0]) == pytest.approx(
@@ -55,84 +55,91 @@
 
 
 def test_a_zone_that_fails_is_left_and_comes_back_on_a_ramp() -> None:
-    zones = ZoneRouter(LOCAL, 0, 3)
-    left = [zones.record_outcome(k * MS, 0, True) for k in range(20)]
-    assert left.count(True) == 1 and left.index(True) == 6, "seven in a row tell it from chance"
-    back = 6 * MS + LOCAL.away_us
-    shares = [zones.refresh_shares(back + k * SECOND, EVEN, EVEN)[0] for k in range(-1, 12)]
+    router = ZoneRouter(LOCAL, 0, 3)
+    exits = [router.record_outcome(k * MS, 0, True) for k in range(20)]
+    assert exits.count(True) == 1 and exits.index(True) == 6, (
+        "seven failures in a row distinguish it from chance"
+    )
+    returns_us = 6 * MS + LOCAL.away_us
+    shares = [router.refresh_shares(returns_us + k * SECOND, EQUAL, EQUAL)[0] for k in range(-1, 12)]
     assert shares[0] == 0.0 and 0.0 < shares[1] < 0.1 and shares[-1] == 1.0
     steps = [b - a for a, b in pairwise(shares)]
-    assert all(0.0 <= step < 0.2 for step in steps), "a ramp, no step"
+    assert all(0.0 <= step < 0.2 for step in steps), "a ramp without steps"
 
 
-def test_a_zone_that_flaps_does_not_swing_the_traffic_each_time() -> None:
-    """Failing for 2 s, well for 2 s, for two minutes."""
-    zones, left = ZoneRouter(LOCAL, 0, 3), 0
+def test_a_flapping_zone_does_not_move_the_traffic_each_time() -> None:
+    """It fails for 2 s and is healthy for 2 s, for two minutes."""
+    router, exits = ZoneRouter(LOCAL, 0, 3), 0
     for now in range(0, 120 * SECOND, 20 * MS):
-        if zones.ramp_share(now, 0) > 0.0:
-            left += zones.record_outcome(now, 0, now // (2 * SECOND) % 2 == 0)
-    assert 2 <= left <= 6, "30 turns of the zone, and it is left a few times, longer each time"
-
-
-def play(driver: Client, since: int, span: int, fate: Callable[[int, int], int]) -> Counter[int]:
-    """One request in 10 ms, each outcome by zone and time; attempts by zone."""
-    found = Counter[int]()
-    zone_of = {entry.endpoint: entry.zone for entry in FLEET}
-    for now in range(since, since + span, 10 * MS):
-        rid, actions = driver.submit(now)
-        todo = sends(actions)
-        copy = 0
-        while todo:
-            zone = zone_of[todo[0].endpoint]
-            found[zone] += 1
-            outcome = fate(zone, now)
-            done = Outcome(rid, copy, todo[0].endpoint, outcome, MS, over=outcome == OK)
-            todo, copy = sends(driver.balancer.outcome(now, done)), copy + 1
-        found[-1] += not sends(actions)  # held back
-    return found
-
-
-FLEET = [replace(entry, zone=n % 3) for n, entry in enumerate(ready_entries(12))]
-
-
-def local(**changes: Any) -> Client:
-    driver = Client(started_balancer(0, zones=3, locality=LOCAL, instances=3, **changes))
-    driver.balancer.members(0, LIST_FULL, FLEET)
-    return driver
-
-
-def test_a_dead_zone_is_left_at_once_and_nothing_is_held_back() -> None:
-    driver = local()
-    assert play(driver, SECOND, SECOND, lambda zone, now: OK).keys() == {0, -1}
-    found = play(driver, 2 * SECOND, 2 * SECOND, lambda zone, now: OK if zone else NO_CONNECT)
-    assert found[0] < 60 and found[-1] == 0 and found[1] + found[2] >= 170
-    later = play(driver, 4 * SECOND, 2 * SECOND, lambda zone, now: OK if zone else NO_CONNECT)
+        if router.ramp_share(now, 0) > 0.0:
+            exits += router.record_outcome(now, 0, now // (2 * SECOND) % 2 == 0)
+    assert 2 <= exits <= 6, "30 failures of the zone, and it is left a few times, each time for longer"
+
+
+def run_requests(
+    client: Client, start_us: int, duration_us: int, outcome_of: Callable[[int, int], int]
+) -> Counter[int]:
+    """Send a request every 10 ms, with outcomes by zone and time, and count attempts by zone.
+
+    Requests that are not sent at once count under -1.
+    """
+    counts = Counter[int]()
+    zone_of = {entry.endpoint: entry.zone for entry in ENTRIES}
+    for now in range(start_us, start_us + duration_us, 10 * MS):
+        request_id, actions = client.submit(now)
+        pending = sends(actions)
+        attempt = 0
+        while pending:
+            zone = zone_of[pending[0].endpoint]
+            counts[zone] += 1
+            outcome = outcome_of(zone, now)
+            done = Outcome(request_id, attempt, pending[0].endpoint, outcome, MS, over=outcome == OK)
+            pending, attempt = sends(client.balancer.outcome(now, done)), attempt + 1
+        counts[-1] += not sends(actions)
+    return counts
+
+
+ENTRIES = [replace(entry, zone=n % 3) for n, entry in enumerate(ready_entries(12))]
+
+
+def zone_aware_client(**changes: Any) -> Client:
+    client = Client(started_balancer(0, zones=3, locality=LOCAL, instances=3, **changes))
+    client.balancer.members(0, LIST_FULL, ENTRIES)
+    return client
+
+
+def test_a_dead_zone_is_left_at_once_and_no_request_waits() -> None:
+    client = zone_aware_client()
+    assert run_requests(client, SECOND, SECOND, lambda zone, now: OK).keys() == {0, -1}
+    early = run_requests(client, 2 * SECOND, 2 * SECOND, lambda zone, now: OK if zone else NO_CONNECT)
+    assert early[0] < 60 and early[-1] == 0 and early[1] + early[2] >= 170
+    later = run_requests(client, 4 * SECOND, 2 * SECOND, lambda zone, now: OK if zone else NO_CONNECT)
     assert later[0] == 0 and later[-1] == 0
-    healed = play(driver, 30 * SECOND, 2 * SECOND, lambda zone, now: OK)
-    assert healed[0] >= 190, "back, and its share whole"
+    recovered = run_requests(client, 30 * SECOND, 2 * SECOND, lambda zone, now: OK)
+    assert recovered[0] >= 190, "it has its whole share again"
 
 
-def test_with_every_zone_bad_all_are_used_and_no_request_is_held_back() -> None:
-    driver = local()
-    found = play(driver, SECOND, 3 * SECOND, lambda zone, now: ERROR if now % 3 else OK)
-    assert found[-1] == 0
-    found = play(driver, 4 * SECOND, 3 * SECOND, lambda zone, now: ERROR)
-    assert found[-1] == 0 and min(found[zone] for zone in range(3)) > 50
+def test_if_all_zones_fail_all_are_used_and_no_request_waits() -> None:
+    client = zone_aware_client()
+    counts = run_requests(client, SECOND, 3 * SECOND, lambda zone, now: ERROR if now % 3 else OK)
+    assert counts[-1] == 0
+    counts = run_requests(client, 4 * SECOND, 3 * SECOND, lambda zone, now: ERROR)
+    assert counts[-1] == 0 and min(counts[zone] for zone in range(3)) > 50
 
 
-def test_off_the_zones_change_nothing() -> None:
-    def drawn(**changes: Any) -> list[int]:
-        driver = Client(started_balancer(0, zones=3, **changes))
-        driver.balancer.members(0, LIST_FULL, FLEET)
-        return [sends(driver.submit(k * MS)[1])[0].endpoint for k in range(12)]
+def test_without_locality_settings_zones_change_nothing() -> None:
+    def endpoints_used(**changes: Any) -> list[int]:
+        client = Client(started_balancer(0, zones=3, **changes))
+        client.balancer.members(0, LIST_FULL, ENTRIES)
+        return [sends(client.submit(k * MS)[1])[0].endpoint for k in range(12)]
 
-    assert drawn() != drawn(locality=LOCAL)
-    assert {one.zone for one in FLEET if one.endpoint in drawn(locality=LOCAL)} == {0}
+    assert endpoints_used() != endpoints_used(locality=LOCAL)
+    assert {entry.zone for entry in ENTRIES if entry.endpoint in endpoints_used(locality=LOCAL)} == {0}
 
 
 @pytest.mark.parametrize("fault", [CUT, DROP])
-async def test_a_sidecar_leaves_a_zone_that_dies_or_is_cut_off_and_comes_back(lab: Lab, fault: str) -> None:
-    """Zones on loopback addresses of their own, the sidecar's behind fault proxies."""
+async def test_a_sidecar_leaves_a_dead_or_unreachable_zone_and_returns_to_it(lab: Lab, fault: str) -> None:
+    """Each zone has a loopback address, and the sidecar's own zone is behind fault proxies."""
     near = [await lab.endpoint(host="127.0.0.2") for _ in range(2)]
     far = [await lab.endpoint(host="127.0.0.3") for _ in range(2)]
     proxies = [await lab.proxy(one, host="127.0.0.2", towards="127.0.0.2") for one in near]
@@ -144,29 +151,29 @@
     chosen = {"window-ms": 500, "away-ms": 100, "ramp-ms": 300}
     settings = {**SETTINGS, "zones": ["a", "b"], "locality": 0}
     sidecar = await lab.sidecar("n1", entries, settings=settings, locality=chosen)
-    # Into a zone that swallows, the first requests wait for as long as their callers do.
+    # In a zone that drops packets, the first requests wait until their deadlines.
     load = asyncio.ensure_future(sidecar.load(deadline_ms=500 if fault == DROP else 4_000))
 
-    def got(zone: list[Endpoint]) -> int:
-        return sum(len(one.got) for one in zone)
+    def received(zone: list[Endpoint]) -> int:
+        return sum(len(server.got) for server in zone)
 
     async def only(zone: list[Endpoint], other: list[Endpoint]) -> None:
-        """Until 50 requests in a row went there."""
+        """Wait until 50 requests in a row went to one zone."""
         while True:
-            here, there = got(zone), got(other)
-            while got(zone) < here + 50 and got(other) == there:
+            count, other_count = received(zone), received(other)
+            while received(zone) < count + 50 and received(other) == other_count:
                 await asyncio.sleep(0.005)
-            if got(other) == there:
+            if received(other) == other_count:
                 return
 
     await only(near, far)
     for proxy in proxies:
         proxy.fault(fault)
-        if fault == CUT:  # dead, and nothing listens
+        if fault == CUT:  # nothing listens any more
             proxy.close()
     await only(far, near)
-    if fault == CUT:  # what is swallowed may end late, what is refused may not
-        assert set(sidecar.statuses) == {200}, "the other zone could take it"
+    if fault == CUT:  # dropped requests may end late, refused connections may not
+        assert set(sidecar.statuses) == {200}, "the other zone had capacity"
     for proxy in proxies:
         proxy.fault(PASS)
         if fault == CUT:
