--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""Many balancers over endpoints of which some start cold, in simulated time: what each is sent.
+"""Simulation of many balancers over endpoints of which some start cold.
 
-Endpoints are two servers with one queue, slower while cold; they never fall, so that all of a ramp is
-seen. The work of a request is drawn anew for each (exponential), as it counts in requests of mean work.
+Endpoints are two servers with one queue, and slower while they are cold. They never fail, so that the whole
+ramp is observed. The work of each request is drawn anew (exponential) and counts in requests of mean work.
 """
 
 from __future__ import annotations
@@ -24,15 +24,16 @@
     Arrival, Cancel, Entry, Fail, Outcome, Refuse, RequestClass, Send, Settings, Timer,
 )  # fmt: skip
 
-LOST, START = 3 * SECOND, 5 * SECOND  # when the endpoints that will be cold end, and when they are back
-CORES, DELAY, TRIES = 2, MS, 2  # of an endpoint; on the way; of a client that was refused or failed
-UNEVEN = (0.05, 0.05, 0.3, 0.3, 1.0, 1.0, 1.0, 4.0)  # traffic of copies, against each other
-SPEEDS = (1.6, 1.0, 1.0, 0.6)  # of the kinds of endpoints; no list tells them
+STOP_US, START_US = 3 * SECOND, 5 * SECOND  # when the endpoints that will be cold stop, and start again
+# Cores of an endpoint; network delay; retries of a client whose request was rejected or failed.
+CORES, DELAY_US, MAX_RETRIES = 2, MS, 2
+UNEVEN = (0.05, 0.05, 0.3, 0.3, 1.0, 1.0, 1.0, 4.0)  # relative traffic of sidecars
+SPEEDS = (1.6, 1.0, 1.0, 0.6)  # relative speeds of endpoints, which no list gives
 
 
 @dataclass(frozen=True)
-class Site:
-    """Settings of a deployment, and what its requests cost: mean core seconds and share by class."""
+class Deployment:
+    """Settings of a deployment, and by class the mean core seconds of its requests and their share."""
 
     settings: Settings
     work: tuple[float, ...]
@@ -43,7 +44,7 @@
         return sum(work * share for work, share in zip(self.work, self.shares, strict=True))
 
 
-CHECKS = Site(
+CHECKS = Deployment(
     Settings(
         classes=(
             RequestClass(aim_us=800 * MS, deadline_us=2 * SECOND, worth=5.0),
@@ -54,7 +55,7 @@
     ),
     (0.117, 0.38), (0.8, 0.2),
 )  # fmt: skip
-STANDINGS = Site(
+STANDINGS = Deployment(
     Settings(
         classes=(
             RequestClass(SAFE, aim_us=SECOND, deadline_us=2_500 * MS, worth=12.0),
@@ -69,38 +70,42 @@
 
 
 @dataclass(frozen=True)
-class Case:
-    site: Site = CHECKS
-    copies: int = 20
+class Scenario:
+    """One shape of a tier, and how its endpoints restart."""
+
+    deployment: Deployment = CHECKS
+    sidecars: int = 20
     endpoints: int = 8
     cold: int = 1
-    load: float = 0.55  # of what all endpoints bear warm
-    uneven: bool = False  # a few copies get several times the mean, most nearly nothing
-    fresh: float = 0.0  # share of the copies that start as the endpoints come back
-    spread_us: int = 0  # over which the copies are told of them
-    burst: float = 1.0  # the first copy's traffic, from the start on for 2 s
-    operator: bool = False  # an operator takes them out and puts them back, no list does
+    load: float = 0.55  # of the capacity of all endpoints when warm
+    uneven: bool = False  # a few sidecars get several times the mean traffic, most nearly none
+    restarted_share: float = 0.0  # of the sidecars that start when the endpoints do
+    spread_us: int = 0  # over which the sidecars receive the list with them
+    burst: float = 1.0  # factor on the first sidecar's traffic for 2 s, 0.5 s after the start
+    by_operator: bool = False  # an operator detaches and attaches them, without a list
     zones: int = 1
-    unready_us: int = 0  # they refuse connections so long after they are listed
-    watched_us: int = 6 * SECOND  # after their start, if they are cold so long
+    unready_us: int = 0  # they refuse connections for so long after the start
+    watched_us: int = 6 * SECOND  # after the start, if they are cold for so long
 
     @property
-    def end(self) -> int:
-        return START + min(self.watched_us, self.site.settings.cold_us)
+    def end_us(self) -> int:
+        return START_US + min(self.watched_us, self.deployment.settings.cold_us)
+
 
+class Sidecar:
+    """A balancer, its traffic, and its requests in progress."""
 
-class Copy:
-    def __init__(self, number: int, balancer: Balancer, rate: float) -> None:
-        self.number, self.balancer, self.rate = number, balancer, rate  # requests a second
-        self.asked: dict[int, Asked] = {}
+    def __init__(self, number: int, balancer: Balancer, rate_per_s: float) -> None:
+        self.number, self.balancer, self.rate_per_s = number, balancer, rate_per_s
+        self.requests: dict[int, ClientRequest] = {}
 
 
 @dataclass
-class Asked:
-    """A client's request; `tries` before it."""
+class ClientRequest:
+    """A client's request, after so many retries."""
 
-    kind: int
-    tries: int
+    class_index: int
+    retries: int
     work: float
     jobs: list[Job] = field(default_factory=list)
 
@@ -109,196 +114,254 @@
 class Job:
     """One attempt at an endpoint."""
 
-    copy: Copy
+    sidecar: Sidecar
     request: int
     attempt: int
     endpoint: int
-    sent: int
+    sent_us: int
     work: float
-    over: bool = False
+    is_over: bool = False
 
 
 @dataclass
 class Server:
+    """An endpoint: the queue of its attempts, and what it received since the start."""
+
     id: int
     speed: float
-    cold: bool
+    is_cold: bool
     queue: deque[Job] = field(default_factory=deque)
     busy: int = 0
-    at: list[int] = field(default_factory=list)  # what came since the start: when, and its work
-    work: list[float] = field(default_factory=list)
+    arrivals_us: list[int] = field(default_factory=list)
+    arrived_work: list[float] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class Seen:
-    calls: float  # of a cold endpoint's worst window, over the bound
-    work: float  # the same, weighed
-    share: float  # that a cold endpoint gets, of an even share
-    served: float  # of what was asked for meanwhile
-
-
-class Fleet:
-    def __init__(self, case: Case, seed: int) -> None:
-        self.case, self.rng = case, Random(seed)
-        self.settings = replace(case.site.settings, instances=case.copies, zones=case.zones)
-        speeds = [SPEEDS[n % len(SPEEDS)] for n in range(case.endpoints)]
+class Measurement:
+    """Results of one simulation."""
+
+    worst_requests: float  # in the worst window of a cold endpoint, relative to the bound
+    worst_work: float  # the same, by work
+    traffic_share: float  # of a cold endpoint, relative to an even share
+    served_share: float  # of the requests offered since the start
+
+
+class TierSimulation:
+    """Event loop of one tier, its endpoints and its clients."""
+
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario, self.rng = scenario, Random(seed)
+        self.settings = replace(
+            scenario.deployment.settings, instances=scenario.sidecars, zones=scenario.zones
+        )
+        speeds = [SPEEDS[index % len(SPEEDS)] for index in range(scenario.endpoints)]
         self.rng.shuffle(speeds)
-        fresh = sorted(range(case.endpoints), key=speeds.__getitem__)[: case.cold]  # least fells these
-        self.servers = {100 + n: Server(100 + n, speed, n in fresh) for n, speed in enumerate(speeds)}
-        self.full = CORES * sum(speeds) / case.site.mean_work  # requests a second, all warm
-        weights = [self.rng.choice(UNEVEN if case.uneven else (1.0,)) for _ in range(case.copies)]
-        mean = case.load * self.full / sum(weights)
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.now = self.count = self.asked = self.good = 0
-        self.copies = [Copy(n, self.balancer(n, 0), mean * weight) for n, weight in enumerate(weights)]
-        self.later(LOST, self.lose)
-        self.later(START, self.start)
-        for copy in self.copies:
-            copy.balancer.members(0, LIST_FULL, [self.entry(one) for one in self.servers.values()])
-            first = int(self.rng.expovariate(copy.rate) * SECOND)
-            self.later(first, partial(self.arrive, copy.number))
-            told = START + int(self.rng.random() * case.spread_us)
-            self.later(told, partial(self.tell, copy.number))
-
-    def balancer(self, n: int, now: int) -> Balancer:
-        settings = replace(self.settings, me=n, zone=n % self.case.zones)
+        cold_indexes = sorted(range(scenario.endpoints), key=speeds.__getitem__)[
+            : scenario.cold
+        ]  # the slowest
+        self.servers = {
+            100 + index: Server(100 + index, speed, index in cold_indexes)
+            for index, speed in enumerate(speeds)
+        }
+        self.capacity_per_s = CORES * sum(speeds) / scenario.deployment.mean_work  # all warm
+        weights = [self.rng.choice(UNEVEN if scenario.uneven else (1.0,)) for _ in range(scenario.sidecars)]
+        mean_rate_per_s = scenario.load * self.capacity_per_s / sum(weights)
+        self.events: list[tuple[int, int, Callable[[], None]]] = []
+        self.now = self.count = self.offered = self.served = 0
+        self.sidecars = [
+            Sidecar(index, self.balancer(index, 0), mean_rate_per_s * weight)
+            for index, weight in enumerate(weights)
+        ]
+        self.schedule(STOP_US, self.stop_cold)
+        self.schedule(START_US, self.restart_cold)
+        for sidecar in self.sidecars:
+            sidecar.balancer.members(0, LIST_FULL, [self.entry(server) for server in self.servers.values()])
+            first_us = int(self.rng.expovariate(sidecar.rate_per_s) * SECOND)
+            self.schedule(first_us, partial(self.arrive, sidecar.number))
+            listed_us = START_US + int(self.rng.random() * scenario.spread_us)
+            self.schedule(listed_us, partial(self.update_list, sidecar.number))
+
+    def balancer(self, index: int, now: int) -> Balancer:
+        settings = replace(self.settings, me=index, zone=index % self.scenario.zones)
         balancer = Balancer(self.rng.getrandbits(32), settings)
         balancer.start(now)
         return balancer
 
     def entry(self, server: Server, boot: int = 0, phase: int = READY) -> Entry:
-        n = server.id - 100
-        return Entry(server.id, phase, boot, 1.0, n // 4, n % self.case.zones, 0)
+        index = server.id - 100
+        return Entry(server.id, phase, boot, 1.0, index // 4, index % self.scenario.zones, 0)
 
-    def later(self, at: int, what: Callable[[], None]) -> None:
+    def schedule(self, at_us: int, callback: Callable[[], None]) -> None:
         self.count += 1
-        heapq.heappush(self.queue, (at, self.count, what))
-
-    def run(self) -> Seen:
-        while self.queue and self.queue[0][0] < self.case.end:
-            self.now, _, what = heapq.heappop(self.queue)
-            what()
-        cold = [one for one in self.servers.values() if one.cold]
-        counts = {one.id: len(one.at) for one in self.servers.values()}
-        fair = max(1, sum(counts.values())) / len(counts)
-        share = sum(counts[one.id] for one in cold) / len(cold) / fair
-        calls, work = (max(self.ratio(one, weighed) for one in cold) for weighed in (False, True))
-        return Seen(calls, work, share, self.good / max(1, self.asked))
-
-    def ratio(self, server: Server, weighed: bool) -> float:
-        """The worst window's requests, or (weighed) their work in requests of mean work, over the budget
-        and what chance may add."""
-        s, worst = self.settings, 0.0
-        full = server.speed * CORES / self.case.site.mean_work / SECOND
-        sums = [0.0, *accumulate(work / self.case.site.mean_work if weighed else 1.0 for work in server.work)]
-        for n, now in enumerate(server.at):
-            most = s.tip_multiple * self.warm(now - s.tip_for_us // 2) * full * s.tip_for_us
-            got = sums[n + 1] - sums[bisect_right(server.at, now - s.tip_for_us)]
-            worst = max(worst, got / (most + 2.0 * sqrt(most) + 2.0))
+        heapq.heappush(self.events, (at_us, self.count, callback))
+
+    def run(self) -> Measurement:
+        while self.events and self.events[0][0] < self.scenario.end_us:
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
+        cold = [server for server in self.servers.values() if server.is_cold]
+        counts = {server.id: len(server.arrivals_us) for server in self.servers.values()}
+        even_count = max(1, sum(counts.values())) / len(counts)
+        traffic_share = sum(counts[server.id] for server in cold) / len(cold) / even_count
+        worst_requests, worst_work = (
+            max(self.worst_ratio(server, by_work) for server in cold) for by_work in (False, True)
+        )
+        return Measurement(worst_requests, worst_work, traffic_share, self.served / max(1, self.offered))
+
+    def worst_ratio(self, server: Server, by_work: bool) -> float:
+        """Return the requests of the worst window relative to the budget and what chance may add.
+
+        By work, a request counts by its work in requests of mean work.
+        """
+        tier, worst = self.settings, 0.0
+        capacity_per_us = server.speed * CORES / self.scenario.deployment.mean_work / SECOND
+        totals = [
+            0.0,
+            *accumulate(
+                work / self.scenario.deployment.mean_work if by_work else 1.0 for work in server.arrived_work
+            ),
+        ]
+        for index, now in enumerate(server.arrivals_us):
+            budget = (
+                tier.tip_multiple
+                * self.capacity_share(now - tier.tip_for_us // 2)
+                * capacity_per_us
+                * tier.tip_for_us
+            )
+            received = totals[index + 1] - totals[bisect_right(server.arrivals_us, now - tier.tip_for_us)]
+            worst = max(worst, received / (budget + 2.0 * sqrt(budget) + 2.0))
         return worst
 
-    def warm(self, now: int) -> float:
-        s = self.settings
-        return min(1.0, s.cold_share + (1.0 - s.cold_share) * max(0, now - START) / s.cold_us)
+    def capacity_share(self, now: int) -> float:
+        tier = self.settings
+        return min(1.0, tier.cold_share + (1.0 - tier.cold_share) * max(0, now - START_US) / tier.cold_us)
 
-    def lose(self) -> None:
-        cold = [one for one in self.servers.values() if one.cold]
-        for copy in self.copies:
-            if self.case.operator:
-                for one in cold:
-                    self.act(copy, copy.balancer.detach(self.now, one.id))
+    def stop_cold(self) -> None:
+        cold = [server for server in self.servers.values() if server.is_cold]
+        for sidecar in self.sidecars:
+            if self.scenario.by_operator:
+                for server in cold:
+                    self.carry_out(sidecar, sidecar.balancer.detach(self.now, server.id))
             else:
-                gone = [self.entry(one, 0, GONE) for one in cold]
-                self.act(copy, copy.balancer.members(self.now, LIST_DELTA, gone))
+                stopped = [self.entry(server, 0, GONE) for server in cold]
+                self.carry_out(sidecar, sidecar.balancer.members(self.now, LIST_DELTA, stopped))
 
-    def start(self) -> None:
+    def restart_cold(self) -> None:
         for server in self.servers.values():
-            server.at, server.work = [], []
-
-    def tell(self, n: int) -> None:
-        copy, cold = self.copies[n], [one for one in self.servers.values() if one.cold]
-        if n < self.case.fresh * self.case.copies:
-            copy = self.copies[n] = Copy(n, self.balancer(n, self.now), copy.rate)
-            listed = [self.entry(one, START if one.cold else 0) for one in self.servers.values()]
-            self.act(copy, copy.balancer.members(self.now, LIST_FULL, listed))
-        elif self.case.operator:
-            for one in cold:
-                self.act(copy, copy.balancer.attach(self.now, one.id))
+            server.arrivals_us, server.arrived_work = [], []
+
+    def update_list(self, index: int) -> None:
+        sidecar, cold = self.sidecars[index], [server for server in self.servers.values() if server.is_cold]
+        if index < self.scenario.restarted_share * self.scenario.sidecars:
+            sidecar = self.sidecars[index] = Sidecar(
+                index, self.balancer(index, self.now), sidecar.rate_per_s
+            )
+            listed = [
+                self.entry(server, START_US if server.is_cold else 0) for server in self.servers.values()
+            ]
+            self.carry_out(sidecar, sidecar.balancer.members(self.now, LIST_FULL, listed))
+        elif self.scenario.by_operator:
+            for server in cold:
+                self.carry_out(sidecar, sidecar.balancer.attach(self.now, server.id))
         else:
-            listed = [self.entry(one, START) for one in cold]
-            self.act(copy, copy.balancer.members(self.now, LIST_DELTA, listed))
-
-    def arrive(self, n: int) -> None:
-        rate = self.copies[n].rate
-        if n == 0 and START + SECOND // 2 <= self.now < START + 5 * SECOND // 2:
-            rate *= self.case.burst
-        self.later(self.now + 1 + int(self.rng.expovariate(rate) * SECOND), partial(self.arrive, n))
-        (kind,) = self.rng.choices(range(len(self.case.site.work)), self.case.site.shares)
-        self.asked += self.now >= START
-        self.ask(n, kind, 0)
-
-    def ask(self, n: int, kind: int, tries: int) -> None:
-        copy = self.copies[n]
+            listed = [self.entry(server, START_US) for server in cold]
+            self.carry_out(sidecar, sidecar.balancer.members(self.now, LIST_DELTA, listed))
+
+    def arrive(self, index: int) -> None:
+        rate_per_s = self.sidecars[index].rate_per_s
+        if index == 0 and START_US + SECOND // 2 <= self.now < START_US + 5 * SECOND // 2:
+            rate_per_s *= self.scenario.burst
+        self.schedule(
+            self.now + 1 + int(self.rng.expovariate(rate_per_s) * SECOND), partial(self.arrive, index)
+        )
+        (class_index,) = self.rng.choices(
+            range(len(self.scenario.deployment.work)), self.scenario.deployment.shares
+        )
+        self.offered += self.now >= START_US
+        self.submit(index, class_index, 0)
+
+    def submit(self, index: int, class_index: int, retries: int) -> None:
+        sidecar = self.sidecars[index]
         self.count += 1
-        work = self.rng.expovariate(1.0 / self.case.site.work[kind])
-        copy.asked[self.count] = Asked(kind, tries, work)
-        expires = self.now + self.settings.classes[kind].deadline_us
-        self.act(copy, copy.balancer.request(self.now, Arrival(self.count, kind, expires)))
-
-    def act(self, copy: Copy, actions: list[Action]) -> None:
+        work = self.rng.expovariate(1.0 / self.scenario.deployment.work[class_index])
+        sidecar.requests[self.count] = ClientRequest(class_index, retries, work)
+        expires_us = self.now + self.settings.classes[class_index].deadline_us
+        self.carry_out(
+            sidecar, sidecar.balancer.request(self.now, Arrival(self.count, class_index, expires_us))
+        )
+
+    def carry_out(self, sidecar: Sidecar, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Timer):
-                self.later(self.now + action.delay_us, partial(self.ring, copy, action.token))
+                self.schedule(self.now + action.delay_us, partial(self.fire_timer, sidecar, action.token))
             elif isinstance(action, Send):
-                asked = copy.asked[action.request]
-                job = Job(copy, action.request, len(asked.jobs), action.endpoint, self.now, asked.work)
-                asked.jobs.append(job)
-                self.later(self.now + DELAY, partial(self.reach, job))
-                self.later(self.now + action.timeout_us, partial(self.done, job, TIMEOUT))
+                client_request = sidecar.requests[action.request]
+                job = Job(
+                    sidecar,
+                    action.request,
+                    len(client_request.jobs),
+                    action.endpoint,
+                    self.now,
+                    client_request.work,
+                )
+                client_request.jobs.append(job)
+                self.schedule(self.now + DELAY_US, partial(self.reach_server, job))
+                self.schedule(self.now + action.timeout_us, partial(self.end_attempt, job, TIMEOUT))
             elif isinstance(action, Cancel):
-                job = copy.asked[action.request].jobs[action.copy]
-                self.later(self.now, partial(self.done, job, CANCELLED))
+                job = sidecar.requests[action.request].jobs[action.copy]
+                self.schedule(self.now, partial(self.end_attempt, job, CANCELLED))
             elif isinstance(action, Refuse | Fail):
-                asked = copy.asked[action.request]
-                again = isinstance(action, Refuse) or self.settings.classes[asked.kind].effect == SAFE
-                if again and asked.tries < TRIES:
-                    wait = self.rng.randrange(50, 300) * MS
-                    self.later(self.now + wait, partial(self.ask, copy.number, asked.kind, asked.tries + 1))
-
-    def ring(self, copy: Copy, token: int) -> None:
-        if self.copies[copy.number] is copy:
-            self.act(copy, copy.balancer.timer(self.now, token))
-
-    def reach(self, job: Job) -> None:
+                client_request = sidecar.requests[action.request]
+                may_retry = (
+                    isinstance(action, Refuse)
+                    or self.settings.classes[client_request.class_index].effect == SAFE
+                )
+                if may_retry and client_request.retries < MAX_RETRIES:
+                    wait_us = self.rng.randrange(50, 300) * MS
+                    self.schedule(
+                        self.now + wait_us,
+                        partial(
+                            self.submit,
+                            sidecar.number,
+                            client_request.class_index,
+                            client_request.retries + 1,
+                        ),
+                    )
+
+    def fire_timer(self, sidecar: Sidecar, token: int) -> None:
+        if self.sidecars[sidecar.number] is sidecar:
+            self.carry_out(sidecar, sidecar.balancer.timer(self.now, token))
+
+    def reach_server(self, job: Job) -> None:
         server = self.servers[job.endpoint]
-        if server.cold and START <= self.now < START + self.case.unready_us:
-            self.done(job, NO_CONNECT)
+        if server.is_cold and START_US <= self.now < START_US + self.scenario.unready_us:
+            self.end_attempt(job, NO_CONNECT)
             return
-        server.at.append(self.now)
-        server.work.append(job.work)
+        server.arrivals_us.append(self.now)
+        server.arrived_work.append(job.work)
         server.queue.append(job)
         self.serve(server)
 
     def serve(self, server: Server) -> None:
         while server.busy < CORES and server.queue:
             job = server.queue.popleft()
-            if not job.over:
+            if not job.is_over:
                 server.busy += 1
-                speed = server.speed * (self.warm(self.now) if server.cold else 1.0)
-                self.later(self.now + int(job.work / speed * SECOND), partial(self.finish, server, job))
+                speed = server.speed * (self.capacity_share(self.now) if server.is_cold else 1.0)
+                self.schedule(self.now + int(job.work / speed * SECOND), partial(self.finish, server, job))
 
     def finish(self, server: Server, job: Job) -> None:
         server.busy -= 1
-        if not job.over:
-            self.good += job.sent >= START
-            self.done(job, OK)
+        if not job.is_over:
+            self.served += job.sent_us >= START_US
+            self.end_attempt(job, OK)
         self.serve(server)
 
-    def done(self, job: Job, outcome: int) -> None:
-        copy = job.copy
-        if not job.over and self.copies[copy.number] is copy:
+    def end_attempt(self, job: Job, outcome: int) -> None:
+        sidecar = job.sidecar
+        if not job.is_over and self.sidecars[sidecar.number] is sidecar:
             event = Outcome(
-                job.request, job.attempt, job.endpoint, outcome, self.now - job.sent, outcome == OK
+                job.request, job.attempt, job.endpoint, outcome, self.now - job.sent_us, outcome == OK
             )
-            self.act(copy, copy.balancer.outcome(self.now, event))
-        job.over = True
+            self.carry_out(sidecar, sidecar.balancer.outcome(self.now, event))
+        job.is_over = True
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,7 @@
-"""The four rules, checked by a ledger of its own over random legal events.
+"""Property tests of the rules on attempts, drains, answers and sequential keys.
 
-It models no endpoints: outcomes, lists and timers come in any legal order.
+An independent checker plays random legal events to a balancer and verifies its actions. No endpoint is
+modelled: outcomes, lists and timers come in any legal order.
 """
 
 from __future__ import annotations
@@ -62,30 +63,34 @@
         (KEYED, SCOPE_CELL),
     )
 )
-ORDERED = tuple(replace(CLASSES[n], sequential=True) for n in (0, 1, 4))
-CLASSES += ORDERED
+SEQUENTIAL = tuple(replace(CLASSES[n], sequential=True) for n in (0, 1, 4))
+CLASSES += SEQUENTIAL
 
 
 @dataclass
-class Try:
+class RecordedAttempt:
+    """An attempt that the balancer sent; times in µs."""
+
     endpoint: int
-    at: int
-    until: int
-    ended: int | None = None  # its outcome
-    ended_at: int = 0
+    sent_us: int
+    times_out_us: int
+    result: int | None = None  # its outcome
+    ended_us: int = 0
 
 
 @dataclass
-class Asked:
+class RecordedRequest:
+    """A request that the balancer received."""
+
     cls: RequestClass
-    expires: int
+    expires_us: int
     key: int = 0
-    tries: list[Try] = field(default_factory=list)
-    over: bool = False
+    attempts: list[RecordedAttempt] = field(default_factory=list)
+    is_over: bool = False
 
 
-class Ledger:
-    """Plays events to one balancer and checks each action as it comes."""
+class RuleChecker:
+    """Plays events to one balancer and checks each of its actions."""
 
     def __init__(self, seed: int, config: Settings) -> None:
         self.config = config
@@ -93,65 +98,71 @@
         self.balancer = Balancer(seed, config)
         self.entries: dict[int, Entry] = {}
         self.listed: set[int] = set()
-        self.asked: dict[int, Asked] = {}
+        self.records: dict[int, RecordedRequest] = {}
         self.timers: list[tuple[int, int]] = []
         self.cold: list[tuple[int, int]] = []
-        self.proofs = {NO_CONNECT, MOOT} if config.full_unproven else {NO_CONNECT, MOOT, FULL}
-        self.take(self.balancer.start(self.now))
+        self.never_ran = {NO_CONNECT, MOOT} if config.full_unproven else {NO_CONNECT, MOOT, FULL}
+        self.check_actions(self.balancer.start(self.now))
 
-    def group(self, cls: RequestClass, endpoint: int) -> int:
+    def scope_group(self, cls: RequestClass, endpoint: int) -> int:
         entry = self.entries[endpoint]
         return {SCOPE_ALL: 0, SCOPE_ZONE: entry.zone, SCOPE_CELL: entry.cell}[cls.scope]
 
-    def take(self, actions: list[Action]) -> None:
+    def check_actions(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self.sent(action)
+                self.check_send(action)
             elif isinstance(action, Refuse | Fail):
-                self.answered(action)
+                self.check_answer(action)
             elif isinstance(action, Timer):
                 assert action.delay_us >= 0
                 self.timers.append((self.now + max(1, action.delay_us), action.token))
             elif isinstance(action, Cancel):
                 assert self.config.can_cancel
-                assert action.copy < len(self.asked[action.request].tries)
-
-    def sent(self, action: Send) -> None:
-        one = self.asked[action.request]
-        assert not one.over, "nothing after the final answer"
-        assert action.endpoint in self.listed, "only to endpoints that are ready"
-        assert self.now < one.expires and action.timeout_us > 0
-        assert len(one.tries) < self.config.max_attempts
-        maybe = [tried for tried in one.tries if tried.ended not in self.proofs]
-        if any(tried.ended is None for tried in one.tries):
+                assert action.copy < len(self.records[action.request].attempts)
+
+    def check_send(self, action: Send) -> None:
+        record = self.records[action.request]
+        assert not record.is_over, "nothing after the final answer"
+        assert action.endpoint in self.listed, "attempts go to ready endpoints only"
+        assert self.now < record.expires_us and action.timeout_us > 0
+        assert len(record.attempts) < self.config.max_attempts
+        may_have_run = [attempt for attempt in record.attempts if attempt.result not in self.never_ran]
+        if any(attempt.result is None for attempt in record.attempts):
             assert self.config.second_copies
-        assert one.cls.effect != UNSAFE or not maybe, "no effect twice"
-        if one.cls.effect == KEYED:
-            for tried in maybe:
-                assert self.group(one.cls, tried.endpoint) == self.group(one.cls, action.endpoint)
-                assert self.now - tried.at < one.cls.window_us
-        if one.key:
-            for rid, other in self.asked.items():
-                if rid >= action.request or other.key != one.key:
+        assert record.cls.effect != UNSAFE or not may_have_run, "an unsafe request is not repeated"
+        if record.cls.effect == KEYED:
+            for attempt in may_have_run:
+                assert self.scope_group(record.cls, attempt.endpoint) == self.scope_group(
+                    record.cls, action.endpoint
+                )
+                assert self.now - attempt.sent_us < record.cls.window_us
+        if record.key:
+            for request_id, other in self.records.items():
+                if request_id >= action.request or other.key != record.key:
                     continue
-                assert other.over, "one of a key at a time, in the order taken"
-                for tried in other.tries:
-                    assert tried.ended is not None, "nothing of an earlier one is out"
-                    if tried.ended in (TIMEOUT, RESET, CANCELLED):
-                        assert self.now >= tried.ended_at + self.config.key_rest_us, "the key rests"
-        one.tries.append(Try(action.endpoint, self.now, min(one.expires, self.now + action.timeout_us)))
+                assert other.is_over, "requests of one key run one at a time, in order of arrival"
+                for attempt in other.attempts:
+                    assert attempt.result is not None, "nothing of an earlier request is in flight"
+                    if attempt.result in (TIMEOUT, RESET, CANCELLED):
+                        assert self.now >= attempt.ended_us + self.config.key_rest_us, "the key rests"
+        record.attempts.append(
+            RecordedAttempt(action.endpoint, self.now, min(record.expires_us, self.now + action.timeout_us))
+        )
         entry = self.entries[action.endpoint]
         if entry.boot and self.now - entry.boot < self.config.cold_us:
             self.cold.append((self.now, action.endpoint))
 
-    def answered(self, action: Refuse | Fail) -> None:
-        one = self.asked[action.request]
-        assert not one.over, "exactly one final answer"
-        assert self.now <= one.expires + self.config.answer_slack_us, "in time"
+    def check_answer(self, action: Refuse | Fail) -> None:
+        record = self.records[action.request]
+        assert not record.is_over, "exactly one final answer"
+        assert self.now <= record.expires_us + self.config.answer_slack_us, "in time"
         if isinstance(action, Refuse):
-            harmless = one.cls.effect == SAFE or (one.cls.effect == KEYED and one.cls.scope == SCOPE_ALL)
-            assert harmless or all(tried.ended in self.proofs for tried in one.tries)
-        one.over = True
+            harmless = record.cls.effect == SAFE or (
+                record.cls.effect == KEYED and record.cls.scope == SCOPE_ALL
+            )
+            assert harmless or all(attempt.result in self.never_ran for attempt in record.attempts)
+        record.is_over = True
 
     # Events
 
@@ -161,67 +172,76 @@
         for entry in entries if mode != LIST_FAILED else ():
             self.entries[entry.endpoint] = entry
             (self.listed.add if entry.phase == READY else self.listed.discard)(entry.endpoint)
-        self.take(self.balancer.members(self.now, mode, entries if mode != LIST_FAILED else ()))
-
-    def request(self, cls: int, patience: int, tenant: int) -> None:
-        rid = len(self.asked) + 1
-        key = rid % 3
-        self.asked[rid] = Asked(CLASSES[cls], self.now + patience, key * CLASSES[cls].sequential)
-        arrival = Arrival(rid, cls, self.now + patience, tenant, key, work_us=1000 * (rid % 7))
-        self.take(self.balancer.request(self.now, arrival))
-
-    def outcome(self, pick: int, outcome: int) -> None:
-        out = [
-            (rid, copy)
-            for rid, one in self.asked.items()
-            for copy, tried in enumerate(one.tries)
-            if tried.ended is None
+        self.check_actions(self.balancer.members(self.now, mode, entries if mode != LIST_FAILED else ()))
+
+    def request(self, cls: int, timeout_us: int, tenant: int) -> None:
+        request_id = len(self.records) + 1
+        key = request_id % 3
+        self.records[request_id] = RecordedRequest(
+            CLASSES[cls], self.now + timeout_us, key * CLASSES[cls].sequential
+        )
+        arrival = Arrival(
+            request_id, cls, self.now + timeout_us, tenant, key, work_us=1000 * (request_id % 7)
+        )
+        self.check_actions(self.balancer.request(self.now, arrival))
+
+    def outcome(self, choice: int, outcome: int) -> None:
+        in_flight = [
+            (request_id, index)
+            for request_id, record in self.records.items()
+            for index, attempt in enumerate(record.attempts)
+            if attempt.result is None
         ]
-        if out:
-            self.end(*out[pick % len(out)], outcome)
+        if in_flight:
+            self.end_attempt(*in_flight[choice % len(in_flight)], outcome)
 
     def storm(self, outcome: int, rounds: int) -> None:
-        """Everything that is out ends alike, and what is sent again does too."""
+        """End all attempts in flight with one outcome, in so many rounds."""
         for _ in range(rounds):
-            for rid, one in list(self.asked.items()):
-                for copy, tried in enumerate(list(one.tries)):
-                    if tried.ended is None:
-                        self.end(rid, copy, outcome)
-
-    def end(self, rid: int, copy: int, outcome: int) -> None:
-        one, tried = self.asked[rid], self.asked[rid].tries[copy]
-        tried.ended, tried.ended_at = outcome, self.now
-        one.over |= outcome == OK
-        report = (float(rid % 5),) if rid % 2 else None
-        done = Outcome(rid, copy, tried.endpoint, outcome, self.now - tried.at, one.over, report)
-        self.take(self.balancer.outcome(self.now, done))
-
-    def leave(self, pick: int) -> None:
-        held = [rid for rid, one in self.asked.items() if not one.over]
-        if held:
-            rid = held[pick % len(held)]
-            self.asked[rid].over = True
-            self.take(self.balancer.gone(self.now, rid))
-            self.take(self.balancer.gone(self.now, rid))
-
-    def pass_time(self, span: int) -> None:
-        """Timers and time-outs come due in order; a time-out is never later
-        than the client's deadline, as on the wire."""
-        end = self.now + span
+            for request_id, record in list(self.records.items()):
+                for index, attempt in enumerate(list(record.attempts)):
+                    if attempt.result is None:
+                        self.end_attempt(request_id, index, outcome)
+
+    def end_attempt(self, request_id: int, index: int, outcome: int) -> None:
+        record, attempt = self.records[request_id], self.records[request_id].attempts[index]
+        attempt.result, attempt.ended_us = outcome, self.now
+        record.is_over |= outcome == OK
+        report = (float(request_id % 5),) if request_id % 2 else None
+        done = Outcome(
+            request_id, index, attempt.endpoint, outcome, self.now - attempt.sent_us, record.is_over, report
+        )
+        self.check_actions(self.balancer.outcome(self.now, done))
+
+    def leave(self, choice: int) -> None:
+        unfinished = [request_id for request_id, record in self.records.items() if not record.is_over]
+        if unfinished:
+            request_id = unfinished[choice % len(unfinished)]
+            self.records[request_id].is_over = True
+            self.check_actions(self.balancer.gone(self.now, request_id))
+            self.check_actions(self.balancer.gone(self.now, request_id))
+
+    def pass_time(self, duration_us: int) -> None:
+        """Fire timers and timeouts in order; a timeout is never later than the client's deadline."""
+        end_us = self.now + duration_us
         while True:
-            due = [(at, 0, token, 0) for at, token in self.timers]
-            for rid, one in self.asked.items():
-                due += [(t.until, 1, rid, copy) for copy, t in enumerate(one.tries) if t.ended is None]
-            if not due or min(due)[0] > end:
+            due = [(time_us, 0, token, 0) for time_us, token in self.timers]
+            for request_id, record in self.records.items():
+                due += [
+                    (attempt.times_out_us, 1, request_id, index)
+                    for index, attempt in enumerate(record.attempts)
+                    if attempt.result is None
+                ]
+            if not due or min(due)[0] > end_us:
                 break
-            at, kind, which, copy = min(due)
-            self.now = max(self.now, at)
+            time_us, kind, value, index = min(due)
+            self.now = max(self.now, time_us)
             if kind == 0:
-                self.timers.remove((at, which))
-                self.take(self.balancer.timer(self.now, which))
+                self.timers.remove((time_us, value))
+                self.check_actions(self.balancer.timer(self.now, value))
             else:
-                self.end(which, copy, TIMEOUT)
-        self.now = end
+                self.end_attempt(value, index, TIMEOUT)
+        self.now = end_us
 
 
 ENTRIES = st.lists(
@@ -285,63 +305,69 @@
 def test_rules_hold_over_random_legal_events(
     seed: int, config: Settings, steps: list[tuple[str, *tuple[object, ...]]], first: list[Entry]
 ) -> None:
-    ledger = Ledger(seed, config)
-    ledger.members(LIST_CACHED, [entry for entry in first if entry.phase != GONE])
+    checker = RuleChecker(seed, config)
+    checker.members(LIST_CACHED, [entry for entry in first if entry.phase != GONE])
     for name, *arguments in steps:
         if name == "members" and arguments[0] in (LIST_FULL, LIST_CACHED):
             arguments[1] = [entry for entry in arguments[1] if entry.phase != GONE]  # type: ignore[attr-defined]
-        getattr(ledger, name)(*arguments)
-    ledger.pass_time(5 * SECOND)
-    unanswered = [rid for rid, one in ledger.asked.items() if not one.over]
-    assert not unanswered, "every request is answered in the end"
-    assert not ledger.balancer.requests
+        getattr(checker, name)(*arguments)
+    checker.pass_time(5 * SECOND)
+    unanswered = [request_id for request_id, record in checker.records.items() if not record.is_over]
+    assert not unanswered, "every request gets a final answer"
+    assert not checker.balancer.requests
     assert not any(
-        turn.unfinished or turn.attempts_in_flight for turn in ledger.balancer.sequencer.queues.values()
+        queue.unfinished or queue.attempts_in_flight for queue in checker.balancer.sequencer.queues.values()
     )
 
 
 def run_twice(seed: int, steps: list[tuple[str, *tuple[object, ...]]]) -> list[list[tuple[int, int]]]:
     config = Settings(classes=CLASSES, max_attempts=3, second_copies=True, can_cancel=True)
-    ledgers = []
+    runs = []
     for _ in range(2):
-        ledger = Ledger(seed, config)
-        ledger.members(LIST_CACHED, [Entry(n, READY, 0, 1.0, n % 3, n % 2, 0) for n in range(1, 9)])
+        checker = RuleChecker(seed, config)
+        checker.members(LIST_CACHED, [Entry(n, READY, 0, 1.0, n % 3, n % 2, 0) for n in range(1, 9)])
         for name, *arguments in steps:
             if name != "members":
-                getattr(ledger, name)(*arguments)
-        ledgers.append([(t.endpoint, t.at) for one in ledger.asked.values() for t in one.tries])
-    return ledgers
+                getattr(checker, name)(*arguments)
+        runs.append(
+            [
+                (attempt.endpoint, attempt.sent_us)
+                for record in checker.records.values()
+                for attempt in record.attempts
+            ]
+        )
+    return runs
 
 
 @settings(derandomize=True, deadline=None, max_examples=50, database=None)
 @given(seed=st.integers(0, 2**32), steps=STEPS)
 def test_same_events_give_the_same_actions(seed: int, steps: list[tuple[str, *tuple[object, ...]]]) -> None:
-    one, two = run_twice(seed, steps)
-    assert one == two
+    first, second = run_twice(seed, steps)
+    assert first == second
 
 
 @pytest.mark.parametrize(
     ("part", "guard", "broken", "cls", "why"),
     [
-        (KeySequencer, "may_send", True, 5, "one of a key at a time"),
-        (Request, "may_attempt", True, 1, "no effect twice"),
-        (Ring, "remove", False, 0, "only to endpoints that are ready"),
+        (KeySequencer, "may_send", True, 5, "requests of one key run one at a time"),
+        (Request, "may_attempt", True, 1, "an unsafe request is not repeated"),
+        (Ring, "remove", False, 0, "attempts go to ready endpoints only"),
     ],
 )
-def test_the_ledger_sees_each_rule_broken(
+def test_the_checker_detects_each_rule_broken(
     monkeypatch: pytest.MonkeyPatch, part: type, guard: str, broken: bool, cls: int, why: str
 ) -> None:
-    """A checker that can't fail proves nothing: take one guard away at a time."""
+    """Each guard is disabled in turn, and the checker must fail."""
 
     def play() -> None:
-        ledger = Ledger(1, Settings(classes=CLASSES, max_attempts=3, can_cancel=True))
+        checker = RuleChecker(1, Settings(classes=CLASSES, max_attempts=3, can_cancel=True))
         ready = [Entry(n, READY, 0, 1.0, 0, 0, 0) for n in range(1, 5)]
-        ledger.members(LIST_FULL, ready)
-        ledger.members(LIST_DELTA, [replace(entry, phase=DRAINING) for entry in ready[:3]])
+        checker.members(LIST_FULL, ready)
+        checker.members(LIST_DELTA, [replace(entry, phase=DRAINING) for entry in ready[:3]])
         for _ in range(7):
-            ledger.request(cls, SECOND, 0)
-        ledger.members(LIST_DELTA, ready)
-        ledger.storm(ERROR, 2)
+            checker.request(cls, SECOND, 0)
+        checker.members(LIST_DELTA, ready)
+        checker.storm(ERROR, 2)
 
     play()
     monkeypatch.setattr(part, guard, lambda *_: broken)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""The ramp holds for the fleet: what cold endpoints get from all copies together, by many shapes of it."""
+"""Tests that all sidecars of a tier together stay within the cold budget, in many shapes of the tier."""
 
 from __future__ import annotations
 
@@ -7,60 +7,62 @@
 import pytest
 
 from tests.helpers import SECOND
-from tests.slow_start_fleet import CHECKS, STANDINGS, Case, Fleet, Site
+from tests.slow_start_fleet import CHECKS, STANDINGS, Deployment, Scenario, TierSimulation
 
-ONE = Case()
-FEW = replace(ONE, copies=30, endpoints=3)
+BASE = Scenario()
+FEW = replace(BASE, sidecars=30, endpoints=3)
 SHAPES = {
-    "alone": replace(ONE, copies=1),
-    "three copies": replace(ONE, copies=3),
-    "thirty copies": replace(ONE, copies=30),
-    "uneven": replace(ONE, copies=30, uneven=True),
-    "half are cold": replace(ONE, cold=4),
-    "told over 3 s": replace(ONE, cold=4, spread_us=3 * SECOND),
-    "all copies just started": replace(ONE, fresh=1.0),
-    "some just started, uneven": replace(ONE, copies=30, fresh=0.3, uneven=True),
+    "alone": replace(BASE, sidecars=1),
+    "three sidecars": replace(BASE, sidecars=3),
+    "thirty sidecars": replace(BASE, sidecars=30),
+    "uneven": replace(BASE, sidecars=30, uneven=True),
+    "half are cold": replace(BASE, cold=4),
+    "listed over 3 s": replace(BASE, cold=4, spread_us=3 * SECOND),
+    "all sidecars just started": replace(BASE, restarted_share=1.0),
+    "some just started, uneven": replace(BASE, sidecars=30, restarted_share=0.3, uneven=True),
     "few endpoints": FEW,
     "few endpoints, uneven": replace(FEW, uneven=True, cold=2),
-    "many endpoints": replace(ONE, copies=3, endpoints=16, cold=4, load=0.4),
-    "a burst at one copy": replace(ONE, copies=3, burst=6.0),
-    "three zones": replace(ONE, copies=30, endpoints=9, zones=3, uneven=True),
-    "overload": replace(ONE, copies=20, endpoints=6, load=1.1),
+    "many endpoints": replace(BASE, sidecars=3, endpoints=16, cold=4, load=0.4),
+    "a burst at one sidecar": replace(BASE, sidecars=3, burst=6.0),
+    "three zones": replace(BASE, sidecars=30, endpoints=9, zones=3, uneven=True),
+    "overload": replace(BASE, sidecars=20, endpoints=6, load=1.1),
 }
-# All copies' first requests to what an operator put back add up, more so while it refuses connections.
-PUT_BACK = {
-    "as ready": Case(copies=40, endpoints=4, load=0.9, operator=True),
-    "ready 2 s later": Case(copies=30, endpoints=4, load=0.8, operator=True, unready_us=2 * SECOND),
+# The trials of all sidecars at attached endpoints add up, more so while these refuse connections.
+ATTACHED = {
+    "as ready": Scenario(sidecars=40, endpoints=4, load=0.9, by_operator=True),
+    "ready 2 s later": Scenario(sidecars=30, endpoints=4, load=0.8, by_operator=True, unready_us=2 * SECOND),
 }
-SITES = pytest.mark.parametrize("site", [CHECKS, STANDINGS], ids=["checks", "standings"])
+DEPLOYMENTS = pytest.mark.parametrize("deployment", [CHECKS, STANDINGS], ids=["checks", "standings"])
 
 
-@SITES
+@DEPLOYMENTS
 @pytest.mark.parametrize("shape", SHAPES)
-def test_cold_endpoints_stay_under_their_budget_and_are_not_shunned(shape: str, site: Site) -> None:
-    seen = Fleet(replace(SHAPES[shape], site=site), 1).run()
-    print(f"{shape}: {seen}")
-    assert seen.calls <= 0.9 and seen.share > 0.0
+def test_cold_endpoints_stay_within_their_budget_and_are_used(shape: str, deployment: Deployment) -> None:
+    measured = TierSimulation(replace(SHAPES[shape], deployment=deployment), 1).run()
+    print(f"{shape}: {measured}")
+    assert measured.worst_requests <= 0.9 and measured.traffic_share > 0.0
 
 
-@SITES
-def test_over_the_whole_ramp_a_cold_endpoint_gets_a_good_part_of_its_traffic(site: Site) -> None:
-    seen = Fleet(replace(ONE, site=site, watched_us=site.settings.cold_us), 1).run()
-    print(seen)
-    assert seen.calls <= 0.9 and seen.share >= 0.12
+@DEPLOYMENTS
+def test_over_the_whole_ramp_a_cold_endpoint_gets_a_fair_part_of_its_traffic(deployment: Deployment) -> None:
+    measured = TierSimulation(
+        replace(BASE, deployment=deployment, watched_us=deployment.settings.cold_us), 1
+    ).run()
+    print(measured)
+    assert measured.worst_requests <= 0.9 and measured.traffic_share >= 0.12
 
 
-@SITES
-@pytest.mark.parametrize("shape", PUT_BACK)
-def test_the_first_requests_to_what_an_operator_put_back_are_part_of_its_budget(
-    shape: str, site: Site
+@DEPLOYMENTS
+@pytest.mark.parametrize("shape", ATTACHED)
+def test_the_trials_of_attached_endpoints_stay_within_their_budget(
+    shape: str, deployment: Deployment
 ) -> None:
     for seed in (1, 2):
-        seen = Fleet(replace(PUT_BACK[shape], site=site), seed).run()
-        print(f"{shape}, seed {seed}: {seen}")
-        assert seen.calls <= 1.0 and seen.share >= 0.1
+        measured = TierSimulation(replace(ATTACHED[shape], deployment=deployment), seed).run()
+        print(f"{shape}, seed {seed}: {measured}")
+        assert measured.worst_requests <= 1.0 and measured.traffic_share >= 0.1
 
 
-def test_where_all_are_cold_each_is_sent_what_it_bears_from_the_start() -> None:
-    seen = Fleet(replace(ONE, endpoints=4, copies=8, cold=4, load=0.3), 1).run()
-    assert 0.0 < seen.calls <= 0.9
+def test_if_all_endpoints_are_cold_each_is_sent_requests_within_its_budget() -> None:
+    measured = TierSimulation(replace(BASE, endpoints=4, sidecars=8, cold=4, load=0.3), 1).run()
+    assert 0.0 < measured.worst_requests <= 0.9
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against byte examples, and the adapter against bad input."""
+"""Tests of the codec against byte examples, and of the adapter against malformed input."""
 
 from __future__ import annotations
 
@@ -127,7 +127,7 @@
     assert second == interface.Entry(0x2C9011F2, interface.READY, 0x5D1420, 1.5, 0, 0, 0)
 
 
-def test_request_is_sent_and_ends_with_its_first_ok() -> None:
+def test_a_request_is_sent_and_ends_with_its_first_success() -> None:
     host = started_host(now=NOW + 20_000_000)
     sent = replies(host.handle_batch(body(record(REQ), now=NOW)))
     assert [r[0] for r in sent] == [64]
@@ -137,11 +137,11 @@
     assert not host.instances[3].requests
 
 
-def test_late_events_for_requests_not_held_are_passed_over() -> None:
+def test_late_events_of_unknown_requests_are_ignored() -> None:
     host = started_host()
-    gone = record("05 00000003 000000000000004d")
+    abandoned = record("05 00000003 000000000000004d")
     fired = record("06 00000003 000000000000004d")
-    assert replies(host.handle_batch(body(record(RETURNED_OK), gone, fired))) == []
+    assert replies(host.handle_batch(body(record(RETURNED_OK), abandoned, fired))) == []
 
 
 def test_list_numbers_are_reused_within_a_batch() -> None:
@@ -151,23 +151,23 @@
     base = len(raw)
     lists = [struct.pack(">BHII", 10, 0, base + 21 * k, 1) for k in range(2)]
     cached = [struct.pack(">BIIBH", 1, i, 1, 3, 0) for i in (1, 2)]
-    padded = [part + bytes(48 - len(part)) for part in (*lists, *cached)]
+    padded = [raw_record + bytes(48 - len(raw_record)) for raw_record in (*lists, *cached)]
     records = (one, padded[0], padded[2], two, padded[1], padded[3])
     host.handle_batch(body(*records, tail=raw + ENTRIES))
     assert list(host.instances[1].endpoints) == [0x03124A07]
     assert list(host.instances[2].endpoints) == [0x2C9011F2]
 
 
-def test_stop_and_start_in_one_batch_leaves_nothing_behind() -> None:
+def test_a_stop_and_a_start_in_one_batch_reset_the_instance() -> None:
     host = started_host()
     host.handle_batch(body(record(REQ)))
-    again, raw = init(3)
-    host.handle_batch(body(record("09 00000003"), again, tail=raw))
+    restart, raw = init(3)
+    host.handle_batch(body(record("09 00000003"), restart, tail=raw))
     assert not host.instances[3].requests
     assert not host.instances[3].endpoints
 
 
-def test_exception_in_the_module_is_the_wires_internal_error(
+def test_an_exception_in_a_balancer_becomes_an_internal_error_of_the_wire(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     host = started_host()
@@ -222,7 +222,7 @@
         "offset",
     ],
 )
-def test_malformed_input_ends_in_one_plain_line(data: bytes) -> None:
+def test_malformed_input_ends_with_one_error_line(data: bytes) -> None:
     done = run_adapter(data)
     assert done.returncode == 1
     assert done.stdout == b""
@@ -248,7 +248,7 @@
 }
 
 
-def test_every_setting_that_a_decision_can_use_arrives() -> None:
+def test_all_settings_used_by_decisions_are_read() -> None:
     read = wire.read_settings(json.dumps(FULL_SETTINGS).encode())
     first, second = read.classes
     assert (first.sequential, first.aim_stretch, second.sequential, second.aim_stretch) == (
@@ -265,7 +265,7 @@
     assert read.report_fields == ("served_rate", "error_rate", "latency_ms", "waiting")
 
 
-def test_absent_settings_get_the_careful_default() -> None:
+def test_absent_settings_get_conservative_defaults() -> None:
     read = wire.read_settings(b'{"classes": [{"aim-us": 5, "deadline-us": 9, "repeat": "fragile"}]}')
     assert (read.max_attempts, read.second_copies, read.can_cancel, read.can_probe) == (
         1,
@@ -277,13 +277,13 @@
 
 
 @pytest.mark.parametrize("broken", [{"classes": []}, {"instances": 0}, {"cold_us": -1}])
-def test_settings_that_cannot_be_meant_name_their_field(broken: dict[str, object]) -> None:
+def test_the_error_of_an_invalid_setting_names_its_field(broken: dict[str, object]) -> None:
     fields: dict[str, object] = {"classes": (interface.RequestClass(),), **broken}
     with pytest.raises(ValueError, match=next(iter(broken))):
         interface.Settings(**fields)  # type: ignore[arg-type]
 
 
-def test_an_endpoints_idle_connections_are_closed_on_the_wire() -> None:
+def test_close_has_its_record() -> None:
     reply = wire.Reply()
     reply.add(3, [interface.Close(0x03124A07)])
     assert replies(reply.encode())[0][:9] == bytes.fromhex("4b0000000303124a07")
