--- a/woadyard/policy/request.py
+++ b/woadyard/policy/request.py
@@ -15,7 +15,7 @@
     def set_transferring(self, now: int, active: bool) -> None:
         """Record that body bytes are being transferred, or no longer.
 
-        While they are, the endpoint owes no response: the request is incomplete, or its response has started.
+        Meanwhile no response is due: the request is incomplete, or its response has started.
         """
         if self.is_transferring != active:
             self.is_transferring = active
