--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -17,31 +17,30 @@
 import pytest
 
 from tests.sockets import (
-    LARGE,
+    LARGE_BODY,
     Endpoint,
     Message,
     Sidecar,
     Writer,
-    answer,
+    http_request,
+    http_response,
     on_loop,
-    sidecar,
-    until,
+    run_sidecar,
+    wait_until,
 )
-from tests.sockets import request as short_request
-from woadyard.net import link as link_module
-from woadyard.net import presence
-from woadyard.net.link import Link
+from woadyard.net import disconnects, endpoint_connection
+from woadyard.net.endpoint_connection import EndpointConnection
 from woadyard.net.message import Attempt
 
 CLOSE, CANCEL, HALF = "close", "reset", "half-close"
 EACH_WAY = pytest.mark.parametrize("how", [CLOSE, CANCEL, HALF])
 CANCELS = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no-cancel"])
 SOON_S = 10.0  # for what comes at once, far below the requests' deadline
-come_up = Link.connection_made
+come_up = EndpointConnection.connection_made
 
 
 def request(cls: str = "page", body: bytes = b"", rid: str = "r0") -> bytes:
-    return short_request(cls, body, deadline_ms=60_000, rid=rid)
+    return http_request(cls, body, deadline_ms=60_000, rid=rid)
 
 
 class Client:
@@ -60,7 +59,7 @@
         self.socket.setblocking(False)
         while not full():
             with contextlib.suppress(BlockingIOError):
-                self.socket.send(LARGE)
+                self.socket.send(LARGE_BODY)
             await asyncio.sleep(0)
 
     def leave(self, how: str) -> None:
@@ -75,7 +74,7 @@
 async def hold_all_but_the_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     """No answer, until the connection closes."""
     if message.headers["x-request-id"] == "warm":
-        writer.write(answer())
+        writer.write(http_response())
 
 
 @dataclass
@@ -87,12 +86,12 @@
     endpoint: Endpoint
     client: Client
     timers: list[int] = field(default_factory=list)
-    late: list[tuple[Link, Any]] = field(default_factory=list)
+    late: list[tuple[EndpointConnection, Any]] = field(default_factory=list)
     sent: list[bytes] = field(default_factory=list)  # the head of each attempt
 
     def fire(self) -> None:
         for token in self.timers:
-            self.one.driver.tell(self.one.driver.balancer.timer, token)
+            self.one.driver.dispatch(self.one.driver.balancer.timer, token)
 
     def block(self) -> None:
         """No endpoint is free to take anything, until `found`."""
@@ -104,8 +103,8 @@
 
     def answered(self, raw: bytes) -> None:
         """As where the answer is read before the client's end."""
-        (link,) = (link for link in self.one.upstream.links if link.attempt is not None)
-        link.read(raw)
+        (link,) = (link for link in self.one.upstream.connections if link.attempt is not None)
+        link.feed_response(raw)
         self.fire()
 
     def arrive(self) -> None:
@@ -113,23 +112,23 @@
             come_up(*args)
 
     def caller(self) -> Any:
-        (caller,) = self.one.server.callers
+        (caller,) = self.one.server.connections
         return caller
 
     async def given_up(self) -> None:
         """No request is open; attempts may still be out, where they can't be cancelled."""
         async with asyncio.timeout(SOON_S):
-            await until(lambda: not any(call.open for call in self.one.driver.calls.values()))
+            await wait_until(lambda: not any(call.is_open for call in self.one.driver.calls.values()))
 
     async def settled(self) -> None:
         """Nothing is owed any more to anyone."""
         async with asyncio.timeout(SOON_S):
-            await until(lambda: not self.one.driver.calls and not self.one.server.callers)
+            await wait_until(lambda: not self.one.driver.calls and not self.one.server.connections)
         balancer = self.one.driver.balancer
         assert not balancer.requests and not balancer.finished
         assert all(one.inflight == one.transferring == 0 for one in balancer.endpoints.values())
-        assert all(link.attempt is None for link in self.one.upstream.links)
-        assert not self.one.server.unread.clients
+        assert all(link.attempt is None for link in self.one.upstream.connections)
+        assert not self.one.server.paused_clients.clients
 
 
 @contextlib.asynccontextmanager
@@ -137,23 +136,23 @@
     monkeypatch: pytest.MonkeyPatch, cancel: bool = True, late: bool = False, endpoint: Endpoint | None = None
 ) -> AsyncIterator[Scene]:
     warm, endpoint = not (late or endpoint), endpoint or Endpoint(hold_all_but_the_first)
-    async with sidecar(endpoint, ceilings={"cancel": cancel}) as one:
+    async with run_sidecar(endpoint, ceilings={"cancel": cancel}) as one:
         if warm:
-            await one.ask(request(rid="warm"))
-            await endpoint.arrived.acquire()
-            await until(lambda: not one.server.callers)
+            await one.send(request(rid="warm"))
+            await endpoint.request_arrived.acquire()
+            await wait_until(lambda: not one.server.connections)
         it = Scene(one, endpoint, Client(one.port))
-        await until(lambda: bool(one.server.callers))
-        real = link_module.request_bytes
+        await wait_until(lambda: bool(one.server.connections))
+        real = endpoint_connection.encode_request
 
         def request_bytes(attempt: Attempt, now: int) -> bytes:
             it.sent.append(raw := real(attempt, now))
             return raw
 
-        monkeypatch.setattr(link_module, "request_bytes", request_bytes)
-        vars(one.driver.turns)["fire"] = lambda delay, token: it.timers.append(token)
+        monkeypatch.setattr(endpoint_connection, "encode_request", request_bytes)
+        vars(one.driver.dispatcher)["start_timer"] = lambda delay, token: it.timers.append(token)
         if late:
-            monkeypatch.setattr(Link, "connection_made", lambda *args: it.late.append(args))
+            monkeypatch.setattr(EndpointConnection, "connection_made", lambda *args: it.late.append(args))
         yield it
         it.client.socket.close()
 
@@ -167,47 +166,47 @@
 async def waiting_for_an_endpoint(it: Scene) -> Act:
     it.block()
     it.client.send(request())
-    await until(lambda: bool(it.timers))
+    await wait_until(lambda: bool(it.timers))
     return it.found
 
 
 async def large_body_waiting_for_an_endpoint(it: Scene) -> Act:
     it.block()
-    it.client.send(request("pay", LARGE)[:70_000])
-    await until(lambda: bool(it.timers))
+    it.client.send(request("pay", LARGE_BODY)[:70_000])
+    await wait_until(lambda: bool(it.timers))
     return it.found
 
 
 async def before_a_repeat(it: Scene) -> Act:
     it.client.send(request())
-    await it.endpoint.arrived.acquire()
-    return lambda: it.answered(answer(500))
+    await it.endpoint.request_arrived.acquire()
+    return lambda: it.answered(http_response(500))
 
 
 async def sent_ahead_of_an_answer(it: Scene) -> Act:
     it.client.send(request(rid="r0") + request(rid="r1") + request(rid="r2"))
-    await it.endpoint.arrived.acquire()
-    return lambda: it.answered(answer())
+    await it.endpoint.request_arrived.acquire()
+    return lambda: it.answered(http_response())
 
 
 async def many_sent_ahead_of_an_answer(it: Scene) -> Act:
     """More than is read ahead."""
     it.client.send(b"".join(request(rid=f"r{n}") for n in range(400)))
-    await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().paused))
-    return lambda: it.answered(answer())
+    await it.endpoint.request_arrived.acquire()
+    await wait_until(lambda: bool(it.caller().reading_paused))
+    return lambda: it.answered(http_response())
 
 
 async def large_body_sent_ahead_of_an_answer(it: Scene) -> Act:
-    it.client.send(request(rid="r0") + request("pay", LARGE, rid="r1")[:70_000])
-    await it.endpoint.arrived.acquire()
-    await until(lambda: bool(it.caller().incoming.large))
-    return lambda: it.answered(answer())
+    it.client.send(request(rid="r0") + request("pay", LARGE_BODY, rid="r1")[:70_000])
+    await it.endpoint.request_arrived.acquire()
+    await wait_until(lambda: bool(it.caller().parser.has_large_body))
+    return lambda: it.answered(http_response())
 
 
 async def connecting(it: Scene) -> Act:
     it.client.send(request())
-    await until(lambda: bool(it.late))
+    await wait_until(lambda: bool(it.late))
     return it.arrive
 
 
@@ -268,8 +267,8 @@
         first, late = it.caller(), Client(it.one.port)
         late.send(request())
         late.leave(how)
-        it.one.server.last_joined = 0.0
-        await until(lambda: it.one.server.last_joined > 0)
+        it.one.server.last_accept_s = 0.0
+        await wait_until(lambda: it.one.server.last_accept_s > 0)
         first.transport.abort()
         await it.settled()
         late.socket.close()
@@ -282,7 +281,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What little is sent ahead is read, and behind it the client's end."""
-    monkeypatch.setattr(presence, "LEFT", 0)
+    monkeypatch.setattr(disconnects, "DISCONNECT_EVENTS", 0)
     async with scene(monkeypatch) as it:
         await sent_ahead_of_an_answer(it)
         it.client.leave(how)
@@ -302,9 +301,9 @@
 
 async def stream(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     """An answer too large for any buffer, whole."""
-    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * len(LARGE)))
+    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * len(LARGE_BODY)))
     for _ in range(16):
-        writer.write(LARGE)
+        writer.write(LARGE_BODY)
         await writer.drain()
 
 
@@ -317,10 +316,10 @@
 ) -> None:
     """The rest of the body never comes: no attempt of it can end well, or be left to run."""
     async with scene(monkeypatch, cancel, endpoint=Frozen() if frozen else None) as it:
-        it.client.send(request("pay", LARGE * 40)[:70_000])
-        await until(lambda: bool(it.sent))
+        it.client.send(request("pay", LARGE_BODY * 40)[:70_000])
+        await wait_until(lambda: bool(it.sent))
         if frozen:
-            await it.client.fill(lambda: bool(it.caller().paused))
+            await it.client.fill(lambda: bool(it.caller().reading_paused))
         it.client.leave(how)
         await it.settled()
 
@@ -332,9 +331,9 @@
     cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with scene(monkeypatch, cancel, endpoint=Endpoint(stream)) as it:
-        it.one.server.waits.relay_s = 1000.0
+        it.one.server.timeouts.stall_s = 1000.0
         it.client.send(request())
-        await until(lambda: it.caller().clogged)
+        await wait_until(lambda: it.caller().writing_paused)
         it.client.leave(how)
         await it.settled()
 
@@ -349,12 +348,12 @@
             await stream(endpoint, message, writer)
 
     async with scene(monkeypatch, endpoint=Endpoint(stream_first)) as it:
-        it.one.server.waits.relay_s = 1000.0
+        it.one.server.timeouts.stall_s = 1000.0
         it.caller().transport.set_write_buffer_limits(high=1 << 30)  # served on all the same
         it.client.send(request(rid="r0") + request(rid="r1"))
-        await until(lambda: len(it.endpoint.got) == 2)
+        await wait_until(lambda: len(it.endpoint.received) == 2)
         assert it.caller().transport.get_write_buffer_size()
-        it.one.server.waits.relay_s = 0.05
+        it.one.server.timeouts.stall_s = 0.05
         it.client.leave(how)
         await it.given_up()
         await it.settled()
@@ -366,8 +365,8 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with scene(monkeypatch, cancel=False) as it:
-        it.client.send(short_request(deadline_ms=300))
-        await it.endpoint.arrived.acquire()
+        it.client.send(http_request(deadline_ms=300))
+        await it.endpoint.request_arrived.acquire()
         it.client.leave(how)
         await it.given_up()
         assert it.one.driver.calls
@@ -384,7 +383,7 @@
         crowd = [Client(it.one.port) for _ in range(200)]
         for n, client in enumerate(crowd):
             client.send(request(rid=f"c{n}"))
-        await until(lambda: len(it.timers) >= 200)
+        await wait_until(lambda: len(it.timers) >= 200)
         for client in crowd:
             client.leave(how)
         it.found()
--- a/tests/test_whatif_door.py
+++ b/tests/test_whatif_door.py
@@ -11,8 +11,17 @@
 import pytest
 
 from tests.faults import CUT, PASS, RESET, FaultProxy
-from tests.process import config, free_port, ready, start
-from tests.sockets import Endpoint, Message, Registry, Writer, answer, read_message, request, run
+from tests.process import free_port, sidecar_environ, start_sidecar, wait_until_ready
+from tests.sockets import (
+    Endpoint,
+    FakeDiscovery,
+    Message,
+    Writer,
+    http_request,
+    http_response,
+    read_message,
+    run_test,
+)
 from woadyard.errors import PeerError
 from woadyard.interface import OK
 from woadyard.whatif import doors
@@ -23,7 +32,7 @@
 
 
 async def big_or_small(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    writer.write(answer(body=b"x" * random.Random(len(endpoint.got)).randrange(10)))
+    writer.write(http_response(body=b"x" * random.Random(len(endpoint.received)).randrange(10)))
 
 
 def test_a_recording_comes_whole_through_a_link_that_is_cut_and_reset(
@@ -32,23 +41,23 @@
     monkeypatch.setattr(doors, "TRIES_MOST", 1_000)
 
     async def test() -> None:
-        endpoints, registry = [Endpoint(big_or_small) for _ in range(3)], Registry()
+        endpoints, registry = [Endpoint(big_or_small) for _ in range(3)], FakeDiscovery()
         for one in (*endpoints, registry):
             await one.start()
         door, port = free_port(), free_port()
         environ = {
-            **config(tmp_path, registry, *endpoints, record={"memory-kb": 1024}),
+            **sidecar_environ(tmp_path, registry, *endpoints, record={"memory-kb": 1024}),
             "LB_CONSOLE": f"127.0.0.1:{door}", "LB_LISTEN": f"127.0.0.1:{port}",
         }  # fmt: skip
         raw = json.loads(Path(environ["LB_CONFIG"]).read_text())
         raw["known"]["instances"] = [one.entry(f"s-{n}") for n, one in enumerate(endpoints)]
         Path(environ["LB_CONFIG"]).write_text(json.dumps(raw))
-        process = await start(environ)
+        process = await start_sidecar(environ)
         try:
-            await ready(door)
+            await wait_until_ready(door)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             for number in range(ASKED):
-                writer.write(request(rid=f"r{number}"))
+                writer.write(http_request(rid=f"r{number}"))
                 await read_message(reader)
             proxy = FaultProxy(target=door)
             await proxy.start()
@@ -66,13 +75,15 @@
             await troubled
             assert [one.request for one in trace.requests] == list(range(1, ASKED + 1))
             assert all(one.status == 200 and one.tries[-1].outcome == OK for one in trace.requests)
-            assert sum(len(one.tries) for one in trace.requests) == sum(len(one.got) for one in endpoints)
+            assert sum(len(one.tries) for one in trace.requests) == sum(
+                len(one.received) for one in endpoints
+            )
             assert trace.started.sidecar == "n1" and trace.dropped == 0
         finally:
             process.kill()
             await process.wait()
 
-    run(test())
+    run_test(test())
 
 
 def test_a_door_that_is_gone_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,4 +95,4 @@
                 await Door(f"127.0.0.1:{free_port()}").pull(session, random.Random(1))
         assert failed.value.remedy
 
-    run(test())
+    run_test(test())
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -155,7 +155,7 @@
     load = asyncio.ensure_future(sidecar.load(deadline_ms=500 if fault == DROP else 4_000))
 
     def received(zone: list[Endpoint]) -> int:
-        return sum(len(server.got) for server in zone)
+        return sum(len(server.received) for server in zone)
 
     async def only(zone: list[Endpoint], other: list[Endpoint]) -> None:
         """Wait until 50 requests in a row went to one zone."""
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -1,4 +1,4 @@
-"""One real sidecar: reads its configuration, wires the parts, heeds signals."""
+"""The sidecar process: reads its configuration, connects its parts and handles signals."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from woadyard.membership.shrink import ShrinkGuard
 from woadyard.net.budget import Budget, Hooks
 from woadyard.net.config import (
-    SOCKETS_DEFAULT,
+    DEFAULT_SOCKETS,
     Config,
-    locality,
-    log_level,
-    read_again,
     read_config,
-    shared,
-    shrink_most,
+    read_locality,
+    read_log_level,
+    read_max_list_shrink,
+    read_shared_settings,
+    reread_config,
 )
-from woadyard.net.console import DESCRIPTORS, CallError, Console, Route, Routes
 from woadyard.net.discovery import Discovery
 from woadyard.net.driver import Driver
 from woadyard.net.gossip import Gossip
 from woadyard.net.server import Server
-from woadyard.net.sharing import Shared
-from woadyard.net.state import LOOK_S, Seats
+from woadyard.net.state import SYNC_INTERVAL_S, ProcessSlots
+from woadyard.net.threaded_http import RESERVED_DESCRIPTORS, HttpError, Route, Routes, ThreadedHttpServer
 from woadyard.net.upstream import Upstream
+from woadyard.net.weight_factors import SharedState
 from woadyard.ops import logs
 from woadyard.ops.metrics import Metrics
 from woadyard.shared.store import Entry
@@ -46,141 +46,156 @@
 if TYPE_CHECKING:
     from woadyard.net.recorder import Recorder
     from woadyard.net.reporter import Reporter
-
 LOG = logging.getLogger("woadyard")
 LIST_PATH = "/registry/instances"
-OTHER_SOCKETS = 32
-# A process that takes over waits no longer for discovery's first word.
-UNHEARD_US = 3_000_000
+# Sockets of the listener, the watch of discovery and the event loop.
+RESERVED_SOCKETS = 32
+# A process that replaces another is ready after this time also without a list from discovery.
+FIRST_LIST_WAIT_US = 3_000_000
 
 
-class Reload:
-    """SIGHUP: new settings and discovery's address, all of a file or nothing."""
+class ConfigReloader:
+    """Handles SIGHUP: applies the file's settings and discovery address, or nothing if it is invalid."""
 
     def __init__(self, config: Config, driver: Driver, discovery: Discovery, guard: ShrinkGuard) -> None:
-        self.path, self.force, self.guard = config.path, config.raw, guard
+        self.path, self.raw_in_force, self.guard = config.path, config.raw, guard
         self.driver, self.discovery = driver, discovery
 
     def __call__(self) -> None:
         try:
-            raw, settings = read_again(self.path, self.force)
+            raw, settings = reread_config(self.path, self.raw_in_force)
         except ConfigError as error:
             LOG.warning("not reloaded", extra=error.fields())
             return
-        self.force = raw
-        self.driver.retune(raw["settings"], settings, locality(raw))
-        self.guard.retune(shrink_most(raw))
-        self.discovery.retune(not settings.asks_discovery)
-        self.discovery.move(str(raw["discovery"]))
-        if (again := shared(raw)) is not None and self.driver.shared is not None:
-            self.driver.shared.eject_share = again.eject_share
-        LOG.setLevel(log_level(raw).upper())
+        self.raw_in_force = raw
+        self.driver.apply_settings(raw["settings"], settings, read_locality(raw))
+        self.guard.set_max_loss_share(read_max_list_shrink(raw))
+        self.discovery.set_push_mode(not settings.asks_discovery)
+        self.discovery.change_address(str(raw["discovery"]))
+        if (shared_settings := read_shared_settings(raw)) is not None and self.driver.shared is not None:
+            self.driver.shared.eject_share = shared_settings.eject_share
+        LOG.setLevel(read_log_level(raw).upper())
         fields = {"classes": sorted(self.driver.names.classes), "attempts": settings.max_attempts}
         LOG.info("reloaded", extra={**fields, "discovery": raw["discovery"]})
 
 
-def routes(server: Server, may_serve: Callable[[], bool], guard: ShrinkGuard) -> Routes:
-    """The operators' calls. They run on the door's thread: what they read of
-    the balancing is single values, and nothing there waits for them."""
+def build_admin_routes(server: Server, may_serve: Callable[[], bool], guard: ShrinkGuard) -> Routes:
+    """Return the routes of the admin API.
+
+    The handlers run on the admin listener's thread: they read single values of the
+    balancer's state only, and the balancer never waits for them.
+    """
 
     bans = server.driver.bans
 
-    def change(act: Callable[[str], bool], body: str) -> str:
+    def change_ban(action: Callable[[str], bool], body: str) -> str:
         if not body:
-            raise CallError(HTTPStatus.BAD_REQUEST, "the body names no endpoint", "send its instanceId")
-        if not act(body):
-            raise CallError(
+            raise HttpError(HTTPStatus.BAD_REQUEST, "the body names no endpoint", "send its instanceId")
+        if not action(body):
+            raise HttpError(
                 HTTPStatus.NOT_FOUND,
-                "no list ever named this endpoint",
-                "look its name up in the list",
+                "no list ever contained this endpoint",
+                "check its instanceId in the list",
             )
         return f"done, out are: {' '.join(bans.banned) or 'none'}"
 
     def ready(body: str) -> str:
-        if not server.accepting or server.shut_out or not may_serve():
-            raise CallError(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", "wait; the log says why")
+        if not server.is_accepting or server.is_shut_out or not may_serve():
+            raise HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", "wait; the log says why")
         return "ready"
 
     def accept_list(body: str) -> str:
         view = guard.view
         if view is None or not view.held:
-            raise CallError(HTTPStatus.CONFLICT, "no list is held back", "nothing is to be done")
-        server.driver.loop.call_soon_threadsafe(guard.accept)
+            raise HttpError(HTTPStatus.CONFLICT, "no list is held back", "nothing needs to be done")
+        server.driver.loop.call_soon_threadsafe(guard.accept_losses)
         return f"done, let go: {' '.join(sorted(view.held))}"
 
     return {
         b"/_ready": Route(b"GET", ready),
         b"/_metrics": Route(b"GET", lambda body: server.driver.metrics.render()),
-        b"/_endpoints/detach": Route(b"POST", partial(change, bans.detach)),
-        b"/_endpoints/attach": Route(b"POST", partial(change, bans.attach)),
+        b"/_endpoints/detach": Route(b"POST", partial(change_ban, bans.detach)),
+        b"/_endpoints/attach": Route(b"POST", partial(change_ban, bans.attach)),
         b"/_list/accept": Route(b"POST", accept_list),
     }
 
 
-def open_console(
-    config: Config, server: Server, seats: Seats | None, guard: ShrinkGuard, recorder: Recorder | None
-) -> Console | None:
+def open_admin_listener(
+    config: Config, server: Server, slots: ProcessSlots | None, guard: ShrinkGuard, recorder: Recorder | None
+) -> ThreadedHttpServer | None:
+    """Open the admin listener, if it is configured."""
     if config.console is None:
         return None
     driver = server.driver
-    # One that takes over has to know what its elder knows by now, if anybody tells.
-    since = None if seats is None or seats.alone else driver.now()
-    looks = [driver.bans.look]
-    if seats is not None:
-        looks.append(seats.look)
+    # A process that replaces another must first have the list that the other has, if discovery sends one.
+    waiting_since_us = None if slots is None or slots.is_alone else driver.now()
+    periodic_tasks = [driver.bans.sync]
+    if slots is not None:
+        periodic_tasks.append(slots.poll)
 
     def may_serve() -> bool:
-        return since is None or driver.heard or driver.now() - since > UNHEARD_US
+        return (
+            waiting_since_us is None
+            or driver.has_received_list
+            or driver.now() - waiting_since_us > FIRST_LIST_WAIT_US
+        )
 
-    calls = routes(server, may_serve, guard)
+    routes = build_admin_routes(server, may_serve, guard)
     if recorder is not None:
-        calls[b"/_trace"] = Route(b"GET", recorder.piece, query=True)
-    console = Console(calls, looks, LOOK_S)
+        routes[b"/_trace"] = Route(b"GET", recorder.piece, takes_query=True)
+    admin_listener = ThreadedHttpServer(routes, periodic_tasks, SYNC_INTERVAL_S)
     try:
-        console.open(*config.console)
+        admin_listener.open(*config.console)
     except (OSError, OverflowError) as error:
         raise ConfigError(f"can't open the console: {error}") from None
-    return console
+    return admin_listener
 
 
 def open_gossip(config: Config, driver: Driver) -> Gossip | None:
-    """Share state with other sidecars, where the file says so."""
-    share, loop = driver.shared, driver.loop
-    if config.shared is None or share is None:
+    """Start to share state with other sidecars, if it is configured."""
+    shared_state, loop = driver.shared, driver.loop
+    if config.shared is None or shared_state is None:
         return None
 
-    def heard(entries: list[Entry]) -> None:
-        loop.call_soon_threadsafe(driver.verdicts, entries)
+    def verdicts_received(entries: list[Entry]) -> None:
+        loop.call_soon_threadsafe(driver.apply_verdicts, entries)
 
-    rng = random.Random()  # not the seed's: processes of one file must differ
-    gossip = Gossip(config.shared, share.name, rng, heard, driver.metrics, config.state)
-    share.publish = gossip.publish
+    rng = random.Random()  # not seeded: processes with the same configuration must differ
+    gossip = Gossip(
+        config.shared, shared_state.name, rng, verdicts_received, driver.metrics, config.state_file
+    )
+    shared_state.publish = gossip.publish
     driver.affinity_header = config.shared.affinity_header.lower().encode()
     port = gossip.open()
     if config.shared.limit:
-        hooks = Hooks(driver.wanted, driver.used, driver.longest_us, driver.limit)
+        hooks = Hooks(
+            driver.preferred_endpoints,
+            driver.in_flight_counts,
+            driver.longest_deadline_us,
+            driver.apply_limits,
+        )
         budget = Budget(loop, config.shared, gossip.store.me, hooks, rng)
-        share.relimit = budget.tell
+        shared_state.announce_limits = budget.tell
         budget.open()
     LOG.info("sharing state", extra={"as": gossip.store.me, "port": port, "peers": config.shared.peers})
     return gossip
 
 
 def open_recorder(config: Config, driver: Driver, name: str) -> Recorder | None:
-    """Record what the driver sees, where the file says so."""
+    """Start to record the driver's events, if it is configured."""
     if config.record is None:
         return None
     from woadyard.net.recorder import Recorder
 
     recorder = Recorder(config.record, name, config.seed, driver.now())
-    driver.observe(recorder)
+    driver.add_observer(recorder)
     return recorder
 
 
 def open_reporter(
     config: Config, driver: Driver, name: str, discovery: Discovery, server: Server
 ) -> Reporter | None:
-    """Report what this process acts on, where the file says so."""
+    """Return the reporter of this process's position to the audit, if it is configured."""
     if config.audit is None:
         return None
     from woadyard.net.auditing import reporter_of
@@ -188,60 +203,61 @@
     return reporter_of(config.audit, name, driver, discovery, server)
 
 
-def open_plans(driver: Driver, reporter: Reporter | None, recorder: Recorder | None) -> None:
-    """Act on plans of weights: they come with the answers to reports."""
+def follow_weight_plans(driver: Driver, reporter: Reporter | None, recorder: Recorder | None) -> None:
+    """Apply the plans of weights that come with the responses to reports."""
     if reporter is None:
         return
     from woadyard.net.weights import Weights
 
-    def told(revision: int, weights: dict[str, float]) -> None:
+    def weights_changed(revision: int, new_weights: dict[str, float]) -> None:
         if recorder is not None:
-            recorder.weighed(driver.now(), revision, weights)
+            recorder.weighed(driver.now(), revision, new_weights)
 
-    driver.planned = weights = Weights(driver.weigh, told)
+    driver.plan_listener = weights = Weights(driver.set_planned_weights, weights_changed)
     reporter.orders.plan = weights.direct
 
 
-def take_seat(
-    config: Config, loop: asyncio.AbstractEventLoop, halve: Callable[[float], None]
-) -> Seats | None:
-    """Where a second process of this sidecar may run beside this one."""
-    if config.state is None:
+def claim_process_slot(
+    config: Config, loop: asyncio.AbstractEventLoop, set_share: Callable[[float], None]
+) -> ProcessSlots | None:
+    """Detect a second process of this sidecar, which gets half of the sockets; None without a state file."""
+    if config.state_file is None:
         return None
 
-    def changed(alone: bool) -> None:
-        loop.call_soon_threadsafe(halve, 1.0 if alone else 0.5)
+    def slots_changed(is_alone: bool) -> None:
+        loop.call_soon_threadsafe(set_share, 1.0 if is_alone else 0.5)
 
-    seats = Seats(config.state, changed)
-    seats.look()
-    return seats
+    slots = ProcessSlots(config.state_file, slots_changed)
+    slots.poll()
+    return slots
 
 
-def given() -> int:
-    """Descriptors that the system lets this process have, whatever its file says."""
+def descriptor_limit() -> int:
+    """Return how many descriptors the system allows this process, whatever its configuration says."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return SOCKETS_DEFAULT if soft == resource.RLIM_INFINITY else soft
+    return DEFAULT_SOCKETS if soft == resource.RLIM_INFINITY else soft
 
 
 async def serve(config: Config) -> None:
+    """Run the sidecar until it has stopped after SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    # Both sides share the sockets, less some for the listener, the watch and the loop.
-    doors = bool(config.console) + bool(config.shared)
-    aside = OTHER_SOCKETS + doors * DESCRIPTORS
-    most = max(16, min(config.sockets, SOCKETS_DEFAULT, given()) - aside)
-    upstream = Upstream(loop, Driver.now, most)
-    raw = config.raw["settings"]
-    # Counts are kept where a door can show them.
+    # Clients and endpoints share the sockets that the listeners, the watch and the loop leave.
+    threaded_servers = bool(config.console) + bool(config.shared)
+    reserved = RESERVED_SOCKETS + threaded_servers * RESERVED_DESCRIPTORS
+    socket_limit = max(16, min(config.max_sockets, DEFAULT_SOCKETS, descriptor_limit()) - reserved)
+    upstream = Upstream(loop, Driver.now, socket_limit)
+    raw_settings = config.raw["settings"]
+    # Without an admin listener nobody could read the metrics.
     metrics = Metrics() if config.console else None
-    # The same over restarts; two sidecars that share state have names of their own.
+    # The name is the same over restarts; sidecars that share state have different names.
     name = os.environ.get("LB_NAME") or str(config.raw.get("name", ""))
-    share = Shared(name, config.shared.eject_share) if config.shared else None
+    shared_state = SharedState(name, config.shared.eject_share) if config.shared else None
     driver = Driver(
-        loop, config.seed, config.settings, raw, upstream,
-        state=config.state, metrics=metrics, shared=share, locality=config.locality,
+        loop, config.seed, config.settings, raw_settings, upstream,
+        state=config.state_file, metrics=metrics, shared=shared_state, locality=config.locality,
     )  # fmt: skip
-    guard = ShrinkGuard(config.shrink_most, driver.listed, loop.time)
-    guard.on_held = driver.metrics.held_back
+    guard = ShrinkGuard(config.max_list_shrink, driver.apply_list, loop.time)
+    guard.on_held_change = driver.metrics.set_held_endpoints
     discovery = driver.discovery = Discovery(
         loop,
         config.discovery,
@@ -250,81 +266,89 @@
         guard,
         random.Random(config.seed),
     )
-    loop.add_signal_handler(signal.SIGHUP, Reload(config, driver, discovery, guard))
+    loop.add_signal_handler(signal.SIGHUP, ConfigReloader(config, driver, discovery, guard))
     recorder = open_recorder(config, driver, name)
-    server = Server(driver, most, aside)
+    server = Server(driver, socket_limit, reserved)
     reporter = open_reporter(config, driver, name, discovery, server)
-    open_plans(driver, reporter, recorder)
-    seats = take_seat(config, loop, server.share)
+    follow_weight_plans(driver, reporter, recorder)
+    slots = claim_process_slot(config, loop, server.set_socket_share)
     try:
-        driver.start(config.known, seats is None or seats.alone)
+        driver.start(config.known_list, slots is None or slots.is_alone)
     except PeerError as error:
         raise ConfigError(f"known: {error}") from None
-    if config.known is not None:
-        guard.prime(config.known["instances"])
-        alone = seats is None or seats.alone  # one that takes over has a lease, and is owed a yes soon
-        if config.known["instances"] and (alone or discovery.pushed):
-            await discovery.first()  # that list may be old, and newer ones bind from the start
-    upstream.others, upstream.give_way = lambda: len(server.callers), server.give_way
+    if config.known_list is not None:
+        guard.set_known_list(config.known_list["instances"])
+        # A process that replaces another has a lease, and must soon be ready.
+        is_alone = slots is None or slots.is_alone
+        if config.known_list["instances"] and (is_alone or discovery.uses_push):
+            await (
+                discovery.wait_for_first_list()
+            )  # the known list may be old, and a newer one applies from the start
+    upstream.count_client_connections, upstream.close_client_connection = (
+        lambda: len(server.connections),
+        server.release_connection,
+    )
     try:
-        if config.accept is None:
+        if config.accept_fd is None:
             await server.listen(*config.listen)
         else:
-            await server.adopt(config.accept)
+            await server.adopt_socket(config.accept_fd)
     except (OSError, OverflowError, ValueError) as error:
         raise ConfigError(f"can't listen: {error}") from None
     gossip = open_gossip(config, driver)
-    console = open_console(config, server, seats, guard, recorder)
+    admin_listener = open_admin_listener(config, server, slots, guard, recorder)
     if reporter is not None:
         reporter.open()
-    ended = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, server.stop, ended.set)
-    loop.add_signal_handler(signal.SIGINT, server.stop, ended.set)
-    await ended.wait()
+    stopped = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, server.stop, stopped.set)
+    loop.add_signal_handler(signal.SIGINT, server.stop, stopped.set)
+    await stopped.wait()
     if reporter is not None:
         await reporter.close()
-    if console is not None:
-        console.close()
+    if admin_listener is not None:
+        admin_listener.close()
     if gossip is not None:
         gossip.close()
     discovery.close()
     upstream.close()
 
 
-def say_suppressed(loop: asyncio.AbstractEventLoop, limit: logs.RateLimit) -> None:
-    """Now and then, what the rate limit held back, where nothing said it since."""
-    limit.flush(LOG)
-    loop.call_later(logs.WINDOW_S, say_suppressed, loop, limit)
+def log_suppressed_periodically(loop: asyncio.AbstractEventLoop, rate_limit: logs.RateLimitFilter) -> None:
+    """Log every `WINDOW_S` how many lines the rate limit suppressed, where no line has carried it."""
+    rate_limit.log_suppressed(LOG)
+    loop.call_later(logs.WINDOW_S, log_suppressed_periodically, loop, rate_limit)
 
 
-async def run(config: Config, limit: logs.RateLimit) -> None:
-    say_suppressed(asyncio.get_running_loop(), limit)
+async def run(config: Config, rate_limit: logs.RateLimitFilter) -> None:
+    """Run the sidecar, and log the suppressed lines when it ends."""
+    log_suppressed_periodically(asyncio.get_running_loop(), rate_limit)
     try:
         await serve(config)
     finally:
-        limit.flush(LOG)
+        rate_limit.log_suppressed(LOG)
 
 
 def main(argv: list[str] | None = None) -> int:
-    arguments = cli.parse(argv)
+    """Run a command, or the sidecar if none is given; return the exit status."""
+    arguments = cli.parse_arguments(argv)
     if arguments.command == "check-config":
         return cli.check_config(arguments.file, arguments.in_force)
     if arguments.command == "registry":
-        # Loaded only here: the sidecar carries none of the service.
+        # Imported only here: the sidecar loads none of the list service.
         from woadyard.registry.command import start
 
         return start(arguments)
-    limit = logs.setup()
-    # What stands now stays: the collector need not walk it again.
+    rate_limit = logs.setup()
+    # Objects that exist now are kept: the garbage collector need not scan them again.
     gc.set_threshold(50_000, 20, 50)
     gc.freeze()
     try:
         config = read_config(dict(os.environ))
         LOG.setLevel(config.log_level.upper())
-        uvloop.run(run(config, limit))
+        uvloop.run(run(config, rate_limit))
     except ConfigError as error:
         LOG.error("can't start", extra=error.fields())
-        return cli.FAULTY
+        return cli.EXIT_CONFIG_ERROR
     return 0
 
 
