--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -168,14 +168,14 @@
                 now += MS
 
 
-def expires_s(chain: SimulatedSidecar) -> float:
-    return chain.driver.balancer.ctx.lease.expires_us / 1e6
+def expires_s(sidecar: SimulatedSidecar) -> float:
+    return sidecar.driver.balancer.ctx.lease.expires_us / 1e6
 
 
-def open_watch(chain: SimulatedSidecar) -> Stream:
-    """Let a chain receive its list and return its watch."""
-    chain.seconds_until_list()
-    stream = chain.discovery.stream
+def open_watch(sidecar: SimulatedSidecar) -> Stream:
+    """Let the sidecar receive its list and return its watch."""
+    sidecar.seconds_until_list()
+    stream = sidecar.discovery.stream
     assert stream is not None
     return stream
 
@@ -184,35 +184,37 @@
 def test_each_heartbeat_of_the_watch_renews_the_lease(
     monkeypatch: pytest.MonkeyPatch, period_s: float
 ) -> None:
-    chain = SimulatedSidecar(monkeypatch, period_s)
-    stream = open_watch(chain)
+    sidecar = SimulatedSidecar(monkeypatch, period_s)
+    stream = open_watch(sidecar)
     for _ in range(10):
-        chain.advance_to(chain.now + 2.0)
+        sidecar.advance_to(sidecar.now + 2.0)
         stream.data_received(HEARTBEAT)
-        assert expires_s(chain) == pytest.approx(chain.now + LEASE_US / 1e6, abs=1e-3)
+        assert expires_s(sidecar) == pytest.approx(sidecar.now + LEASE_US / 1e6, abs=1e-3)
 
 
 @pytest.mark.parametrize("piece", [b"1\r\n \r\n", b"2\r\n{\n\r\n", b""])
 def test_an_incomplete_line_renews_nothing(monkeypatch: pytest.MonkeyPatch, piece: bytes) -> None:
-    chain = SimulatedSidecar(monkeypatch, 3.0)
-    stream = open_watch(chain)
-    before = expires_s(chain)
-    chain.advance_to(chain.now + 1.0)
+    sidecar = SimulatedSidecar(monkeypatch, 3.0)
+    stream = open_watch(sidecar)
+    before = expires_s(sidecar)
+    sidecar.advance_to(sidecar.now + 1.0)
     if piece:
         stream.data_received(piece)
-    assert expires_s(chain) == before
+    assert expires_s(sidecar) == before
 
 
 def test_heartbeats_before_the_list_renew_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    chain = SimulatedSidecar(monkeypatch, 3.0)
-    open_watch(chain)
-    before = expires_s(chain)
-    chain.outcomes = [no_response]
-    chain.discovery.set_watch(True)
-    chain.advance_to(chain.now + 0.1)
-    assert chain.discovery.stream is not None
-    chain.discovery.stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + HEARTBEAT)
-    assert expires_s(chain) == before
+    sidecar = SimulatedSidecar(monkeypatch, 3.0)
+    open_watch(sidecar)
+    before = expires_s(sidecar)
+    sidecar.outcomes = [no_response]
+    sidecar.discovery.set_watch(True)
+    sidecar.advance_to(sidecar.now + 0.1)
+    assert sidecar.discovery.stream is not None
+    sidecar.discovery.stream.data_received(
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + HEARTBEAT
+    )
+    assert expires_s(sidecar) == before
 
 
 @pytest.mark.parametrize("period_s", [0.0, 3.0, 10.0])
@@ -222,28 +224,28 @@
     monkeypatch: pytest.MonkeyPatch, period_s: float, path: str, then: object
 ) -> None:
     """The calls that follow fail, and none of them renews it."""
-    chain = SimulatedSidecar(monkeypatch, period_s)
-    stream = open_watch(chain)
-    lost_at = chain.now
-    chain.outcomes = [then] * 1000  # type: ignore[list-item]
+    sidecar = SimulatedSidecar(monkeypatch, period_s)
+    stream = open_watch(sidecar)
+    lost_s = sidecar.now
+    sidecar.outcomes = [then] * 1000  # type: ignore[list-item]
     match path:
         case "reset":
             stream.connection_lost(ConnectionResetError())
         case "again":
-            chain.discovery.restart_watch()
+            sidecar.discovery.restart_watch()
         case "moved":
-            chain.discovery.change_address("127.0.0.1:2")
+            sidecar.discovery.change_address("127.0.0.1:2")
         case "replaced":
-            chain.discovery.set_watch(True)
+            sidecar.discovery.set_watch(True)
         case "retuned":
             stream.connection_lost(ConnectionResetError())
-            chain.discovery.set_push_mode(not chain.discovery.uses_push)
+            sidecar.discovery.set_push_mode(not sidecar.discovery.uses_push)
         case "stopped":
-            chain.discovery.set_watch(False)
-    chain.advance_to(lost_at + 20.0)
+            sidecar.discovery.set_watch(False)
+    sidecar.advance_to(lost_s + 20.0)
     bound = (ADDRESS_CHANGE_BINDING_US if path == "moved" else BINDING_US) / 1e6
-    assert expires_s(chain) < lost_at + bound
-    assert chain.driver.balancer.ctx.lease.responses_extend is (path not in ("silent", "moved"))
+    assert expires_s(sidecar) < lost_s + bound
+    assert sidecar.driver.balancer.ctx.lease.responses_extend is (path not in ("silent", "moved"))
 
 
 @pytest.mark.parametrize("replicas", [1, 2])
