--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -34,7 +34,7 @@
 from woadyard.audit.questions import out_of_use, version_of, who_acted
 from woadyard.interface import LIST_DELTA, Send
 from woadyard.net import fetch, reporter
-from woadyard.net.reporter import Orders, Reporter, now_us
+from woadyard.net.reporter import AuditHandlers, Reporter, now_us
 
 REPORTERS, RATE, WARM_S, SECONDS = 200, 10, 3, 20
 SIDECARS, MINUTES = 200, 24 * 60
@@ -82,7 +82,7 @@
         told = (await register(port, "s-0"))[1]
         wire = Wire()
         wire.count()
-        orders = Orders(lambda raw: True, lambda: None, lambda out: None, lambda names: None)
+        orders = AuditHandlers(lambda raw: True, lambda: None, lambda out: None, lambda names: None)
         settings = AuditSettings(f"127.0.0.1:{port}")
         named = told["lineage"], told["term"]
         fleet = [
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -29,7 +29,7 @@
 from tests.lab import Lab, Program
 from tests.test_gossip import fails, sharing
 from woadyard.interface import EJECTED
-from woadyard.net.gossip import TELL_MOST
+from woadyard.net.gossip import MAX_RESPONSE_BYTES
 from woadyard.shared.store import VERDICT, SharedStore
 
 INTERVAL_MS, TRIP_US, RUNS, BOUND_US, WIRE_US = 500, 2_000, 20, 10_000_000, 30_000_000
@@ -53,8 +53,8 @@
 
     def pull(self, now: int, who: int, peer: int) -> None:
         mine, theirs = self.stores[who], self.stores[peer]
-        rows = theirs.telling(now, dict(mine.vector), TELL_MOST)
-        self.bytes += len(json.dumps({"from": mine.me, "vector": mine.vector}))
+        rows = theirs.missing_entries(now, dict(mine.vector), MAX_RESPONSE_BYTES)
+        self.bytes += len(json.dumps({"from": mine.origin, "vector": mine.vector}))
         self.bytes += len(json.dumps({"entries": rows}, separators=(",", ":")))
         mine.merge(now, rows, TRIP_US, self.known)
 
@@ -65,7 +65,7 @@
         self.stores[who].expire(now)
         peer = self.rng.randrange(len(self.stores) - 1)
         peer += peer >= who
-        asks_back = self.stores[peer].lacks(self.stores[who].vector)
+        asks_back = self.stores[peer].is_behind(self.stores[who].vector)
         self.pull(now, who, peer)
         if asks_back:
             self.pull(now, peer, who)
@@ -77,7 +77,7 @@
     times = HdrHistogram(1, 600_000_000, 3)
     for seed in range(runs):
         fleet = Pure(size, random.Random(seed), names)
-        first, waiting = fleet.stores[0].me, set(range(1, size))
+        first, waiting = fleet.stores[0].origin, set(range(1, size))
         fleet.stores[0].publish(0, VERDICT, "1", EJECTED)
         while waiting:
             now = fleet.step()
--- a/benchmarks/scale/exchange.py
+++ b/benchmarks/scale/exchange.py
@@ -26,7 +26,7 @@
 from benchmarks.scale.points import Point
 from benchmarks.scale.state import LIMIT, OWN
 from tests.lab import Lab
-from woadyard.net.budget import Budget, Hooks
+from woadyard.net.limit_shares import LimitHooks, LimitShares
 from woadyard.net.state import endpoint_number
 from woadyard.shared.settings import SharedSettings
 
@@ -77,18 +77,18 @@
         self.known = [endpoint_number(name) for name in listings.names(size)]
         self.all = [self._holder(n, name) for n, name in enumerate(listings.names(size))]
 
-    def _holder(self, at: int, name: str) -> Budget:
+    def _holder(self, at: int, name: str) -> LimitShares:
         own = [self.known[(at + n) % len(self.known)] for n in range(OWN)]
-        hooks = Hooks(lambda: own, dict, lambda: DEADLINE_US, lambda caps, others: None)
+        hooks = LimitHooks(lambda: own, dict, lambda: DEADLINE_US, lambda caps, others: None)
         loop = asyncio.get_running_loop()
-        made = Budget(loop, self.settings, f"{name}@{at:08x}", hooks, random.Random(at))
-        granted = made._granted
+        made = LimitShares(loop, self.settings, f"{name}@{at:08x}", hooks, random.Random(at))
+        granted = made._apply_grants
 
         def counted(told: dict[str, Any]) -> None:
             granted(told)
             self.answered += 1
 
-        vars(made)["_granted"] = counted
+        vars(made)["_apply_grants"] = counted
         return made
 
     async def open(self, spread_s: float) -> None:
@@ -103,8 +103,8 @@
     async def close(self) -> None:
         tasks = [one.task for one in self.all if one.task is not None]
         for one in self.all:
-            if one.end is not None:
-                one.end.cancel()
+            if one.expiry_timer is not None:
+                one.expiry_timer.cancel()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -32,7 +32,7 @@
 from tests.test_registry import ENTRY
 from woadyard.lists.service import PATH
 from woadyard.net.discovery import Discovery
-from woadyard.net.listwriter import ListWriter
+from woadyard.net.registry_client import RegistryClient
 
 ROLE, PHASE = "writer", "failover"
 MEMBERS, KILLS = 3, 10
@@ -123,7 +123,7 @@
     """The times of one, s since the kill."""
     killed = await service.leader()
     addresses = ",".join(f"127.0.0.1:{port}" for port in service.ports)
-    client = ListWriter(addresses, random.Random(name))
+    client = RegistryClient(addresses, random.Random(name))
     service.down = [killed]
     began = time.perf_counter()
     await service.lab.kill(killed)
@@ -152,10 +152,12 @@
     watchers: list[Watcher] = []
     try:
         await service.start()
-        client = ListWriter(",".join(f"127.0.0.1:{port}" for port in service.ports), random.Random(size))
+        client = RegistryClient(",".join(f"127.0.0.1:{port}" for port in service.ports), random.Random(size))
         while not await client.write("PUT", f"{PATH}/leased?ttl_ms={LEASE_MS}", ENTRY, lambda told: None):
             await asyncio.sleep(client.backoff.next_delay_s())
-        tasks.append(asyncio.create_task(client.keep(0.5, lambda: ("POST", f"{PATH}/leased/renew", {}))))
+        tasks.append(
+            asyncio.create_task(client.write_periodically(0.5, lambda: ("POST", f"{PATH}/leased/renew", {})))
+        )
         watchers = [Watcher(service.ports, seed) for seed in range(size)]
         while not all("leased" in one.told for one in watchers):
             await asyncio.sleep(LOOK_S)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -30,7 +30,7 @@
 from woadyard.lists.service import PATH
 from woadyard.net.discovery import Discovery
 from woadyard.net.list_stream import LIST_DECODER
-from woadyard.net.reporter import Orders, Reporter, now_us
+from woadyard.net.reporter import AuditHandlers, Reporter, now_us
 from woadyard.standins.lease import Lease
 
 ATTEMPT_S, LOOK_S = 1.0, 0.005
@@ -57,9 +57,9 @@
     tally: Tally
     first_sent: dict[int, float]
 
-    async def _report(self, within_s: float, final: bool = False) -> bool:
+    async def _send_report(self, within_s: float, final: bool = False) -> bool:
         began = self.first_sent[self.spans.n + 1] = time.monotonic()
-        done = await super()._report(within_s, final)
+        done = await super()._send_report(within_s, final)
         self.tally.sent += 1
         if done:
             self.tally.calls_s.append(round(time.monotonic() - began, 5))
@@ -84,7 +84,7 @@
         self.discovery = self._discovery()
         self.lease = Renewals(plan, names.entry(n), tally)
         self.keeping: asyncio.Task[None] | None = None
-        orders = Orders(
+        orders = AuditHandlers(
             self._whole, lambda: self.discovery.restart_watch(), lambda out: None, lambda out: None
         )
         self.reporter = Reports(
@@ -92,7 +92,7 @@
             self.rng,
         )  # fmt: skip
         self.reporter.tally, self.reporter.first_sent = tally, {}
-        orders.acked = self.reporter.acked
+        orders.reports_acknowledged = self.reporter.acked
 
     def _discovery(self) -> Discovery:
         loop = asyncio.get_running_loop()
--- a/benchmarks/whatif_world.py
+++ b/benchmarks/whatif_world.py
@@ -144,7 +144,7 @@
 def whole(recorder: Recorder) -> bytes:
     data, start = b"", 0
     while True:
-        raw = recorder.piece(f"from={start}&incarnation={recorder.incarnation}")
+        raw = recorder.encode_piece(f"from={start}&incarnation={recorder.incarnation}")
         piece: Piece = msgspec.msgpack.decode(raw, type=Piece)
         data, start = data + piece.data, piece.next
         if piece.next >= piece.end:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,7 +8,7 @@
 
 from woadyard.errors import LogEntryError
 from woadyard.limits import Ledger
-from woadyard.shared.budget import Lease
+from woadyard.shared.limit_lease import LimitLease
 
 LIMIT, TTL = 10, 1_000
 WHO = strategies.integers(0, 3)
@@ -22,17 +22,17 @@
         super().__init__()
         self.now = 0
         self.ledger = Ledger()
-        self.leases = [Lease(0) for _ in range(4)]
+        self.leases = [LimitLease(0) for _ in range(4)]
         self.names = [f"n{n}" for n in range(4)]
-        self.calls: list[tuple[int, Lease, str, int, int, dict[str, int]]] = []
-        self.answers: list[tuple[Lease, int, int, dict[str, int]]] = []
+        self.calls: list[tuple[int, LimitLease, str, int, int, dict[str, int]]] = []
+        self.answers: list[tuple[LimitLease, int, int, dict[str, int]]] = []
 
     def clock(self, who: int) -> int:
         return self.now + 2_000_000 * who
 
     @rule(who=WHO)
     def asks(self, who: int) -> None:
-        seq, keeps = self.leases[who].ask(self.clock(who), {})
+        seq, keeps = self.leases[who].next_request(self.clock(who), {})
         self.calls.append((who, self.leases[who], self.names[who], self.clock(who), seq, keeps))
 
     @rule(at=strategies.integers(0, 9), lost=strategies.booleans())
@@ -51,7 +51,7 @@
         if self.answers:
             lease, asked, seq, granted = self.answers.pop(at % len(self.answers))
             if seq == lease.seq:  # a call is given up before the next is made
-                lease.granted(asked, TTL, granted)
+                lease.apply_grants(asked, TTL, granted)
 
     @rule(who=WHO)
     def renews(self, who: int) -> None:
@@ -61,7 +61,7 @@
 
     @rule(who=WHO)
     def killed(self, who: int) -> None:
-        self.leases[who] = Lease(0)
+        self.leases[who] = LimitLease(0)
         self.names[who] += "'"
 
     @rule(step=strategies.sampled_from([1, 300, 700]))
@@ -75,7 +75,7 @@
 
     @invariant()
     def never_more_than_the_limit(self) -> None:
-        used = sum(one.usable(self.clock(who)).get("e", 0) for who, one in enumerate(self.leases))
+        used = sum(one.usable_caps(self.clock(who)).get("e", 0) for who, one in enumerate(self.leases))
         assert used <= LIMIT
         assert sum(one.units.get("e", 0) for one in self.ledger.holdings.values()) <= LIMIT
 
@@ -84,14 +84,14 @@
 TestHolders.settings = settings(max_examples=300, stateful_step_count=30, deadline=None)
 
 
-def renew(ledger: Ledger, lease: Lease, name: str, now: int) -> int:
-    seq, keeps = lease.ask(now, {})
-    lease.granted(now, TTL, ledger.hold(now, name, seq, TTL, LIMIT, ["e"], keeps))
-    return lease.usable(now).get("e", 0)
+def renew(ledger: Ledger, lease: LimitLease, name: str, now: int) -> int:
+    seq, keeps = lease.next_request(now, {})
+    lease.apply_grants(now, TTL, ledger.hold(now, name, seq, TTL, LIMIT, ["e"], keeps))
+    return lease.usable_caps(now).get("e", 0)
 
 
 def test_shares_even_out_within_two_renewals_and_one_killed_gives_back_after_its_lease() -> None:
-    ledger, first, second = Ledger(), Lease(0), Lease(0)
+    ledger, first, second = Ledger(), LimitLease(0), LimitLease(0)
     assert renew(ledger, first, "n1", 0) == LIMIT
     assert renew(ledger, second, "n2", 1) == 0, "all is held"
     renew(ledger, first, "n1", 300)
@@ -103,11 +103,11 @@
 
 
 def test_what_is_in_flight_counts_as_kept_and_the_end_leaves_time_for_it() -> None:
-    ledger, lease = Ledger(), Lease(margin_us=400)
-    lease.granted(0, TTL, ledger.hold(0, "n1", 1, TTL, LIMIT, ["e"], {}))
-    assert lease.usable(599) == {"e": LIMIT} and lease.usable(600) == {}
+    ledger, lease = Ledger(), LimitLease(margin_us=400)
+    lease.apply_grants(0, TTL, ledger.hold(0, "n1", 1, TTL, LIMIT, ["e"], {}))
+    assert lease.usable_caps(599) == {"e": LIMIT} and lease.usable_caps(600) == {}
     lease.seq = 1
-    assert lease.ask(700, {"e": 3}) == (2, {"e": 3})
+    assert lease.next_request(700, {"e": 3}) == (2, {"e": 3})
     ledger.hold(700, "n1", 2, TTL, LIMIT, [], {"e": 3})
     assert ledger.hold(701, "n2", 1, TTL, LIMIT, ["e"], {}) == {"e": LIMIT - 5}
 
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -10,7 +10,7 @@
 from tests.lab import LOOK_S, Lab, Program, Reply, free_port
 from tests.test_registry import ENTRY, Watcher
 from woadyard.lists.service import PATH
-from woadyard.net.listwriter import ListWriter
+from woadyard.net.registry_client import RegistryClient
 from woadyard.standins import CUT, PASS, FaultProxy
 
 ELECTED = "elected: this process writes"
@@ -112,8 +112,8 @@
 
 def renewing(members: Members, name: str) -> asyncio.Task[None]:
     """A lease kept as an endpoint keeps it: renewed at whoever writes."""
-    writer = ListWriter(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
-    return asyncio.create_task(writer.keep(0.5, lambda: ("POST", f"{PATH}/{name}/renew", {})))
+    writer = RegistryClient(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
+    return asyncio.create_task(writer.write_periodically(0.5, lambda: ("POST", f"{PATH}/{name}/renew", {})))
 
 
 async def test_a_killed_writer_is_replaced_and_nothing_answered_nor_leased_is_lost(lab: Lab) -> None:
--- a/tests/test_experiment_book.py
+++ b/tests/test_experiment_book.py
@@ -13,7 +13,7 @@
 from woadyard.experiment.plan import Plan
 from woadyard.experiment.rules import Decision, State
 from woadyard.interface import Arrival, RequestClass, Settings
-from woadyard.net.evidence import EvidenceCounts
+from woadyard.net.experiment_counts import ExperimentCounts
 
 DRAFT = {"plan": {}, "match": {"a": {"machineType": "x"}, "b": {"machineType": "y"}}, "slot_ms": 1000}
 END = msgspec.to_builtins(Decision(State.WINNER, "b", (0.01, 0.1), "better", 1.0))
@@ -87,10 +87,10 @@
     """A sidecar's reports over some seconds: requests of each arm by second, one report each."""
     aim = RequestClass(aim_us=100_000, deadline_us=200_000)
     arms = {number: arm for number, arm in enumerate([0, 1] * 2000)}
-    counts = EvidenceCounts(lambda event: arms[event.request], "z1")
+    counts = ExperimentCounts(lambda event: arms[event.request], "z1")
     counts.settings_applied(0, Settings((aim,)), {})
     book = running()
-    counts.follow(book.directive())
+    counts.set_directive(book.directive())
     told, request = [], 0
     for second, (many, good) in enumerate(steps):
         now = second * 1_000_000 + 500_000
@@ -100,7 +100,7 @@
             request += 1
         told.append((second, counts.report(now)))
         if second % 3 == 2:
-            counts.acked([counts.n - 1])
+            counts.reports_acknowledged([counts.report_number - 1])
     return told
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -12,7 +12,7 @@
 from tests.lab import Lab, Program
 from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_response
 from woadyard.errors import ConfigError
-from woadyard.net.gossip import LIST_PATH
+from woadyard.net.gossip import INSTANCES_PATH
 from woadyard.net.state import endpoint_number
 from woadyard.shared.settings import read_shared
 from woadyard.standins import DROP, PASS
@@ -196,7 +196,7 @@
 
     before = await homes(4)
     assert len(set(before)) == 4
-    assert (await lab.call(registry.port, "DELETE", f"{LIST_PATH}/s-2")).status == 200
+    assert (await lab.call(registry.port, "DELETE", f"{INSTANCES_PATH}/s-2")).status == 200
     after = await homes(5)
     assert all(was == now for was, now in zip(before, after, strict=True) if was != "s-2")
     assert "s-2" not in after
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -12,8 +12,8 @@
 from woadyard.interface import COLD, DEGRADED, EJECTED
 from woadyard.policy import splitmix64
 from woadyard.shared.affinity import Affinity
-from woadyard.shared.store import KINDS, VERDICT, Entry, SharedStore, TellingError, read_vector
-from woadyard.shared.verdicts import TRUST_EJECTED, TRUST_ONE, trusts
+from woadyard.shared.store import KINDS, VERDICT, GossipMessageError, SharedEntry, SharedStore, read_vector
+from woadyard.shared.verdicts import TRUST_ACCUSED, TRUST_EJECTED, trust_factors
 
 BOUND = 1_000
 BOUNDS = dict.fromkeys(KINDS, BOUND)
@@ -41,8 +41,8 @@
     def writes(self, who: int, key: str, value: str | None) -> None:
         store = self.stores[who]
         store.publish(self.clock(who), VERDICT, key, value)
-        self.written[store.me, key] = (value, self.now)
-        self.when[store.me, store.vector[store.me]] = self.now
+        self.written[store.origin, key] = (value, self.now)
+        self.when[store.origin, store.vector[store.origin]] = self.now
 
     @rule(
         who=WHO,
@@ -54,7 +54,7 @@
         self.tell(who, peer, most, trip)
 
     def tell(self, who: int, peer: int, most: int = 1 << 20, trip: int = 0) -> None:
-        told = self.stores[peer].telling(self.clock(peer), dict(self.stores[who].vector), most)
+        told = self.stores[peer].missing_entries(self.clock(peer), dict(self.stores[who].vector), most)
         rows = json.loads(json.dumps(told))
         asked, self.now = self.now, self.now + trip
         self.late.append((who, asked, rows))
@@ -80,13 +80,13 @@
         self.stores[who].load(self.clock(who), json.loads(json.dumps(old.dump(self.clock(who)))))
 
     def view(self, who: int) -> dict[tuple[str, str], Any]:
-        found = self.stores[who].fresh(self.clock(who), VERDICT)
+        found = self.stores[who].fresh_entries(self.clock(who), VERDICT)
         return {(one.origin, one.key): one.value for one in found}
 
     @invariant()
     def nothing_is_used_past_its_bound(self) -> None:
         for who, store in enumerate(self.stores):
-            for one in store.fresh(self.clock(who), VERDICT):
+            for one in store.fresh_entries(self.clock(who), VERDICT):
                 assert self.now - self.when[one.origin, one.seq] <= BOUND
 
     @rule()
@@ -100,7 +100,7 @@
         assert all(view == views[0] for view in views)
         for who, store in enumerate(self.stores):
             for (origin, key), (value, at) in self.written.items():
-                if origin == store.me and value is not None and self.now - at <= BOUND:
+                if origin == store.origin and value is not None and self.now - at <= BOUND:
                     assert views[who][origin, key] == value
 
 
@@ -125,14 +125,14 @@
     store = SharedStore("n0@0", BOUNDS)
     store.merge(0, [row(origin="n2@0")], 0, KNOWN)
     before = store.dump(5), dict(store.vector)
-    with pytest.raises(TellingError):
+    with pytest.raises(GossipMessageError):
         store.merge(5, [row(), bad], 0, KNOWN)
     assert (store.dump(5), store.vector) == before
 
 
 @pytest.mark.parametrize("bad", [None, [], {"n1@0": -1}, {"n1@0": 1.0}, {"": 1}, {"n1@0": 1 << 60}])
 def test_a_vector_that_is_none_is_turned_down(bad: Any) -> None:
-    with pytest.raises(TellingError):
+    with pytest.raises(GossipMessageError):
         read_vector(bad)
 
 
@@ -146,26 +146,26 @@
     store, peer = SharedStore("n0@0", BOUNDS), SharedStore("n1@0", BOUNDS)
     store.publish(0, VERDICT, "7", DEGRADED)
     peer.merge(0, [row(origin="n0@0", seq=500, value=EJECTED)], 0, KNOWN)  # somebody's lie
-    store.merge(1, peer.telling(1, store.vector, 1 << 20), 0, KNOWN)
-    peer.merge(2, store.telling(2, peer.vector, 1 << 20), 0, KNOWN)
-    assert [one.value for one in peer.fresh(2, VERDICT)] == [DEGRADED]
+    store.merge(1, peer.missing_entries(1, store.vector, 1 << 20), 0, KNOWN)
+    peer.merge(2, store.missing_entries(2, peer.vector, 1 << 20), 0, KNOWN)
+    assert [one.value for one in peer.fresh_entries(2, VERDICT)] == [DEGRADED]
 
 
-def verdict(name: str, number: int, state: str = EJECTED) -> Entry:
-    return Entry(f"{name}@0", 1, VERDICT, str(number), state, BOUND, 0)
+def verdict(name: str, number: int, state: str = EJECTED) -> SharedEntry:
+    return SharedEntry(f"{name}@0", 1, VERDICT, str(number), state, BOUND, 0)
 
 
 def test_one_word_halves_two_eject_and_ones_own_does_not_count_here() -> None:
     told = [verdict("n1", 1), verdict("n2", 1), verdict("n1", 2), verdict("n2", 3, COLD), verdict("n0", 4)]
-    assert trusts(told, "n0", range(10), 1.0) == {1: TRUST_EJECTED, 2: TRUST_ONE, 3: TRUST_ONE}
-    twice = [verdict("n1", 1), Entry("n1@9", 1, VERDICT, "1", EJECTED, BOUND, 0)]
-    assert trusts(twice, "n0", range(10), 1.0) == {1: TRUST_ONE}, "two processes of one sidecar"
+    assert trust_factors(told, "n0", range(10), 1.0) == {1: TRUST_EJECTED, 2: TRUST_ACCUSED, 3: TRUST_ACCUSED}
+    twice = [verdict("n1", 1), SharedEntry("n1@9", 1, VERDICT, "1", EJECTED, BOUND, 0)]
+    assert trust_factors(twice, "n0", range(10), 1.0) == {1: TRUST_ACCUSED}, "two processes of one sidecar"
 
 
 def test_a_confused_sidecar_lowers_no_more_than_the_share() -> None:
     told = [verdict("n1", n) for n in range(10)] + [verdict("n2", 9), verdict("n3", 9, "nonsense")]
-    assert trusts(told, "n0", range(10), 0.3) == {9: TRUST_EJECTED, 0: TRUST_ONE, 1: TRUST_ONE}
-    assert trusts(told, "n0", range(3), 0.3) == {}
+    assert trust_factors(told, "n0", range(10), 0.3) == {9: TRUST_EJECTED, 0: TRUST_ACCUSED, 1: TRUST_ACCUSED}
+    assert trust_factors(told, "n0", range(3), 0.3) == {}
 
 
 def test_a_telling_cut_short_goes_on_where_it_ended() -> None:
@@ -173,24 +173,24 @@
     for key in ("1", "2", "3", "1"):
         store.publish(0, VERDICT, key, EJECTED)
     for count in (1, 2, 3, 3):
-        peer.merge(0, store.telling(0, peer.vector, 70), 0, KNOWN)
-        assert len(list(peer.fresh(0, VERDICT))) == count
-    assert not peer.lacks(store.vector)
+        peer.merge(0, store.missing_entries(0, peer.vector, 70), 0, KNOWN)
+        assert len(list(peer.fresh_entries(0, VERDICT))) == count
+    assert not peer.is_behind(store.vector)
     old = [row(origin="n0@0", seq=1, key="2", value=None)]
-    assert peer.merge(0, old, 0, KNOWN) == 0 and len(list(peer.fresh(0, VERDICT))) == 3
+    assert peer.merge(0, old, 0, KNOWN) == 0 and len(list(peer.fresh_entries(0, VERDICT))) == 3
 
 
 def test_a_keys_home_is_the_same_everywhere_and_only_a_leavers_keys_move() -> None:
     keys, numbers = [b"k%d" % n for n in range(3_000)], [splitmix64(n) for n in range(20)]
     here, there = Affinity(), Affinity()
     assert here.home(b"k") is None
-    here.settle(numbers)
-    there.settle(reversed(numbers))
+    here.set_endpoints(numbers)
+    there.set_endpoints(reversed(numbers))
     before = [here.home(key) for key in keys]
     assert before == [there.home(key) for key in keys]
     assert set(before) == set(numbers)
     assert max(before.count(one) for one in numbers) < 2 * len(keys) / len(numbers)
-    here.settle(numbers[1:])
+    here.set_endpoints(numbers[1:])
     after = [here.home(key) for key in keys]
     moved = {was for was, now in zip(before, after, strict=True) if was != now}
     assert moved == {numbers[0]}
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -25,7 +25,7 @@
     ListMessage,
     ListVersion,
 )
-from woadyard.net.listwriter import ListWriter
+from woadyard.net.registry_client import RegistryClient
 
 
 async def next_log_event(process: Process, event: str) -> dict[str, Any]:
@@ -90,12 +90,14 @@
         await next_log_event(first, "following")
         status, text = await register(ports[0], "x-2")
         assert status == 307 and json.loads(text)["writer"] == f"127.0.0.1:{ports[1]}"
-        caller, told = ListWriter(f"127.0.0.1:{ports[0]}", Random(1)), list[Any]()
+        caller, told = RegistryClient(f"127.0.0.1:{ports[0]}", Random(1)), list[Any]()
         assert await caller.write("PUT", f"{PATH}/y-2?ttl_ms=60000", ENTRY, told.append), "in one call"
-        assert caller.sent_on == ("127.0.0.1", ports[1]) and caller.term is not None
+        assert caller.leader == ("127.0.0.1", ports[1]) and caller.latest_term is not None
         assert instance_ids(await until(ports[0], caught_up(2))) == ["x-1", "y-2"]
-        older = {"lineage": caller.term[0], "term": caller.term[1] - 1}
-        assert not caller._take(json.dumps(older).encode(), told.append), "an answer of an older term"
+        older = {"lineage": caller.latest_term[0], "term": caller.latest_term[1] - 1}
+        assert not caller._accept_response(json.dumps(older).encode(), told.append), (
+            "an answer of an older term"
+        )
         await end(second)  # its place is not taken back by a mere restart of the first
         await end(first)
         first = await service(tmp_path / "a", ports[0])
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -12,7 +12,7 @@
 from benchmarks import whatif_world
 from woadyard.errors import LogEntryError, PeerError
 from woadyard.interface import LIST_DELTA, LIST_FULL
-from woadyard.net.weights import Weights
+from woadyard.net.planned_weights import PlannedWeights
 from woadyard.whatif.measure import measure
 from woadyard.whatif.plans import Plans, plan_digest
 from woadyard.whatif.rollout import Measured, members, step
@@ -160,19 +160,19 @@
 def test_a_sidecar_resolves_a_plan_for_each_list_and_takes_it_whole_or_not_at_all() -> None:
     weighed: list[Any] = []
     used: list[int] = []
-    weights = Weights(weighed.append, lambda revision, told: used.append(revision))
+    weights = PlannedWeights(weighed.append, lambda revision, told: used.append(revision))
     entries = [{"instanceId": f"e{n}", "machineType": kind} for n, kind in enumerate(["old", "new", "new"])]
     weights.list_applied(LIST_FULL, entries[:2])
     told = {"revision": 3, "weights": {"machineType=old": 1.0, "e1": 4.0, "machineType=new": 2.0}}
-    assert weights.direct(told) == 3 and weighed == [{"e0": 0.25, "e1": 1.0}]
+    assert weights.apply_directive(told) == 3 and weighed == [{"e0": 0.25, "e1": 1.0}]
     weights.list_applied(LIST_DELTA, entries[2:])
     assert weighed[-1] == {"e0": 0.25, "e1": 1.0, "e2": 0.5}
     none: list[Any] = [{"revision": 4, "weights": {"e1": 0}}, {"revision": -1}, {"weights": {}}, [], None]
     for bad in none:
         with pytest.raises(PeerError):
-            weights.direct(bad)
-    assert weights.direct(told) == 3 and used == [3]
-    assert weights.direct({"revision": 5, "weights": {}}) == 5 and weighed[-1] == {}
+            weights.apply_directive(bad)
+    assert weights.apply_directive(told) == 3 and used == [3]
+    assert weights.apply_directive({"revision": 5, "weights": {}}) == 5 and weighed[-1] == {}
 
 
 def test_a_stage_is_measured_from_where_each_sidecar_took_the_plan() -> None:
--- a/tests/test_whatif_trace.py
+++ b/tests/test_whatif_trace.py
@@ -19,7 +19,7 @@
     Send,
     Settings,
 )
-from woadyard.net.recorder import OPEN_EACH, Recorder, RecordSettings
+from woadyard.net.recorder import BYTES_PER_OPEN_REQUEST, Recorder, RecordSettings
 from woadyard.whatif.ring import Piece
 from woadyard.whatif.trace import Listed, Retuned, Trace, read
 
@@ -48,7 +48,7 @@
 
 def fetch(made: Recorder, data: bytes = b"", start: int = 0) -> tuple[bytes, int]:
     while True:
-        raw = made.piece(f"from={start}&incarnation={made.incarnation}")
+        raw = made.encode_piece(f"from={start}&incarnation={made.incarnation}")
         piece: Piece = msgspec.msgpack.decode(raw, type=Piece)
         data, start = data + piece.data, piece.next
         if piece.next == piece.end:
@@ -76,7 +76,7 @@
         serve(made, rid, 2_000 + rid)
         if rid == 100:
             made.list_applied(3_000, LIST_DELTA, 2, [entry("a", "gone"), entry("c")])
-        used = made.ring.size + len(made.ring.base.data) + made.open_most * OPEN_EACH
+        used = made.ring.size + len(made.ring.base.data) + made.max_open_requests * BYTES_PER_OPEN_REQUEST
         assert used <= 64 * 1024
     trace = read(fetch(made)[0])
     assert 0 < len(trace.requests) < 5_000 and trace.requests[-1].request == 4_999
@@ -88,7 +88,9 @@
     made = recorder(memory_kb=64)
     for rid in range(1_000):
         made.request_accepted(2_000, Arrival(rid, 0, 3_000))
-    assert len(made.open) == made.open_most and made.skipped == 1_000 - made.open_most
+    assert (
+        len(made.open_requests) == made.max_open_requests and made.skipped == 1_000 - made.max_open_requests
+    )
 
 
 def test_a_sample_holds_its_share_of_whole_requests() -> None:
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -20,7 +20,6 @@
 from woadyard import cli
 from woadyard.errors import ConfigError, PeerError
 from woadyard.membership.shrink import ShrinkGuard
-from woadyard.net.budget import Budget, Hooks
 from woadyard.net.config import (
     DEFAULT_SOCKETS,
     Config,
@@ -34,6 +33,7 @@
 from woadyard.net.discovery import Discovery
 from woadyard.net.driver import Driver
 from woadyard.net.gossip import Gossip
+from woadyard.net.limit_shares import LimitHooks, LimitShares
 from woadyard.net.server import Server
 from woadyard.net.state import SYNC_INTERVAL_S, ProcessSlots
 from woadyard.net.threaded_http import RESERVED_DESCRIPTORS, HttpError, Route, Routes, ThreadedHttpServer
@@ -41,7 +41,7 @@
 from woadyard.net.weight_factors import SharedState
 from woadyard.ops import logs
 from woadyard.ops.metrics import Metrics
-from woadyard.shared.store import Entry
+from woadyard.shared.store import SharedEntry
 
 if TYPE_CHECKING:
     from woadyard.net.recorder import Recorder
@@ -142,7 +142,7 @@
 
     routes = build_admin_routes(server, may_serve, guard)
     if recorder is not None:
-        routes[b"/_trace"] = Route(b"GET", recorder.piece, takes_query=True)
+        routes[b"/_trace"] = Route(b"GET", recorder.encode_piece, takes_query=True)
     admin_listener = ThreadedHttpServer(routes, periodic_tasks, SYNC_INTERVAL_S)
     try:
         admin_listener.open(*config.console)
@@ -157,7 +157,7 @@
     if config.shared is None or shared_state is None:
         return None
 
-    def verdicts_received(entries: list[Entry]) -> None:
+    def verdicts_received(entries: list[SharedEntry]) -> None:
         loop.call_soon_threadsafe(driver.apply_verdicts, entries)
 
     rng = random.Random()  # not seeded: processes with the same configuration must differ
@@ -168,16 +168,16 @@
     driver.affinity_header = config.shared.affinity_header.lower().encode()
     port = gossip.open()
     if config.shared.limit:
-        hooks = Hooks(
+        hooks = LimitHooks(
             driver.preferred_endpoints,
             driver.in_flight_counts,
             driver.longest_deadline_us,
             driver.apply_limits,
         )
-        budget = Budget(loop, config.shared, gossip.store.me, hooks, rng)
-        shared_state.announce_limits = budget.tell
+        budget = LimitShares(loop, config.shared, gossip.store.origin, hooks, rng)
+        shared_state.announce_limits = budget.announce_caps
         budget.open()
-    LOG.info("sharing state", extra={"as": gossip.store.me, "port": port, "peers": config.shared.peers})
+    LOG.info("sharing state", extra={"as": gossip.store.origin, "port": port, "peers": config.shared.peers})
     return gossip
 
 
@@ -198,23 +198,23 @@
     """Return the reporter of this process's position to the audit, if it is configured."""
     if config.audit is None:
         return None
-    from woadyard.net.auditing import reporter_of
+    from woadyard.net.reporter_setup import create_reporter
 
-    return reporter_of(config.audit, name, driver, discovery, server)
+    return create_reporter(config.audit, name, driver, discovery, server)
 
 
 def follow_weight_plans(driver: Driver, reporter: Reporter | None, recorder: Recorder | None) -> None:
     """Apply the plans of weights that come with the responses to reports."""
     if reporter is None:
         return
-    from woadyard.net.weights import Weights
+    from woadyard.net.planned_weights import PlannedWeights
 
     def weights_changed(revision: int, new_weights: dict[str, float]) -> None:
         if recorder is not None:
-            recorder.weighed(driver.now(), revision, new_weights)
+            recorder.weights_applied(driver.now(), revision, new_weights)
 
-    driver.plan_listener = weights = Weights(driver.set_planned_weights, weights_changed)
-    reporter.orders.plan = weights.direct
+    driver.plan_listener = weights = PlannedWeights(driver.set_planned_weights, weights_changed)
+    reporter.handlers.apply_plan = weights.apply_directive
 
 
 def claim_process_slot(
--- a/woadyard/limits/service.py
+++ b/woadyard/limits/service.py
@@ -1,7 +1,7 @@
 """The call that leases shares of limits, at the writer.
 
 `POST /registry/shares/NAME?ttl_ms=T` with `{"seq", "limit", "of", "keeps"}`
-(woadyard.shared.budget); `{"grants"}` says how much of each.
+(woadyard.shared.limit_lease); `{"grants"}` says how much of each.
 """
 
 from __future__ import annotations
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -44,7 +44,7 @@
 from woadyard.net.weight_factors import SharedState, WeightFactors
 from woadyard.ops.metrics import NullMetrics
 from woadyard.policy import Balancer
-from woadyard.shared.store import Entry as VerdictEntry
+from woadyard.shared.store import SharedEntry as VerdictEntry
 
 LOG = logging.getLogger(__name__)
 
--- a/woadyard/net/evidence.py
+++ b/woadyard/net/experiment_counts.py
@@ -15,47 +15,49 @@
 from woadyard.experiment.messages import ROWS_MOST, Directive, Evidence, Row
 from woadyard.interface import Arrival, Outcome, Send, Settings
 
-FAILED = 500  # this status and those above
+FAILED_STATUS = 500  # this status and those above
 # The arm (its index) that a request is assigned to, as the module draws it; None: none.
-Assigned = Callable[[Arrival], int | None]
-Lists = Callable[[int, list[dict[str, Any]]], None]
+AssignArm = Callable[[Arrival], int | None]
+ListCallback = Callable[[int, list[dict[str, Any]]], None]
 
 
 @dataclass(slots=True)
-class Cell:
+class SlotCounts:
     """Sums of one arm, class and slot. `told` is the first report with the present ones, 0: none."""
 
-    k: int
+    number: int
     revision: int
-    began: int
+    started_us: int
     arm: str
     cls: str
-    tried: int = 0
+    completed: int = 0
     good: int = 0
     failed: int = 0
     slow: int = 0
-    drawn: int = 0
-    told: int = 0
+    assigned: int = 0
+    first_report: int = 0
 
     def row(self, now: int) -> Row:
-        age_ms = max(now - self.began, 0) // 1000
-        sums = self.tried, self.good, self.failed, self.slow, self.drawn
-        return Row(self.k, self.revision, age_ms, self.arm, self.cls, *sums)
+        age_ms = max(now - self.started_us, 0) // 1000
+        sums = self.completed, self.good, self.failed, self.slow, self.assigned
+        return Row(self.number, self.revision, age_ms, self.arm, self.cls, *sums)
 
 
-class EvidenceCounts:
+class ExperimentCounts:
     """An observer of the driver. `report` is called once for each report of the audit, which are
     numbered from 1, and `acked` with the numbers that the service has for good."""
 
-    def __init__(self, assigned: Assigned, zone: str = "", lists: Lists = lambda mode, raw: None) -> None:
-        self.assigned, self.zone, self.lists = assigned, zone, lists
+    def __init__(
+        self, assign_arm: AssignArm, zone: str = "", on_list_applied: ListCallback = lambda mode, raw: None
+    ) -> None:
+        self.assign_arm, self.zone, self.on_list_applied = assign_arm, zone, on_list_applied
         self.directive: Directive | None = None  # None: nothing is counted
         self.settings: Settings | None = None
-        self.cells: dict[tuple[int, int, int, int], Cell] = {}  # by revision, slot, arm, class
-        self.open: dict[int, tuple[tuple[int, int, int, int], int]] = {}  # by request: cell, since
-        self.n = self.k = self.dropped = 0
+        self.slot_counts: dict[tuple[int, int, int, int], SlotCounts] = {}  # by revision, slot, arm, class
+        self.open_requests: dict[int, tuple[tuple[int, int, int, int], int]] = {}  # by request: cell, since
+        self.report_number = self.last_slot_number = self.dropped = 0
 
-    def follow(self, directive: Directive | None) -> None:
+    def set_directive(self, directive: Directive | None) -> None:
         """From now on requests are counted by this one; those under way stay with theirs."""
         counts = directive is not None and directive.arms and directive.serve is None
         self.directive = directive if counts else None
@@ -64,40 +66,42 @@
 
     def request_accepted(self, now: int, event: Arrival) -> None:
         told = self.directive
-        if told is None or (arm := self.assigned(event)) is None:
+        if told is None or (arm := self.assign_arm(event)) is None:
             return
         key = told.revision, now // (told.slot_ms * 1000), arm, event.cls
-        cell = self._cell(key, told)
+        cell = self._find_or_add_slot(key, told)
         if cell is None:
             self.dropped += 1
             return
-        cell.drawn += 1
-        cell.told = 0
-        self.open[event.request] = key, now
+        cell.assigned += 1
+        cell.first_report = 0
+        self.open_requests[event.request] = key, now
 
     def request_answered(self, now: int, request: int, status: int) -> None:
-        found = self.open.pop(request, None)
+        found = self.open_requests.pop(request, None)
         if found is None or self.settings is None:
             return
         key, since = found
-        cell = self.cells.get(key)
+        cell = self.slot_counts.get(key)
         if cell is None:
             return  # its directive is long gone
         aim_us = self.settings.classes[key[3]].aim_us
-        failed, slow = status >= FAILED, now - since > aim_us
-        cell.tried += 1
+        failed, slow = status >= FAILED_STATUS, now - since > aim_us
+        cell.completed += 1
         cell.good += not failed and not slow and status != 0
         cell.failed += failed
         cell.slow += slow
-        cell.told = 0
+        cell.first_report = 0
 
-    def _cell(self, key: tuple[int, int, int, int], told: Directive) -> Cell | None:
-        cell = self.cells.get(key)
-        if cell is None and len(self.cells) < ROWS_MOST:
-            self.k += 1
+    def _find_or_add_slot(self, key: tuple[int, int, int, int], told: Directive) -> SlotCounts | None:
+        cell = self.slot_counts.get(key)
+        if cell is None and len(self.slot_counts) < ROWS_MOST:
+            self.last_slot_number += 1
             cls = str(key[3])
             began = key[1] * told.slot_ms * 1000
-            cell = self.cells[key] = Cell(self.k, told.revision, began, told.arms[key[2]].name, cls)
+            cell = self.slot_counts[key] = SlotCounts(
+                self.last_slot_number, told.revision, began, told.arms[key[2]].name, cls
+            )
         return cell
 
     def attempt_started(self, now: int, action: Send) -> bytes:
@@ -110,7 +114,7 @@
         pass
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        self.lists(mode, raw)
+        self.on_list_applied(mode, raw)
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         self.settings = settings
@@ -119,21 +123,21 @@
 
     def report(self, now: int) -> dict[str, Any] | None:
         """What goes with the next report; None where there is nothing to tell."""
-        self.n += 1
-        if not self.cells:
+        self.report_number += 1
+        if not self.slot_counts:
             return None
-        for cell in self.cells.values():
-            cell.told = cell.told or self.n
-        rows = [cell.row(now) for cell in self.cells.values()]
+        for cell in self.slot_counts.values():
+            cell.first_report = cell.first_report or self.report_number
+        rows = [cell.row(now) for cell in self.slot_counts.values()]
         told = Evidence(min(row.k for row in rows), rows, self.zone, self.dropped)
         raw: dict[str, Any] = msgspec.to_builtins(told)
         return raw
 
-    def acked(self, numbers: Collection[int]) -> None:
+    def reports_acknowledged(self, numbers: Collection[int]) -> None:
         """Cells that are over, all of them with the service for good, go."""
         latest = max(numbers, default=0)
-        busy = {key for key, _ in self.open.values()}
-        newest = max((key[1] for key in self.cells), default=0)
-        for key, cell in list(self.cells.items()):
-            if 0 < cell.told <= latest and key not in busy and key[1] < newest:
-                del self.cells[key]
+        busy = {key for key, _ in self.open_requests.values()}
+        newest = max((key[1] for key in self.slot_counts), default=0)
+        for key, cell in list(self.slot_counts.items()):
+            if 0 < cell.first_report <= latest and key not in busy and key[1] < newest:
+                del self.slot_counts[key]
--- a/woadyard/net/trials.py
+++ b/woadyard/net/experiment_participant.py
@@ -13,51 +13,51 @@
 import msgspec
 
 from woadyard.experiment.messages import Directive, read_directive
-from woadyard.net.evidence import EvidenceCounts
+from woadyard.net.experiment_counts import ExperimentCounts
 
 # Puts the arms in force by which the module chooses from now on; None: no experiment.
-Split = Callable[[Directive | None], None]
+ApplySplit = Callable[[Directive | None], None]
 
 
-class Trials:
+class ExperimentParticipant:
     """`revision` is the one acted on; 0 with none, and while it holds."""
 
-    def __init__(self, counts: EvidenceCounts, split: Split, now: int) -> None:
-        self.counts, self.split = counts, split
+    def __init__(self, counts: ExperimentCounts, split: ApplySplit, now: int) -> None:
+        self.counts, self.apply_split = counts, split
         self.directive: Directive | None = None
         self.revision = 0
-        self.heard_at = now
-        self.held: Callable[[], None] = lambda: None  # it begins to hold
+        self.last_response_us = now
+        self.on_hold: Callable[[], None] = lambda: None  # it begins to hold
 
-    def follow(self, raw: Any, now: int) -> int:
+    def apply_directive(self, raw: Any, now: int) -> int:
         """A directive of the service; PeerError, and nothing changed, where it is none."""
         told = read_directive(raw)
-        self.heard_at = now
+        self.last_response_us = now
         self.directive = told if told.arms else None
-        self._act(self.directive)
+        self._apply(self.directive)
         self.revision = told.revision
         return self.revision
 
-    def heard(self, now: int) -> None:
+    def service_responded(self, now: int) -> None:
         """The service answered."""
-        self.heard_at = now
+        self.last_response_us = now
 
-    def due(self) -> int | None:
+    def hold_deadline_us(self) -> int | None:
         """When it holds if nothing is heard; None where there is nothing to hold."""
         if self.directive is None or not self.revision:
             return None
-        return self.heard_at + self.directive.hold_ms * 1000
+        return self.last_response_us + self.directive.hold_ms * 1000
 
-    def look(self, now: int) -> bool:
+    def hold_if_overdue(self, now: int) -> bool:
         """True where it begins to hold now."""
-        due = self.due()
+        due = self.hold_deadline_us()
         if due is None or now < due or self.directive is None:
             return False
-        self._act(msgspec.structs.replace(self.directive, serve=self.directive.control))
+        self._apply(msgspec.structs.replace(self.directive, serve=self.directive.control))
         self.revision = 0
-        self.held()
+        self.on_hold()
         return True
 
-    def _act(self, directive: Directive | None) -> None:
-        self.counts.follow(directive)
-        self.split(directive)
+    def _apply(self, directive: Directive | None) -> None:
+        self.counts.set_directive(directive)
+        self.apply_split(directive)
--- a/woadyard/net/budget.py
+++ b/woadyard/net/limit_shares.py
@@ -17,8 +17,8 @@
 from typing import Any
 from urllib.parse import quote
 
-from woadyard.net.listwriter import ListWriter
-from woadyard.shared.budget import Lease
+from woadyard.net.registry_client import RegistryClient
+from woadyard.shared.limit_lease import LimitLease
 from woadyard.shared.settings import SharedSettings
 
 SHARES_PATH = "/registry/shares/"
@@ -26,67 +26,71 @@
 
 
 @dataclass(frozen=True)
-class Hooks:
+class LimitHooks:
     """What the budget asks of the balancing, and tells it; all on its loop."""
 
-    wanted: Callable[[], list[int]]  # endpoints that this process sends to
-    used: Callable[[], dict[int, int]]  # attempts out by now
-    longest_us: Callable[[], int]  # what is started may run for so long
-    limit: Callable[[dict[int, int], int], None]  # caps by endpoint, and the others' cap
+    preferred_endpoints: Callable[[], list[int]]  # endpoints that this process sends to
+    in_flight_counts: Callable[[], dict[int, int]]  # attempts out by now
+    longest_deadline_us: Callable[[], int]  # what is started may run for so long
+    apply_limits: Callable[[dict[int, int], int], None]  # caps by endpoint, and the others' cap
 
 
-class Budget:
+class LimitShares:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         settings: SharedSettings,
         holder: str,
-        hooks: Hooks,
+        hooks: LimitHooks,
         rng: random.Random,
     ) -> None:
         self.loop, self.settings, self.holder, self.hooks = loop, settings, holder, hooks
-        self.lease = Lease(hooks.longest_us())
-        self.asked = 0
-        self.writer = ListWriter(settings.peers, rng)
+        self.lease = LimitLease(hooks.longest_deadline_us())
+        self.requested_us = 0
+        self.registry = RegistryClient(settings.peers, rng)
         self.task: asyncio.Task[None] | None = None
-        self.end: asyncio.TimerHandle | None = None
+        self.expiry_timer: asyncio.TimerHandle | None = None
 
     def open(self) -> None:
-        self.tell()
+        self.announce_caps()
         self.task = self.loop.create_task(
-            self.writer.keep(self.settings.lease_s / 3.0, self._ask, self._granted)
+            self.registry.write_periodically(
+                self.settings.lease_s / 3.0, self._build_renewal, self._apply_grants
+            )
         )
 
-    def tell(self) -> None:
+    def announce_caps(self) -> None:
         """The module's caps by now; again after each list, as endpoints come."""
-        caps = {int(key): cap for key, cap in self.lease.usable(_now()).items()}
+        caps = {int(key): cap for key, cap in self.lease.usable_caps(_now_us()).items()}
         floor = self.settings.limit_floor
-        self.hooks.limit({number: max(floor, cap) for number, cap in caps.items()}, floor)
+        self.hooks.apply_limits({number: max(floor, cap) for number, cap in caps.items()}, floor)
 
-    def _ask(self) -> tuple[str, str, dict[str, Any]]:
-        self.asked = _now()
-        self.lease.margin_us = self.hooks.longest_us()
-        used = {str(number): count for number, count in self.hooks.used().items()}
-        seq, keeps = self.lease.ask(self.asked, used)
+    def _build_renewal(self) -> tuple[str, str, dict[str, Any]]:
+        self.requested_us = _now_us()
+        self.lease.margin_us = self.hooks.longest_deadline_us()
+        used = {str(number): count for number, count in self.hooks.in_flight_counts().items()}
+        seq, keeps = self.lease.next_request(self.requested_us, used)
         target = f"{SHARES_PATH}{quote(self.holder, safe='')}?ttl_ms={self.settings.lease_s * 1e3:.0f}"
-        of = [str(number) for number in self.hooks.wanted()]
+        of = [str(number) for number in self.hooks.preferred_endpoints()]
         return "POST", target, {"seq": seq, "limit": self.settings.limit, "of": of, "keeps": keeps}
 
-    def _granted(self, told: dict[str, Any]) -> None:
+    def _apply_grants(self, told: dict[str, Any]) -> None:
         grants = {str(int(key)): int(count) for key, count in told["grants"].items()}
         if not self.lease.caps and grants:
             LOG.info("shares held", extra={"of": len(grants), "limit": self.settings.limit})
-        self.lease.granted(self.asked, int(self.settings.lease_s * 1e6), grants)
-        self.tell()
-        if self.end is not None:
-            self.end.cancel()
-        self.end = self.loop.call_later(max(0.0, (self.lease.until - _now()) / 1e6) + 0.001, self._lapsed)
+        self.lease.apply_grants(self.requested_us, int(self.settings.lease_s * 1e6), grants)
+        self.announce_caps()
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
+        self.expiry_timer = self.loop.call_later(
+            max(0.0, (self.lease.expires_us - _now_us()) / 1e6) + 0.001, self._lease_expired
+        )
 
-    def _lapsed(self) -> None:
+    def _lease_expired(self) -> None:
         LOG.warning("shares lapsed", extra={"floor": self.settings.limit_floor})
         self.lease.caps = {}
-        self.tell()
+        self.announce_caps()
 
 
-def _now() -> int:
+def _now_us() -> int:
     return time.monotonic_ns() // 1000
--- a/woadyard/net/weights.py
+++ b/woadyard/net/planned_weights.py
@@ -13,31 +13,31 @@
 from woadyard.whatif.weights import check_weights, resolve
 
 LOG = logging.getLogger(__name__)
-Told = Callable[[int, dict[str, float]], None]
+RevisionListener = Callable[[int, dict[str, float]], None]
 
 
-class Directive(msgspec.Struct):
+class PlanDirective(msgspec.Struct):
     """What is to be acted on; no weights: all endpoints alike."""
 
     revision: Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
     weights: dict[str, float] = {}
 
 
-class Weights:
+class PlannedWeights:
     """Hears of lists and directives. `weigh` takes factors by instance id; `told` hears which
     revision is in use with which weights."""
 
-    def __init__(self, weigh: Callable[[Mapping[str, float]], None], told: Told) -> None:
-        self.weigh, self.told = weigh, told
+    def __init__(self, weigh: Callable[[Mapping[str, float]], None], told: RevisionListener) -> None:
+        self.set_factors, self.on_revision_changed = weigh, told
         self.revision = 0
         self.weights: dict[str, float] = {}
         self.entries: dict[str, tuple[str, str, str]] = {}
 
-    def direct(self, directive: Any) -> int:
+    def apply_directive(self, directive: Any) -> int:
         """A directive of the list service; the revision acted on from now on. PeerError where it is
         none, and nothing of it is used."""
         try:
-            told = msgspec.convert(directive, Directive)
+            told = msgspec.convert(directive, PlanDirective)
             weights = check_weights(told.weights) if told.weights else {}
         except (msgspec.ValidationError, PlanError) as error:
             raise PeerError(f"no plan: {error}") from None
@@ -45,7 +45,7 @@
             self.revision, self.weights = told.revision, weights
             self._apply()
             LOG.info("plan in use", extra={"revision": told.revision, "weights": len(weights)})
-            self.told(told.revision, weights)
+            self.on_revision_changed(told.revision, weights)
         return self.revision
 
     def list_applied(self, mode: int, raw: list[dict[str, Any]]) -> None:
@@ -63,4 +63,4 @@
             self._apply()
 
     def _apply(self) -> None:
-        self.weigh(resolve(self.weights, self.entries.values()) if self.weights else {})
+        self.set_factors(resolve(self.weights, self.entries.values()) if self.weights else {})
--- a/woadyard/net/recorder.py
+++ b/woadyard/net/recorder.py
@@ -21,10 +21,10 @@
 from woadyard.whatif.trace import OUT, Asked, Listed, Record, Retuned, Started, State, Tried, Weighed
 
 # Requests encoded together; what a request under way takes in memory, and its part of the bound.
-BATCH = 32
-OPEN_EACH = 1024
-OPEN_PART = 4
-WHOLE = 1 << 64
+BATCH_SIZE = 32
+BYTES_PER_OPEN_REQUEST = 1024
+OPEN_REQUESTS_DIVISOR = 4
+HASH_RANGE = 1 << 64
 
 
 class RecordSettings(msgspec.Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
@@ -44,7 +44,7 @@
         raise ConfigError(f"record: {error}") from None
 
 
-def settled(asked: Asked) -> bool:
+def has_no_attempt_in_flight(asked: Asked) -> bool:
     """Whether no attempt of it is out."""
     return OUT not in [one.outcome for one in asked.tries]
 
@@ -55,93 +55,93 @@
 
     def __init__(self, settings: RecordSettings, sidecar: str, seed: int, now: int) -> None:
         bound = settings.memory_kb * 1024
-        self.open_most = max(BATCH, bound // OPEN_PART // OPEN_EACH)
-        self.ring = Ring(bound - self.open_most * OPEN_EACH)
-        self.below = int(settings.sample * WHOLE)
+        self.max_open_requests = max(BATCH_SIZE, bound // OPEN_REQUESTS_DIVISOR // BYTES_PER_OPEN_REQUEST)
+        self.ring = Ring(bound - self.max_open_requests * BYTES_PER_OPEN_REQUEST)
+        self.sample_threshold = int(settings.sample * HASH_RANGE)
         self.incarnation = uuid.uuid4().hex
-        self.open: dict[int, Asked] = {}
+        self.open_requests: dict[int, Asked] = {}
         self.batch: list[Record] = []
-        self.guard = threading.Lock()
+        self.lock = threading.Lock()
         self.skipped = 0  # requests that found no room while they were under way
         wall_us = time.time_ns() // 1000
-        self._state(Started(sidecar, self.incarnation, seed, now, wall_us, settings.sample))
+        self._add_state_record(Started(sidecar, self.incarnation, seed, now, wall_us, settings.sample))
 
     # --- What the driver tells ----------------------------------------------------
 
     def request_accepted(self, now: int, event: Arrival) -> None:
         rid = event.request
-        if self.below < WHOLE and splitmix64(rid) >= self.below:
+        if self.sample_threshold < HASH_RANGE and splitmix64(rid) >= self.sample_threshold:
             return
-        if len(self.open) >= self.open_most:
+        if len(self.open_requests) >= self.max_open_requests:
             self.skipped += 1
             return
-        self.open[rid] = Asked(
+        self.open_requests[rid] = Asked(
             now, rid, event.cls, event.expires, event.tenant, event.key, event.work_us, event.repeated,
             event.home, [],
         )  # fmt: skip
 
     def attempt_started(self, now: int, action: Send) -> bytes:
-        if (asked := self.open.get(action.request)) is not None:
+        if (asked := self.open_requests.get(action.request)) is not None:
             asked.tries.append(Tried(now, action.endpoint))
         return b""
 
     def attempt_ended(self, now: int, event: Outcome) -> None:
-        asked = self.open.get(event.request)
+        asked = self.open_requests.get(event.request)
         if asked is None or event.copy >= len(asked.tries):
             return
         tried = asked.tries[event.copy]
         tried.outcome, tried.delay, tried.report = event.outcome, event.delay_us, event.report
-        if asked.status != OUT and settled(asked):
-            self._close(asked)
+        if asked.status != OUT and has_no_attempt_in_flight(asked):
+            self._complete_request(asked)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
-        if (asked := self.open.get(request)) is not None:
+        if (asked := self.open_requests.get(request)) is not None:
             asked.status, asked.answered = status, now
-            if settled(asked):
-                self._close(asked)
+            if has_no_attempt_in_flight(asked):
+                self._complete_request(asked)
 
     def request_refused(self, now: int, request: int) -> None:
         """`answered` follows, with the status."""
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        self._state(Listed(now, mode, version, raw))
+        self._add_state_record(Listed(now, mode, version, raw))
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         names = [str(one["name"]) for one in raw["classes"]]
         tenants = [str(one["name"]) for one in raw.get("accounts", ())]
         zones, kinds = ([str(one) for one in raw.get(part, ())] for part in ("zones", "kinds"))
-        self._state(Retuned(now, settings, names, tenants, zones, kinds))
+        self._add_state_record(Retuned(now, settings, names, tenants, zones, kinds))
 
-    def weighed(self, now: int, revision: int, factors: dict[str, float]) -> None:
+    def weights_applied(self, now: int, revision: int, factors: dict[str, float]) -> None:
         """A plan's weights are in use."""
-        self._state(Weighed(now, revision, factors))
+        self._add_state_record(Weighed(now, revision, factors))
 
     # --- The ring -----------------------------------------------------------------
 
-    def _close(self, asked: Asked) -> None:
-        del self.open[asked.request]
-        with self.guard:
+    def _complete_request(self, asked: Asked) -> None:
+        del self.open_requests[asked.request]
+        with self.lock:
             self.batch.append(asked)
-            if len(self.batch) >= BATCH:
-                self._flush()
+            if len(self.batch) >= BATCH_SIZE:
+                self._flush_batch()
 
-    def _state(self, record: State) -> None:
-        with self.guard:
-            self._flush()  # what came before stands before
+    def _add_state_record(self, record: State) -> None:
+        with self.lock:
+            self._flush_batch()  # what came before stands before
             self.ring.add([record], record)
 
-    def _flush(self) -> None:
+    def _flush_batch(self) -> None:
         if self.batch:
             batch, self.batch = self.batch, []
             self.ring.add(batch)
 
-    def piece(self, query: str) -> bytes:
+    def encode_piece(self, query: str) -> bytes:
         """What the door's `GET /_trace?from=OFFSET&incarnation=ID` answers, msgpack (`Piece`). An
         offset of another incarnation begins anew."""
         asked = parse_qs(query)
         start = asked.get("from", ["0"])[0]
         same = asked.get("incarnation", [self.incarnation])[0] == self.incarnation
-        with self.guard:
-            self._flush()
+        with self.lock:
+            self._flush_batch()
             offset = int(start) if same and start.isdecimal() and len(start) < 20 else 0
             return msgspec.msgpack.encode(self.ring.piece(self.incarnation, offset))
--- a/woadyard/net/weight_factors.py
+++ b/woadyard/net/weight_factors.py
@@ -8,8 +8,8 @@
 from woadyard.net.state import endpoint_number
 from woadyard.ops.metrics import NullMetrics
 from woadyard.shared.affinity import Affinity
-from woadyard.shared.store import Entry
-from woadyard.shared.verdicts import TRUST_ONE, trusts
+from woadyard.shared.store import SharedEntry
+from woadyard.shared.verdicts import TRUST_ACCUSED, trust_factors
 
 LOG = logging.getLogger(__name__)
 
@@ -20,7 +20,7 @@
     def __init__(self, name: str, eject_share: float) -> None:
         self.name, self.eject_share = name, eject_share
         self.publish: Callable[[int, str | None], None] = lambda endpoint, state: None
-        self.verdict_entries: list[Entry] = []
+        self.verdict_entries: list[SharedEntry] = []
         self.ignored_sidecars: frozenset[str] = frozenset()  # names whose verdicts do not count
         self.factors: dict[int, float] = {}
         self.affinity = Affinity()
@@ -28,14 +28,14 @@
 
     def update_factors(self, ready: set[int], metrics: NullMetrics) -> dict[int, float]:
         """Factors below 1 that the other sidecars' verdicts leave, by endpoint."""
-        entries = [one for one in self.verdict_entries if one.name not in self.ignored_sidecars]
-        factors = trusts(entries, self.name, ready, self.eject_share)
+        entries = [one for one in self.verdict_entries if one.sidecar not in self.ignored_sidecars]
+        factors = trust_factors(entries, self.name, ready, self.eject_share)
         if factors != self.factors:
             self.factors = factors
             metrics.set_lowered_endpoints(len(factors))
             LOG.info("others' verdicts", extra={"lowered": len(factors), "of": len(ready)})
         # A key stays at its home on one sidecar's word; two move it, at all alike.
-        self.affinity.settle(number for number in ready if factors.get(number, 1.0) >= TRUST_ONE)
+        self.affinity.set_endpoints(number for number in ready if factors.get(number, 1.0) >= TRUST_ACCUSED)
         return factors
 
 
--- a/woadyard/shared/affinity.py
+++ b/woadyard/shared/affinity.py
@@ -14,29 +14,29 @@
 import xxhash
 
 # Homes remembered, so that a key often seen is hashed once for a list.
-KNOWN_MOST = 10_000
+MAX_CACHED_KEYS = 10_000
 
 
 class Affinity:
     def __init__(self) -> None:
         self.endpoints: frozenset[int] = frozenset()
-        self.known: dict[bytes, int] = {}
+        self.cached_homes: dict[bytes, int] = {}
 
-    def settle(self, endpoints: Iterable[int]) -> None:
+    def set_endpoints(self, endpoints: Iterable[int]) -> None:
         """The endpoints that may be a home from now on, by number."""
         if (now := frozenset(endpoints)) != self.endpoints:
             self.endpoints = now
-            self.known.clear()
+            self.cached_homes.clear()
 
     def home(self, key: bytes) -> int | None:
         """The endpoint of this key; None where there is none."""
         if not self.endpoints:
             return None
-        if key not in self.known:
-            if len(self.known) >= KNOWN_MOST:
-                del self.known[next(iter(self.known))]
-            self.known[key] = max(self.endpoints, key=lambda number: (_score(key, number), number))
-        return self.known[key]
+        if key not in self.cached_homes:
+            if len(self.cached_homes) >= MAX_CACHED_KEYS:
+                del self.cached_homes[next(iter(self.cached_homes))]
+            self.cached_homes[key] = max(self.endpoints, key=lambda number: (_score(key, number), number))
+        return self.cached_homes[key]
 
 
 def _score(key: bytes, number: int) -> int:
--- a/woadyard/shared/settings.py
+++ b/woadyard/shared/settings.py
@@ -8,7 +8,7 @@
 
 from woadyard.sections import read_section
 
-Above = Annotated[float, msgspec.Meta(gt=0.0)]
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0.0)]
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Token = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9-]*\Z")]
@@ -20,15 +20,15 @@
 
     listen: str  # HOST:PORT for peers; port 0 lets the system pick
     peers: str  # the list service that names the peers, replicas with commas between
-    interval_ms: Above = 500.0  # between two exchanges
-    verdict_bound_ms: Above = 10_000.0  # a verdict older counts as absent
+    interval_ms: PositiveFloat = 500.0  # between two exchanges
+    verdict_bound_ms: PositiveFloat = 10_000.0  # a verdict older counts as absent
     eject_share: Share = 0.3  # of the list that others' verdicts may lower
     advertise: str | None = None  # HOST:PORT at which peers reach this one, where it is not `listen`
 
     affinity_header: Token = ""  # requests alike in it go to one endpoint
     limit: Count = 0  # attempts out at one endpoint from all sidecars; 0 = no limit
     limit_floor: Count = 1  # from each sidecar without a share
-    limit_lease_ms: Above = 10_000.0  # a share is held for so long without renewal
+    limit_lease_ms: PositiveFloat = 10_000.0  # a share is held for so long without renewal
 
     @property
     def interval_s(self) -> float:
--- a/woadyard/shared/verdicts.py
+++ b/woadyard/shared/verdicts.py
@@ -12,26 +12,26 @@
 from collections.abc import Collection, Iterable
 
 from woadyard.interface import COLD, DEGRADED, EJECTED
-from woadyard.shared.store import Entry
+from woadyard.shared.store import SharedEntry
 
 STATES = (EJECTED, DEGRADED, COLD)
-QUORUM = 2
-TRUST_ONE, TRUST_EJECTED = 0.5, 0.05
+EJECT_QUORUM = 2
+TRUST_ACCUSED, TRUST_EJECTED = 0.5, 0.05
 
 
-def trusts(
-    entries: Iterable[Entry], me: str, endpoints: Collection[int], share_most: float
+def trust_factors(
+    entries: Iterable[SharedEntry], me: str, endpoints: Collection[int], share_most: float
 ) -> dict[int, float]:
     """Factors below 1 by endpoint number, from verdicts of sidecars other than `me`
     (a name), for at most the share `share_most` of `endpoints`."""
     accusers: dict[int, dict[str, str]] = {}
     for entry in entries:
-        if entry.name == me or not entry.key.isdecimal() or entry.value not in STATES:
+        if entry.sidecar == me or not entry.key.isdecimal() or entry.value not in STATES:
             continue
         if (number := int(entry.key)) in endpoints:
             states = accusers.setdefault(number, {})
-            if states.get(entry.name) != EJECTED:  # the worst of one sidecar's processes
-                states[entry.name] = entry.value
+            if states.get(entry.sidecar) != EJECTED:  # the worst of one sidecar's processes
+                states[entry.sidecar] = entry.value
     ranked = sorted((_trust(states), -len(states), number) for number, states in accusers.items())
     most = int(share_most * len(endpoints))
     return {number: trust for trust, _, number in ranked[:most]}
@@ -39,4 +39,4 @@
 
 def _trust(states: dict[str, str]) -> float:
     ejected = sum(state == EJECTED for state in states.values())
-    return TRUST_EJECTED if ejected >= QUORUM else TRUST_ONE
+    return TRUST_EJECTED if ejected >= EJECT_QUORUM else TRUST_ACCUSED
