--- a/tests/soak.py
+++ b/tests/soak.py
@@ -253,7 +253,10 @@
                 if line.startswith("woadyard_invariant_violations_total") and not line.endswith(" 0.0"):
                     broken.append(f"{node.program.name}: {line}")
             for event in node.program.events():
-                if event in ("fault in the module", "invariant violated") or "Traceback" in event:
+                if (
+                    event in ("unhandled exception in the balancer", "invariant violated")
+                    or "Traceback" in event
+                ):
                     broken.append(f"{node.program.name} says: {event}")
         return broken
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Real sockets on loopback for the tests: endpoints, discovery and a caller."""
+"""Loopback sockets for tests: endpoints, a discovery service, and a sidecar with its clients."""
 
 from __future__ import annotations
 
@@ -41,11 +41,13 @@
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 LARGE_BODY = bytes(range(256)) * 4096  # 1 MiB
-TIMEOUT_S = 60.0  # for a test that hangs; nothing is measured by it
+TIMEOUT_S = 60.0  # fails a test that hangs; no result depends on it
 
 
 @dataclass
 class Message:
+    """An HTTP request or response; header names are lower case."""
+
     start_line: str
     headers: dict[str, str]
     body: bytes
@@ -61,27 +63,28 @@
 
 
 async def read_chunks(reader: Reader) -> bytes:
-    parts = []
+    chunks = []
     while size := int((await reader.readuntil(b"\r\n")).partition(b";")[0], 16):
-        parts.append(await reader.readexactly(size))
+        chunks.append(await reader.readexactly(size))
         await reader.readexactly(2)
     while await reader.readuntil(b"\r\n") != b"\r\n":
         pass  # trailers
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 def http_response(status: int = 200, body: bytes = b"ok", headers: str = "") -> bytes:
+    """An encoded HTTP response; `headers` are further header lines, each with its CRLF."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
 
 
 def run_test(test: Coroutine[Any, Any, None]) -> None:
-    """On the loop that the sidecar runs on; a test that hangs fails."""
+    """Run a test on uvloop, as the sidecar runs; a test that hangs fails."""
     uvloop.run(asyncio.wait_for(test, TIMEOUT_S))
 
 
-async def wait_until(what: Callable[[], bool]) -> None:
-    while not what():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0)
 
 
@@ -89,19 +92,21 @@
 
 
 def on_loop(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
-    """A test that is a coroutine, run as `run` does."""
+    """Decorator for a test that is a coroutine; runs it as `run_test` does."""
 
     @functools.wraps(test)
-    def inner(*args: P.args, **kwargs: P.kwargs) -> None:
+    def run_on_loop(*args: P.args, **kwargs: P.kwargs) -> None:
         run_test(test(*args, **kwargs))
 
-    return inner
+    return run_on_loop
 
 
 def encode_chunks(data: bytes, size: int, extension: bytes = b"", trailer: bytes = b"") -> bytes:
-    parts = [data[at : at + size] for at in range(0, len(data), size)]
+    """Encode a body with chunked transfer coding, `size` bytes to a chunk."""
+    parts = [data[start : start + size] for start in range(0, len(data), size)]
     return (
-        b"".join(b"%x%b\r\n%b\r\n" % (len(one), extension, one) for one in parts) + b"0\r\n%b\r\n" % trailer
+        b"".join(b"%x%b\r\n%b\r\n" % (len(part), extension, part) for part in parts)
+        + b"0\r\n%b\r\n" % trailer
     )
 
 
@@ -113,7 +118,7 @@
 
 
 class LoopbackServer:
-    """Serves connections on a port that the system picks."""
+    """Serves connections on a port that the system assigns."""
 
     host = "127.0.0.1"
     port: int = 0
@@ -129,17 +134,17 @@
 
 @dataclass
 class Endpoint(LoopbackServer):
-    """Answers each request by its handler and keeps what it was sent."""
+    """An endpoint that passes each request to its handler and records it."""
 
     handler: Handler = serve_ok
     received: list[Message] = field(default_factory=list)
-    connection_count: int = 0
+    connection_count: int = 0  # connections accepted so far
     connection_closed: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
     request_arrived: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         self.connection_count += 1
-        # Cancelled only where the loop ends.
+        # It is cancelled only when the loop ends.
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
                 message = await read_message(reader)
@@ -150,6 +155,7 @@
         self.connection_closed.release()
 
     def entry(self, name: str = "s-1", **changes: Any) -> dict[str, Any]:
+        """The discovery list's entry for this endpoint."""
         return {
             "instanceId": name, "hostPort": f"127.0.0.1:{self.port}", "zone": "here", "machineType": "small",
             "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0, **changes,
@@ -158,23 +164,25 @@
 
 @dataclass
 class FakeDiscovery(LoopbackServer):
-    """Discovery: one watch at a time, fed by the test; with `beat_s` it gives signs of life."""
+    """A discovery service whose watches are served by the test, with heartbeats if `heartbeat_s` is set."""
 
     heartbeat_s: float | None = None
+    # The request line of each watch, and the writer to push lists with.
     watches: asyncio.Queue[tuple[str, Writer]] = field(default_factory=asyncio.Queue)
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         message = await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         await self.watches.put((message.start_line, writer))
-        over = asyncio.ensure_future(reader.read())
-        while not (await asyncio.wait((over,), timeout=self.heartbeat_s))[0]:
+        closed = asyncio.ensure_future(reader.read())
+        while not (await asyncio.wait((closed,), timeout=self.heartbeat_s))[0]:
             push_line(writer, b"\n")
         writer.close()
 
 
-def push_list(writer: Writer, generation: int, whole: bool, *entries: dict[str, Any]) -> None:
-    line = json.dumps({"generation": generation, "reset": whole, "instances": entries}) + "\n"
+def push_list(writer: Writer, generation: int, is_full: bool, *entries: dict[str, Any]) -> None:
+    """Push a full list or a delta on a watch."""
+    line = json.dumps({"generation": generation, "reset": is_full, "instances": entries}) + "\n"
     push_line(writer, line.encode())
 
 
@@ -184,6 +192,8 @@
 
 @dataclass
 class Sidecar:
+    """A sidecar that runs on the test's loop, and a client of it."""
+
     driver: Driver
     upstream: Upstream
     server: Server
@@ -196,6 +206,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def send(self, raw: bytes) -> Message:
+        """Send a request on a connection of its own and return the response."""
         reader, writer = await self.connect()
         writer.write(raw)
         message = await read_message(reader)
@@ -206,6 +217,7 @@
 def http_request(
     cls: str = "page", body: bytes = b"", headers: str = "", deadline_ms: int = 4000, rid: str = "r1"
 ) -> bytes:
+    """An encoded HTTP request of a class, with the headers that the sidecar expects."""
     method = "GET" if cls == "page" else "POST"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
     key = "Idempotency-Key: k1\r\n" if cls == "put" else ""
@@ -223,7 +235,7 @@
     discovery_server: FakeDiscovery | None = None,
     ceilings: dict[str, Any] | None = None,
 ) -> AsyncIterator[Sidecar]:
-    """A sidecar whose list holds the endpoints, all on ports that the system picks."""
+    """Run a sidecar and the endpoints; its cached list holds them, unless `known` is false."""
     raw = {**SETTINGS, "ceilings": {**SETTINGS["ceilings"], **(ceilings or {})}}
     settings = read_settings(json.dumps(raw).encode())
     loop = asyncio.get_running_loop()
@@ -241,51 +253,51 @@
                 loop, address, "/registry/instances", True, driver.apply_list, random.Random(1)
             )
             stack.callback(driver.discovery.close)
-        entries = [one.entry(f"s-{n}") for n, one in enumerate(endpoints)]
+        entries = [listed.entry(f"s-{index}") for index, listed in enumerate(endpoints)]
         driver.start({"generation": 41, "reset": True, "instances": entries} if known else None)
         server = Server(driver)
         port = await server.listen("127.0.0.1", 0)
         stack.callback(upstream.close)
-        one = Sidecar(driver, upstream, server, port)
-        yield one
+        sidecar = Sidecar(driver, upstream, server, port)
+        yield sidecar
         if server.listener is not None:
             server.listener.close()
-        await assert_nothing_pending(one)
+        await assert_nothing_pending(sidecar)
 
 
-async def assert_nothing_pending(one: Sidecar) -> None:
-    """Once all clients have left: each attempt has ended, and each connection rests or is closed."""
-    for caller in list(one.server.callers):
+async def assert_nothing_pending(sidecar: Sidecar) -> None:
+    """Disconnect all clients; then all attempts must end and all endpoint connections be idle or closed."""
+    for caller in list(sidecar.server.callers):
         if caller.transport is not None:
             caller.transport.abort()
-    balancer, upstream = one.driver.balancer, one.upstream
+    balancer, upstream = sidecar.driver.balancer, sidecar.upstream
 
-    def owed() -> list[object]:
-        resting = {link for pool in upstream.pools.values() for link in pool.idle}
+    def pending() -> list[object]:
+        idle_connections = {connection for pool in upstream.pools.values() for connection in pool.idle}
         return [
-            *one.server.callers,
-            *one.driver.calls.values(),
+            *sidecar.server.callers,
+            *sidecar.driver.calls.values(),
             *balancer.requests.values(),
             *balancer.ended.values(),
-            *(known for known in balancer.endpoints.values() if known.inflight or known.moving),
-            *(upstream.connections - resting),
+            *(endpoint for endpoint in balancer.endpoints.values() if endpoint.inflight or endpoint.moving),
+            *(upstream.connections - idle_connections),
         ]
 
     try:
         async with asyncio.timeout(TIMEOUT_S / 4):
-            await wait_until(lambda: not owed())
+            await wait_until(lambda: not pending())
     except TimeoutError:
-        raise AssertionError(f"still owed: {owed()}") from None
+        raise AssertionError(f"still pending: {pending()}") from None
 
 
-def record_outcomes(one: Sidecar) -> list[Outcome]:
-    """All that the module is told of attempts from now on."""
-    told: list[Outcome] = []
-    real = one.driver.balancer.outcome
+def record_outcomes(sidecar: Sidecar) -> list[Outcome]:
+    """A list to which each outcome reported to the balancer is added from now on."""
+    outcomes: list[Outcome] = []
+    original = sidecar.driver.balancer.outcome
 
     def outcome(now: int, event: Outcome) -> list[Action]:
-        told.append(event)
-        return real(now, event)
+        outcomes.append(event)
+        return original(now, event)
 
-    vars(one.driver.balancer)["outcome"] = outcome
-    return told
+    vars(sidecar.driver.balancer)["outcome"] = outcome
+    return outcomes
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at endpoints over loopback sockets: one outcome each, and none too late."""
+"""Attempts at endpoints over loopback sockets: each has one outcome, and none starts too late."""
 
 from __future__ import annotations
 
@@ -41,23 +41,23 @@
 
 
 async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """No answer, until the connection closes."""
+    """Send no response; the connection stays open."""
 
 
-async def no_answer_then_close(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def close_without_response(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     writer.close()
 
 
-async def cut_off(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def truncated_response(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
     writer.close()
 
 
-async def nonsense(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def invalid_response(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     writer.write(b"what?\r\n\r\n")
 
 
-def status(code: int, headers: str = "") -> Handler:
+def respond_with(code: int, headers: str = "") -> Handler:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(http_response(code, headers=headers))
 
@@ -68,61 +68,61 @@
     ("handler", "expected", "final"),
     [
         (serve_ok, OK, 200),
-        (no_answer_then_close, RESET, 502),
-        (cut_off, RESET, 502),
-        (nonsense, RESET, 502),
-        (status(500), ERROR, 502),
-        (status(503), ERROR, 502),
-        (status(404), ERROR, 502),
-        (status(503, "X-Not-Run: 1\r\n"), FULL, 503),
-        (status(504, "X-Not-Run: 1\r\n"), FULL, 503),
+        (close_without_response, RESET, 502),
+        (truncated_response, RESET, 502),
+        (invalid_response, RESET, 502),
+        (respond_with(500), ERROR, 502),
+        (respond_with(503), ERROR, 502),
+        (respond_with(404), ERROR, 502),
+        (respond_with(503, "X-Not-Run: 1\r\n"), FULL, 503),
+        (respond_with(504, "X-Not-Run: 1\r\n"), FULL, 503),
     ],
 )
 @on_loop
 async def test_one_outcome_for_each_attempt(handler: Handler, expected: int, final: int) -> None:
-    """An unsafe request: refused only when it is sure that it never ran."""
+    """An unsafe request gets 503 only if it certainly never ran, and 502 otherwise."""
     endpoint = Endpoint(handler)
-    async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-        told = record_outcomes(one)
-        back = await one.send(http_request("pay", b"sum"))
-        assert [event.outcome for event in told] == [expected]
-        assert back.start_line.split()[1] == str(final)
+    async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as sidecar:
+        outcomes = record_outcomes(sidecar)
+        response = await sidecar.send(http_request("pay", b"sum"))
+        assert [event.outcome for event in outcomes] == [expected]
+        assert response.start_line.split()[1] == str(final)
         assert len(endpoint.received) == 1
-        assert not one.driver.calls
+        assert not sidecar.driver.calls
 
 
 @pytest.mark.parametrize("extra", [http_response(body=b"more"), http_response(500), b"HTTP", b"nonsense"])
 @on_loop
-async def test_what_follows_an_answer_unasked_is_no_part_of_it(extra: bytes) -> None:
+async def test_bytes_after_a_response_are_not_part_of_it(extra: bytes) -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(http_response() + extra)
 
     endpoint = Endpoint(reply)
-    async with run_sidecar(endpoint) as one:
+    async with run_sidecar(endpoint) as sidecar:
         for n in range(2):
-            back = await one.send(http_request("pay", rid=f"r{n}"))
-            assert back.start_line.split()[1] == "200" and back.body == b"ok"
-            await endpoint.connection_closed.acquire()  # nothing more is sent on it
+            response = await sidecar.send(http_request("pay", rid=f"r{n}"))
+            assert response.start_line.split()[1] == "200" and response.body == b"ok"
+            await endpoint.connection_closed.acquire()  # the connection is not reused
         assert endpoint.connection_count == len(endpoint.received) == 2
 
 
 @on_loop
-async def test_a_refused_connection_never_ran() -> None:
+async def test_a_refused_connection_proves_that_the_request_never_ran() -> None:
     endpoint = Endpoint()
-    async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
+    async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as sidecar:
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
-            one.set_list(endpoint.entry("s-0", hostPort=address(closed)))
-            told = record_outcomes(one)
-            back = await one.send(http_request("pay"))
-        assert [event.outcome for event in told] == [NO_CONNECT]
-        assert back.start_line.split()[1] == "503" and not one.upstream.connections
+            sidecar.set_list(endpoint.entry("s-0", hostPort=address(closed)))
+            outcomes = record_outcomes(sidecar)
+            response = await sidecar.send(http_request("pay"))
+        assert [event.outcome for event in outcomes] == [NO_CONNECT]
+        assert response.start_line.split()[1] == "503" and not sidecar.upstream.connections
 
 
 @on_loop
-async def test_a_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
-    """The endpoint reads nothing and its window is small, so the rest of the
-    body waits in the sidecar when the connection is reset."""
+async def test_a_reset_before_the_last_byte_is_written_proves_that_the_request_never_ran() -> None:
+    """The endpoint reads nothing and its receive window is small, so part of the body is still
+    in the sidecar when the connection is reset."""
     loop = asyncio.get_running_loop()
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -130,123 +130,127 @@
         listener.listen()
         listener.setblocking(False)
         endpoint = Endpoint()
-        async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-            one.set_list(endpoint.entry("s-0", hostPort=address(listener)))
-            told = record_outcomes(one)
-            attempts = one.upstream.connections
-            asked = asyncio.create_task(one.send(http_request("pay", b"x")))
+        async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as sidecar:
+            sidecar.set_list(endpoint.entry("s-0", hostPort=address(listener)))
+            outcomes = record_outcomes(sidecar)
+            open_connections = sidecar.upstream.connections
+            task = asyncio.create_task(sidecar.send(http_request("pay", b"x")))
             peer, _ = await loop.sock_accept(listener)
             await loop.sock_recv(peer, 4096)
-            (link,) = attempts
-            link.pause_writing()  # as the loop tells it of bytes left over
+            (connection,) = open_connections
+            connection.pause_writing()  # as the loop does when bytes stay buffered
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             peer.close()
-            assert (await asked).start_line.split()[1] == "503"
-            assert [event.outcome for event in told] == [NO_CONNECT]
+            assert (await task).start_line.split()[1] == "503"
+            assert [event.outcome for event in outcomes] == [NO_CONNECT]
 
 
 @on_loop
-async def test_at_the_deadline_the_module_hears_timeout_and_answers() -> None:
+async def test_at_the_deadline_the_attempt_times_out_and_the_client_gets_504() -> None:
     endpoint = Endpoint(hold)
-    async with run_sidecar(endpoint) as one:
-        told = record_outcomes(one)
-        asked = one.driver.now()
-        back = await one.send(http_request("pay", deadline_ms=80))
-        assert one.driver.now() - asked >= 80_000, "never early"
-        assert back.start_line.split()[1] == "504"
-        assert [(event.outcome, event.over) for event in told] == [(TIMEOUT, False)]
-        await endpoint.connection_closed.acquire()  # giving up closes the connection
+    async with run_sidecar(endpoint) as sidecar:
+        outcomes = record_outcomes(sidecar)
+        started_us = sidecar.driver.now()
+        response = await sidecar.send(http_request("pay", deadline_ms=80))
+        assert sidecar.driver.now() - started_us >= 80_000, "never early"
+        assert response.start_line.split()[1] == "504"
+        assert [(event.outcome, event.over) for event in outcomes] == [(TIMEOUT, False)]
+        await endpoint.connection_closed.acquire()  # the timeout closes the connection
 
 
 @on_loop
-async def test_a_request_that_no_endpoint_takes_is_refused_in_time() -> None:
-    async with run_sidecar(known=False, ceilings={"max-retry-after-us": 2_000_000}) as one:
-        back = await one.send(http_request(deadline_ms=100))
-        assert back.start_line.split()[1] == "503"
-        assert back.headers["retry-after"] == "0.040", "a 50th of the aim, as the module waits itself"
-        assert not one.driver.calls and not one.driver.balancer.requests
+async def test_a_request_without_an_endpoint_is_rejected_in_time() -> None:
+    async with run_sidecar(known=False, ceilings={"max-retry-after-us": 2_000_000}) as sidecar:
+        response = await sidecar.send(http_request(deadline_ms=100))
+        assert response.start_line.split()[1] == "503"
+        assert response.headers["retry-after"] == "0.040", "1/50 of the aim, the balancer's own retry delay"
+        assert not sidecar.driver.calls and not sidecar.driver.balancer.requests
 
 
 @on_loop
-async def test_a_refusal_tells_when_to_come_back() -> None:
-    async with run_sidecar(Endpoint()) as one:
-        vars(one.driver.balancer)["request"] = lambda now, event: [Refuse(event.request, 1_250_000)]
-        back = await one.send(http_request())
-        assert back.start_line.split()[1] == "503" and back.headers["retry-after"] == "1.250"
+async def test_a_rejection_carries_retry_after() -> None:
+    async with run_sidecar(Endpoint()) as sidecar:
+        vars(sidecar.driver.balancer)["request"] = lambda now, event: [Refuse(event.request, 1_250_000)]
+        response = await sidecar.send(http_request())
+        assert response.start_line.split()[1] == "503" and response.headers["retry-after"] == "1.250"
 
 
 @on_loop
-async def test_a_fault_of_the_module_is_answered_and_survived(caplog: pytest.LogCaptureFixture) -> None:
-    async with run_sidecar(Endpoint()) as one:
-        real = one.driver.balancer.request
+async def test_an_exception_in_the_balancer_yields_500_and_the_sidecar_goes_on(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    async with run_sidecar(Endpoint()) as sidecar:
+        original = sidecar.driver.balancer.request
 
         def broken(now: int, event: object) -> list[Action]:
             raise RuntimeError("broken")
 
-        vars(one.driver.balancer)["request"] = broken
-        assert (await one.send(http_request())).start_line.split()[1] == "500"
-        vars(one.driver.balancer)["request"] = real
-        assert (await one.send(http_request(rid="r2"))).body == b"ok"
+        vars(sidecar.driver.balancer)["request"] = broken
+        assert (await sidecar.send(http_request())).start_line.split()[1] == "500"
+        vars(sidecar.driver.balancer)["request"] = original
+        assert (await sidecar.send(http_request(rid="r2"))).body == b"ok"
     assert "RuntimeError: broken" in caplog.text
 
 
 @on_loop
-async def test_the_client_that_leaves_calls_its_attempt_off() -> None:
+async def test_a_client_disconnect_cancels_its_attempt() -> None:
     endpoint = Endpoint(hold)
-    async with run_sidecar(endpoint) as one:
-        told = record_outcomes(one)
-        _, writer = await one.connect()
+    async with run_sidecar(endpoint) as sidecar:
+        outcomes = record_outcomes(sidecar)
+        _, writer = await sidecar.connect()
         writer.write(http_request("pay"))
         await endpoint.request_arrived.acquire()
         writer.close()
         await endpoint.connection_closed.acquire()
-        assert [(event.outcome, event.over) for event in told] == [(CANCELLED, True)]
-        assert not one.driver.calls and not one.driver.balancer.requests
+        assert [(event.outcome, event.over) for event in outcomes] == [(CANCELLED, True)]
+        assert not sidecar.driver.calls and not sidecar.driver.balancer.requests
 
 
 @on_loop
-async def test_nothing_starts_past_the_drain_grace_the_deadline_or_the_answer() -> None:
-    """Guards a slow connect: the driver is asked at the moment of writing."""
+async def test_nothing_starts_after_the_drain_grace_the_deadline_or_the_response() -> None:
+    """While a connection is being opened the permission to start may end: it is checked at writing."""
     endpoint = Endpoint(hold)
-    async with run_sidecar(endpoint) as one:
-        told = record_outcomes(one)
-        asked = asyncio.create_task(one.send(http_request("pay", deadline_ms=4000)))
+    async with run_sidecar(endpoint) as sidecar:
+        outcomes = record_outcomes(sidecar)
+        task = asyncio.create_task(sidecar.send(http_request("pay", deadline_ms=4000)))
         await endpoint.request_arrived.acquire()
-        ((_, call),) = one.driver.calls.items()
+        ((_, call),) = sidecar.driver.calls.items()
         (attempt,) = call.attempts
-        place = one.driver.endpoints_by_number[attempt.endpoint]
-        now = one.driver.now()
-        assert one.driver.attempts.may_start(attempt, now)
-        assert not one.driver.attempts.may_start(attempt, call.expires)
-        place.left_at = now - 349_000  # of 500 ms: a process may be held up for the last 150
-        assert one.driver.attempts.may_start(attempt, now)
+        place = sidecar.driver.endpoints_by_number[attempt.endpoint]
+        now = sidecar.driver.now()
+        assert sidecar.driver.attempts.may_start(attempt, now)
+        assert not sidecar.driver.attempts.may_start(attempt, call.expires)
+        place.left_at = now - 349_000  # of 500 ms; the last 150 are a margin for a suspended process
+        assert sidecar.driver.attempts.may_start(attempt, now)
         place.left_at = now - 350_000
-        assert not one.driver.attempts.may_start(attempt, now)
-        link = attempt.link
-        assert isinstance(link, EndpointConnection)
-        link.write_request()  # as a connect that took so long would
-        assert [event.outcome for event in told] == [MOOT] and len(endpoint.received) == 1
-        asked.cancel()
+        assert not sidecar.driver.attempts.may_start(attempt, now)
+        connection = attempt.link
+        assert isinstance(connection, EndpointConnection)
+        connection.write_request()  # as after a slow connect
+        assert [event.outcome for event in outcomes] == [MOOT] and len(endpoint.received) == 1
+        task.cancel()
 
 
 @on_loop
-async def test_an_attempt_past_the_most_is_not_sent() -> None:
-    endpoints = [Endpoint(status(503, "X-Not-Run: 1\r\n")) for _ in range(4)]
-    async with run_sidecar(*endpoints) as one:
-        force = one.driver.in_force
-        force.settings = replace(force.settings, max_attempts=2)
-        told = record_outcomes(one)
-        await one.send(http_request("pay"))
+async def test_attempts_beyond_the_limit_are_not_sent() -> None:
+    endpoints = [Endpoint(respond_with(503, "X-Not-Run: 1\r\n")) for _ in range(4)]
+    async with run_sidecar(*endpoints) as sidecar:
+        in_force = sidecar.driver.in_force
+        in_force.settings = replace(in_force.settings, max_attempts=2)
+        outcomes = record_outcomes(sidecar)
+        await sidecar.send(http_request("pay"))
         assert sum(len(endpoint.received) for endpoint in endpoints) == 2
-        assert [event.outcome for event in told][:3] == [FULL, FULL, MOOT]
+        assert [event.outcome for event in outcomes][:3] == [FULL, FULL, MOOT]
 
 
 @on_loop
 async def test_timers_never_fire_early() -> None:
-    async with run_sidecar() as one:
+    async with run_sidecar() as sidecar:
         fired: asyncio.Queue[int] = asyncio.Queue()
         for delay in (1, 400, 1_499, 2_501, 7_777):
-            due = one.driver.now() + delay
-            one.driver.dispatcher.call_at(due, lambda due: fired.put_nowait(one.driver.now() - due), due)
+            due = sidecar.driver.now() + delay
+            sidecar.driver.dispatcher.call_at(
+                due, lambda due: fired.put_nowait(sidecar.driver.now() - due), due
+            )
         for _ in range(5):
             assert await fired.get() >= 0
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The run-time checks see what a guard let through, and nothing where the rules are kept."""
+"""The run-time checks count what a guard let through, and nothing while the rules are kept."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 MS = 1_000
 
 
-def call_of(one: Sidecar, cls: str, **parts: Any) -> Call:
-    now = one.driver.now()
-    number = one.driver.names.classes[cls]
-    parts = {"expires": now + 4_000 * MS, "wait_us": 4_000 * MS, **parts}
-    return Call(relay=Mock(), start=b"POST /", head=b"", body=b"", cls=number, **parts)
+def make_call(sidecar: Sidecar, cls: str, **fields: Any) -> Call:
+    now = sidecar.driver.now()
+    number = sidecar.driver.names.classes[cls]
+    fields = {"expires": now + 4_000 * MS, "wait_us": 4_000 * MS, **fields}
+    return Call(relay=Mock(), start=b"POST /", head=b"", body=b"", cls=number, **fields)
 
 
-def attempt_of(one: Sidecar, call: Call, **changes: Any) -> Attempt:
-    endpoint = next(iter(one.driver.endpoints_by_number))
-    attempt = Attempt(call, len(call.attempts), endpoint, one.driver.now(), call.expires)
+def make_attempt(sidecar: Sidecar, call: Call, **changes: Any) -> Attempt:
+    endpoint = next(iter(sidecar.driver.endpoints_by_number))
+    attempt = Attempt(call, len(call.attempts), endpoint, sidecar.driver.now(), call.expires)
     for name, value in changes.items():
         setattr(attempt, name, value)
     call.attempts.append(attempt)
@@ -42,36 +42,38 @@
 
 
 @on_loop
-async def test_ordinary_requests_violate_nothing() -> None:
-    async def turn_away_once(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def test_ordinary_requests_violate_no_rule() -> None:
+    async def reject_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(
             http_response(503, b"", "X-Not-Run: 1\r\n") if len(endpoint.received) == 1 else http_response()
         )
 
-    first, second = Endpoint(turn_away_once), Endpoint()
-    async with run_sidecar(first, second) as one:
+    first, second = Endpoint(reject_first), Endpoint()
+    async with run_sidecar(first, second) as sidecar:
         for n, cls in enumerate(("page", "put", "pay") * 5):
-            await one.send(http_request(cls, b"x" if cls != "page" else b"", rid=f"r{n}"))
-        assert not one.driver.attempts.invariants.counts
+            await sidecar.send(http_request(cls, b"x" if cls != "page" else b"", rid=f"r{n}"))
+        assert not sidecar.driver.attempts.invariants.counts
 
 
 @on_loop
-async def test_a_send_past_the_grace_or_the_lease_is_counted() -> None:
+async def test_a_send_after_the_drain_grace_or_the_lease_is_counted() -> None:
     endpoint = Endpoint()
-    async with run_sidecar(endpoint) as one:
-        checks, now = one.driver.attempts.invariants, one.driver.now()
-        attempt = attempt_of(one, call_of(one, "page"))
-        checks.check_written(attempt, now)
-        assert not checks.counts
-        checks.check_written(attempt_of(one, call_of(one, "page"), start_by=now), now + TIME_SLACK_US + 1)
-        assert checks.counts == {Rule.SEND: 1}
-        place = one.driver.endpoints_by_number[attempt.endpoint]
+    async with run_sidecar(endpoint) as sidecar:
+        checker, now = sidecar.driver.attempts.invariants, sidecar.driver.now()
+        attempt = make_attempt(sidecar, make_call(sidecar, "page"))
+        checker.check_written(attempt, now)
+        assert not checker.counts
+        checker.check_written(
+            make_attempt(sidecar, make_call(sidecar, "page"), start_by=now), now + TIME_SLACK_US + 1
+        )
+        assert checker.counts == {Rule.SEND: 1}
+        place = sidecar.driver.endpoints_by_number[attempt.endpoint]
         place.left_at = now
-        grace = one.driver.in_force.drain_grace_us
-        checks.check_written(attempt, now + grace)
-        assert checks.counts == {Rule.SEND: 1}
-        checks.check_written(attempt, now + grace + TIME_SLACK_US)
-        assert checks.counts == {Rule.SEND: 2}
+        grace = sidecar.driver.in_force.drain_grace_us
+        checker.check_written(attempt, now + grace)
+        assert checker.counts == {Rule.SEND: 1}
+        checker.check_written(attempt, now + grace + TIME_SLACK_US)
+        assert checker.counts == {Rule.SEND: 2}
 
 
 @pytest.mark.parametrize(
@@ -86,51 +88,55 @@
     ],
 )
 @on_loop
-async def test_a_repeat_that_the_rules_forbid_is_counted(
+async def test_a_forbidden_repeat_is_counted(
     cls: str, outcome: int, wrote: bool, late_ms: int, violated: bool
 ) -> None:
-    async with run_sidecar(Endpoint()) as one:
-        checks, call = one.driver.attempts.invariants, call_of(one, cls, expires=10**18)
-        attempt_of(one, call, out=False, outcome=outcome, wrote=wrote)
-        second = attempt_of(one, call)
-        checks.check_written(second, one.driver.now() + late_ms * MS)
-        assert checks.counts == ({Rule.REPEAT: 1} if violated else {})
+    async with run_sidecar(Endpoint()) as sidecar:
+        checker, call = sidecar.driver.attempts.invariants, make_call(sidecar, cls, expires=10**18)
+        make_attempt(sidecar, call, out=False, outcome=outcome, wrote=wrote)
+        second = make_attempt(sidecar, call)
+        checker.check_written(second, sidecar.driver.now() + late_ms * MS)
+        assert checker.counts == ({Rule.REPEAT: 1} if violated else {})
 
 
 @on_loop
-async def test_more_time_than_is_left_and_an_answered_request_are_counted() -> None:
-    async with run_sidecar(Endpoint()) as one:
-        checks, call = one.driver.attempts.invariants, call_of(one, "page")
-        checks.check_written(attempt_of(one, call, until=call.expires + 151 * MS), one.driver.now())
-        assert checks.counts == {Rule.START: 1}
+async def test_a_timeout_past_the_deadline_and_a_completed_request_are_counted() -> None:
+    async with run_sidecar(Endpoint()) as sidecar:
+        checker, call = sidecar.driver.attempts.invariants, make_call(sidecar, "page")
+        checker.check_written(
+            make_attempt(sidecar, call, until=call.expires + 151 * MS), sidecar.driver.now()
+        )
+        assert checker.counts == {Rule.START: 1}
         call.open = False
-        checks.check_written(attempt_of(one, call), one.driver.now())
-        assert checks.counts == {Rule.START: 2}
+        checker.check_written(make_attempt(sidecar, call), sidecar.driver.now())
+        assert checker.counts == {Rule.START: 2}
 
 
 @pytest.mark.parametrize("how", ["close", "cut"])
 @on_loop
-async def test_an_end_before_the_answer_is_counted_where_the_client_is_there(how: str) -> None:
-    async def never(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def test_closing_on_a_connected_client_without_a_response_is_counted(how: str) -> None:
+    async def never_respond(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         pass
 
-    endpoint = Endpoint(never)
-    async with run_sidecar(endpoint) as one:
-        _, writer = await one.connect()
+    endpoint = Endpoint(never_respond)
+    async with run_sidecar(endpoint) as sidecar:
+        _, writer = await sidecar.connect()
         writer.write(http_request())
         await endpoint.request_arrived.acquire()
-        (caller,) = one.server.callers
-        getattr(one.server, how)(caller)
-        assert one.driver.attempts.invariants.counts == {Rule.CLOSE: 1}
+        (caller,) = sidecar.server.callers
+        getattr(sidecar.server, how)(caller)
+        assert sidecar.driver.attempts.invariants.counts == {Rule.CLOSE: 1}
         writer.close()
 
 
 @on_loop
-async def test_nothing_new_starts_in_the_part_of_the_grace_that_a_hold_up_may_take() -> None:
-    async with run_sidecar(Endpoint()) as one:
-        listing = one.driver.listed_endpoints
-        number, place = next(iter(listing.by_number.items()))
-        place.left_at, grace = 0, one.driver.in_force.drain_grace_us
-        assert listing.may_start(number, grace - HELD_UP_US - 1)
-        assert not listing.may_start(number, grace - HELD_UP_US)
-        assert listing.may_have_started(number, grace - 1) and not listing.may_have_started(number, grace)
+async def test_no_attempt_starts_within_the_margin_for_a_suspended_process() -> None:
+    async with run_sidecar(Endpoint()) as sidecar:
+        listed_endpoints = sidecar.driver.listed_endpoints
+        number, place = next(iter(listed_endpoints.by_number.items()))
+        place.left_at, grace = 0, sidecar.driver.in_force.drain_grace_us
+        assert listed_endpoints.may_start(number, grace - HELD_UP_US - 1)
+        assert not listed_endpoints.may_start(number, grace - HELD_UP_US)
+        assert listed_endpoints.may_have_started(number, grace - 1) and not listed_endpoints.may_have_started(
+            number, grace
+        )
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -1,4 +1,4 @@
-"""What an observer is told of a real sidecar, and what may be asked of the driver from outside."""
+"""Events that a sidecar passes to its observers, and the driver's outside controls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class EventRecorder:
-    """All that it is told, by name."""
+    """An observer that records all events by name."""
 
     def __init__(self, header: bytes = b"") -> None:
         self.header = header
@@ -52,19 +52,19 @@
         self.events.append(("retuned", settings.max_attempts, len(raw["classes"])))
 
 
-def test_an_observer_hears_each_step_and_adds_its_header() -> None:
+def test_an_observer_receives_each_step_and_adds_its_header() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with run_sidecar(endpoint) as one:
+        async with run_sidecar(endpoint) as sidecar:
             first, second = EventRecorder(b"X-Acted-On: 7\r\n"), EventRecorder(b"X-Other: 1\r\n")
-            one.driver.observer = ObserverGroup(first, second)
-            one.driver.apply_settings(SETTINGS, one.driver.settings)
-            one.set_list(endpoint.entry("s-0"))
-            assert (await one.send(http_request())).body == b"ok"
-            (got,) = endpoint.received
-            assert (got.headers["x-acted-on"], got.headers["x-other"]) == ("7", "1")
-            one.set_list()
-            assert (await one.send(http_request(rid="r2"))).start_line.split()[1] == "503"
+            sidecar.driver.observer = ObserverGroup(first, second)
+            sidecar.driver.apply_settings(SETTINGS, sidecar.driver.settings)
+            sidecar.set_list(endpoint.entry("s-0"))
+            assert (await sidecar.send(http_request())).body == b"ok"
+            (received,) = endpoint.received
+            assert (received.headers["x-acted-on"], received.headers["x-other"]) == ("7", "1")
+            sidecar.set_list()
+            assert (await sidecar.send(http_request(rid="r2"))).start_line.split()[1] == "503"
             assert first.events == second.events
             assert first.events == [
                 ("retuned", 3, 3), ("listed", LIST_FULL, 1, 1), ("taken", 1),
@@ -75,58 +75,58 @@
     run_test(main())
 
 
-def test_a_large_answer_and_a_caller_that_leaves_are_told_once() -> None:
+def test_a_large_response_and_a_client_disconnect_are_reported_once() -> None:
     async def large(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if message.headers["x-request-id"] == "r1":
             writer.write(http_response(body=LARGE_BODY))
 
     async def main() -> None:
         endpoint = Endpoint(large)
-        async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-            one.driver.observer = notes = EventRecorder()
-            assert (await one.send(http_request())).body == LARGE_BODY
-            _, writer = await one.connect()
+        async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as sidecar:
+            sidecar.driver.observer = recorder = EventRecorder()
+            assert (await sidecar.send(http_request())).body == LARGE_BODY
+            _, writer = await sidecar.connect()
             writer.write(http_request(rid="r2"))
             while len(endpoint.received) < 2:
                 await endpoint.request_arrived.acquire()
             writer.close()
             await endpoint.connection_closed.acquire()
-            answers = [told for told in notes.events if told[0] == "answered"]
-            assert answers == [("answered", 1, 200), ("answered", 2, 0)]
+            answered = [event for event in recorder.events if event[0] == "answered"]
+            assert answered == [("answered", 1, 200), ("answered", 2, 0)]
 
     run_test(main())
 
 
-def test_a_plans_weights_move_traffic_and_last_over_lists() -> None:
+def test_planned_weights_apply_to_later_lists_too() -> None:
     async def main() -> None:
         light, heavy = Endpoint(), Endpoint()
-        async with run_sidecar(light, heavy) as one:
-            one.driver.set_planned_weights({"s-0": 0.1, "s-1": 1.0, "unknown": 0.5})
-            one.set_list(light.entry("s-0"), heavy.entry("s-1"))
-            assert one.driver.balancer.endpoints[endpoint_number("s-0")].trust == 0.1
-            assert one.driver.balancer.endpoints[endpoint_number("s-1")].trust == 1.0
-            one.driver.set_planned_weights({})
-            assert one.driver.balancer.endpoints[endpoint_number("s-0")].trust == 1.0
+        async with run_sidecar(light, heavy) as sidecar:
+            sidecar.driver.set_planned_weights({"s-0": 0.1, "s-1": 1.0, "unknown": 0.5})
+            sidecar.set_list(light.entry("s-0"), heavy.entry("s-1"))
+            assert sidecar.driver.balancer.endpoints[endpoint_number("s-0")].trust == 0.1
+            assert sidecar.driver.balancer.endpoints[endpoint_number("s-1")].trust == 1.0
+            sidecar.driver.set_planned_weights({})
+            assert sidecar.driver.balancer.endpoints[endpoint_number("s-0")].trust == 1.0
 
     run_test(main())
 
 
 @pytest.mark.parametrize("body", [b"sum", LARGE_BODY], ids=["held", "passed on"])
-def test_a_sidecar_shut_out_turns_new_requests_away_and_finishes_the_others(body: bytes) -> None:
+def test_a_shut_out_sidecar_rejects_new_requests_and_finishes_the_others(body: bytes) -> None:
     async def main() -> None:
         async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            one.server.shut_out = True
+            sidecar.server.shut_out = True
             writer.write(http_response())
 
         endpoint = Endpoint(reply)
-        async with run_sidecar(endpoint) as one:
-            assert (await one.send(http_request("pay", b"first"))).body == b"ok"
-            back = await one.send(http_request("pay", body, rid="r2"))
-            assert (back.start_line.split()[1], back.headers["retry-after"]) == ("503", "1")
-            back = await one.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
-            assert back.start_line.split()[1] == "503"
-            one.server.shut_out = False
-            assert (await one.send(http_request("pay", rid="r3"))).body == b"ok"
+        async with run_sidecar(endpoint) as sidecar:
+            assert (await sidecar.send(http_request("pay", b"first"))).body == b"ok"
+            response = await sidecar.send(http_request("pay", body, rid="r2"))
+            assert (response.start_line.split()[1], response.headers["retry-after"]) == ("503", "1")
+            response = await sidecar.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
+            assert response.start_line.split()[1] == "503"
+            sidecar.server.shut_out = False
+            assert (await sidecar.send(http_request("pay", rid="r3"))).body == b"ok"
             assert len(endpoint.received) == 2
 
     run_test(main())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The real sidecar as a process: signals, its stop, and its start with bad settings."""
+"""The sidecar as a process: signals, shutdown, and startup with invalid settings."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-    """No answer, until the connection closes."""
+    """Send no response; the connection stays open."""
 
 
 @on_loop
-async def test_sigterm_finishes_what_was_taken_and_exits(tmp_path: Path) -> None:
+async def test_sigterm_finishes_accepted_requests_and_exits(tmp_path: Path) -> None:
     release = asyncio.Event()
 
     async def slow(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -41,14 +41,14 @@
             await release.wait()
         writer.write(http_response())
 
-    endpoint, registry = Endpoint(slow), FakeDiscovery()
-    async with await endpoint.start(), await registry.start():
+    endpoint, discovery_server = Endpoint(slow), FakeDiscovery()
+    async with await endpoint.start(), await discovery_server.start():
         port = free_port()
-        environ = {**config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
+        environ = {**config(tmp_path, discovery_server, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
         process = await start(environ)
-        _, watch = await registry.watches.get()
+        _, watch = await discovery_server.watches.get()
         push_list(watch, 2, True, endpoint.entry())
-        while True:  # it watches before it listens
+        while True:  # the watch starts before the sidecar listens
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 break
@@ -61,58 +61,62 @@
         await endpoint.request_arrived.acquire()
         process.send_signal(signal.SIGTERM)
         idle_writer.write(http_request(rid="kept"))
-        assert "connection" not in (await read_message(idle)).headers, "callers may have no other yet"
+        assert "connection" not in (await read_message(idle)).headers, "clients may have no other sidecar yet"
         new, new_writer = await asyncio.open_connection("127.0.0.1", port)
         new_writer.write(http_request(rid="new"))
-        back = await read_message(new)
-        assert back.body == b"ok"
-        assert await idle.read() == await new.read() == b"", "in the end what is idle is closed"
+        response = await read_message(new)
+        assert response.body == b"ok"
+        assert await idle.read() == await new.read() == b"", "idle connections are closed in the end"
         release.set()
-        back = await read_message(reader)
-        assert back.body == b"ok" and back.headers["connection"] == "close"
+        response = await read_message(reader)
+        assert response.body == b"ok" and response.headers["connection"] == "close"
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST}, "a silent watch"
-        for one in (writer, idle_writer, new_writer):
-            one.close()
+        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST}, (
+            "the watch is silent; nothing else may be logged"
+        )
+        for open_writer in (writer, idle_writer, new_writer):
+            open_writer.close()
 
 
 @on_loop
-async def test_what_is_taken_after_sigterm_is_answered_before_the_kill() -> None:
+async def test_requests_accepted_after_sigterm_are_answered_before_sigkill() -> None:
     endpoint = Endpoint(hold)
-    async with run_sidecar(endpoint) as one:
-        now = one.driver.now()
-        one.server.stop(lambda: None)
-        assert now + 3_000_000 < one.server.answered_by < one.driver.now() + 3_700_000
-        one.server.answered_by = one.driver.now() + 50_000
-        back = await one.send(http_request("pay", deadline_ms=30_000))
-        assert back.start_line.split()[1] == "504"
+    async with run_sidecar(endpoint) as sidecar:
+        now = sidecar.driver.now()
+        sidecar.server.stop(lambda: None)
+        assert now + 3_000_000 < sidecar.server.answered_by < sidecar.driver.now() + 3_700_000
+        sidecar.server.answered_by = sidecar.driver.now() + 50_000
+        response = await sidecar.send(http_request("pay", deadline_ms=30_000))
+        assert response.start_line.split()[1] == "504"
 
 
 @on_loop
-async def test_all_that_comes_on_an_open_connection_after_sigterm_is_answered() -> None:
-    """Clients send on until they see the connection close, one request behind another too."""
+async def test_requests_on_an_open_connection_are_answered_after_sigterm() -> None:
+    """Clients keep sending until they see the connection close, pipelined requests included."""
     endpoint = Endpoint()
-    async with run_sidecar(endpoint) as one:
-        reader, writer = await one.connect()
+    async with run_sidecar(endpoint) as sidecar:
+        reader, writer = await sidecar.connect()
         writer.write(http_request(rid="before"))
         await read_message(reader)
-        one.server.stop(lambda: None)
+        sidecar.server.stop(lambda: None)
         for n in range(3):
             writer.write(http_request(rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        one.server.closing = True  # as when the connections at rest have been closed
+        sidecar.server.closing = True  # as after the idle connections have been closed
         writer.write(http_request(rid="last") + http_request(rid="ahead") + http_request(rid="further"))
         for n in range(3):
-            back = await read_message(reader)
-            assert back.body == b"ok" and ("connection" in back.headers) == (n == 2)
+            response = await read_message(reader)
+            assert response.body == b"ok" and ("connection" in response.headers) == (n == 2)
         assert await reader.read() == b""
         writer.close()
 
 
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 @on_loop
-async def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path, discovery: str) -> None:
+async def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(
+    tmp_path: Path, discovery: str
+) -> None:
     old, new = FakeDiscovery(), FakeDiscovery()
     changes = {"settings": {**SETTINGS, "discovery": discovery}}
     async with await old.start(), await new.start():
@@ -132,12 +136,14 @@
         start_line, watch = await new.watches.get()
         assert "from=5 " in start_line
         assert json.loads(await process.stderr.readline())["event"] == "reloaded"
-        watch.close()  # no list came: the new address is asked again
+        watch.close()  # before any list: the new address is called again
         await new.watches.get()
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST], "once, not per try"
+        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST], (
+            "logged once, not per attempt"
+        )
 
 
 @pytest.mark.parametrize(
@@ -151,17 +157,19 @@
     ],
 )
 @on_loop
-async def test_a_bad_configuration_is_one_line_and_an_exit(tmp_path: Path, changes: dict[str, Any]) -> None:
-    registry = FakeDiscovery()
-    registry.port = 1
-    process = await start(config(tmp_path, registry, **changes))
+async def test_an_invalid_configuration_is_logged_in_one_line_and_exits(
+    tmp_path: Path, changes: dict[str, Any]
+) -> None:
+    discovery_server = FakeDiscovery()
+    discovery_server.port = 1
+    process = await start(config(tmp_path, discovery_server, **changes))
     out, errors = await process.communicate()
     assert process.returncode == 2 and out == b""
     assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
 
 
 @on_loop
-async def test_no_configuration_is_one_line_and_an_exit() -> None:
+async def test_a_missing_configuration_is_logged_in_one_line_and_exits() -> None:
     environ = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
     process = await start(environ)
     _, errors = await process.communicate()
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,4 +1,4 @@
-"""The time until a process is ready, however discovery and its callers are."""
+"""A process is ready in time, whatever discovery and its clients do."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.process import Process, call, config, free_port, start
-from tests.process import ready as at_door
+from tests.process import ready as wait_until_admin_ready
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -27,11 +27,11 @@
     wait_until,
 )
 
-READY_S = 10.0  # nine in ten restarted processes have to be ready by then
+READY_S = 10.0  # 90% of restarted processes must be ready by then
 
 
-async def ready(port: int) -> None:
-    """As a front asks: on a new connection each time, until the first 200."""
+async def wait_until_ready(port: int) -> None:
+    """Poll readiness as a front proxy does, on a new connection each time, until the first 200."""
     while True:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(1.0):
@@ -40,29 +40,29 @@
         await asyncio.sleep(0.02)
 
 
-async def served(port: int) -> None:
+async def assert_served(port: int) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(http_request())
     assert (await read_message(reader)).body == b"ok"
     writer.close()
 
 
-async def refused(port: int) -> None:
-    """At once: a retry elsewhere is harmless."""
+async def assert_rejected(port: int) -> None:
+    """A request is rejected at once with 503, which permits a retry elsewhere."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(http_request())
     assert (await read_message(reader)).start_line.startswith("HTTP/1.1 503")
     writer.close()
 
 
-async def end(process: Process) -> None:
-    with contextlib.suppress(ProcessLookupError):  # it was ended by the test
+async def kill_process(process: Process) -> None:
+    with contextlib.suppress(ProcessLookupError):  # the test has ended it already
         process.kill()
     await process.communicate()
 
 
-class Dripping(LoopbackServer):
-    """Discovery that sends a byte now and then, and no list."""
+class TricklingDiscovery(LoopbackServer):
+    """A discovery service that trickles bytes and never sends a list."""
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
@@ -72,93 +72,97 @@
 
 
 @contextlib.asynccontextmanager
-async def deaf(how: str) -> AsyncIterator[LoopbackServer]:
-    """Discovery that never tells a list."""
+async def discovery_without_list(how: str) -> AsyncIterator[LoopbackServer]:
+    """A discovery service that never sends a list, failing in the given way."""
     if how in ("silent", "dripping"):
-        telling = FakeDiscovery() if how == "silent" else Dripping()
-        async with await telling.start():
-            yield telling
+        server = FakeDiscovery() if how == "silent" else TricklingDiscovery()
+        async with await server.start():
+            yield server
         return
     listener = LoopbackServer()
     if how == "down":
         listener.port = free_port()
         yield listener
         return
-    with contextlib.ExitStack() as stack:  # its queue is full: no connection comes up
-        full = stack.enter_context(socket.socket())
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        listener.port = full.getsockname()[1]
+    with contextlib.ExitStack() as stack:  # its accept queue is full: no connection is established
+        listening = stack.enter_context(socket.socket())
+        listening.bind(("127.0.0.1", 0))
+        listening.listen(0)
+        listener.port = listening.getsockname()[1]
         for _ in range(4):
-            one = stack.enter_context(socket.socket())
-            one.setblocking(False)
-            one.connect_ex(("127.0.0.1", listener.port))
+            client = stack.enter_context(socket.socket())
+            client.setblocking(False)
+            client.connect_ex(("127.0.0.1", listener.port))
         yield listener
 
 
 @pytest.mark.parametrize("how", ["down", "silent", "dripping", "connecting"])
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 @on_loop
-async def test_it_is_ready_in_time_whatever_discovery_does(tmp_path: Path, how: str, discovery: str) -> None:
+async def test_ready_in_time_whatever_discovery_does(tmp_path: Path, how: str, discovery: str) -> None:
     endpoint, port = Endpoint(), free_port()
     async with contextlib.AsyncExitStack() as stack:
-        registry = await stack.enter_async_context(deaf(how))
+        discovery_server = await stack.enter_async_context(discovery_without_list(how))
         await stack.enter_async_context(await endpoint.start())
         changes: dict[str, Any] = {"settings": {**SETTINGS, "discovery": discovery}}
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", **changes))
-            stack.push_async_callback(end, process)
-            await ready(port)
+            process = await start(
+                config(tmp_path, discovery_server, endpoint, listen=f"127.0.0.1:{port}", **changes)
+            )
+            stack.push_async_callback(kill_process, process)
+            await wait_until_ready(port)
         if discovery == "push" or how == "down":
-            await served(port)
-        else:  # a change may have bound by now: nothing is sent by the list from before the start
-            await refused(port)
+            await assert_served(port)
+        else:  # a newer list may bind by now, so nothing is sent by the cached one
+            await assert_rejected(port)
             assert not endpoint.received
 
 
 @on_loop
-async def test_it_is_ready_in_time_without_a_list(tmp_path: Path) -> None:
+async def test_ready_in_time_without_a_list(tmp_path: Path) -> None:
     port = free_port()
     async with contextlib.AsyncExitStack() as stack:
-        registry = await stack.enter_async_context(deaf("down"))
+        discovery_server = await stack.enter_async_context(discovery_without_list("down"))
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, registry, listen=f"127.0.0.1:{port}"))
-            stack.push_async_callback(end, process)
-            await ready(port)
+            process = await start(config(tmp_path, discovery_server, listen=f"127.0.0.1:{port}"))
+            stack.push_async_callback(kill_process, process)
+            await wait_until_ready(port)
 
 
 @on_loop
-async def test_one_that_takes_over_is_ready_in_time_though_discovery_is_silent(tmp_path: Path) -> None:
-    endpoint, registry = Endpoint(), FakeDiscovery()
+async def test_a_process_that_takes_over_is_ready_in_time_while_discovery_is_silent(tmp_path: Path) -> None:
+    endpoint, discovery_server = Endpoint(), FakeDiscovery()
     async with contextlib.AsyncExitStack() as stack:
         listening = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         port = listening.getsockname()[1]
         await stack.enter_async_context(await endpoint.start())
-        await stack.enter_async_context(await registry.start())
+        await stack.enter_async_context(await discovery_server.start())
         environ = {
-            **config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"),
+            **config(tmp_path, discovery_server, endpoint, listen=f"127.0.0.1:{port}"),
             "LB_ACCEPT_FD": str(listening.fileno()),
         }
-        elder = None
+        previous = None
         for _ in range(2):
             async with asyncio.timeout(READY_S):
-                door = free_port()
-                process = await start({**environ, "LB_CONSOLE": f"127.0.0.1:{door}"}, listening.fileno())
-                stack.push_async_callback(end, process)
-                await at_door(door)
-                await ready(port)
-            if elder is not None:
-                elder.kill()  # all requests go to the one that took over
-            elder = process
-        await served(port)
+                admin_port = free_port()
+                process = await start(
+                    {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_port}"}, listening.fileno()
+                )
+                stack.push_async_callback(kill_process, process)
+                await wait_until_admin_ready(admin_port)
+                await wait_until_ready(port)
+            if previous is not None:
+                previous.kill()  # all requests now go to the process that took over
+            previous = process
+        await assert_served(port)
 
 
 @on_loop
-async def test_it_is_ready_in_time_in_a_crowd_of_idle_callers(tmp_path: Path) -> None:
-    """They take every place there is, and come again as soon as they are closed."""
+async def test_ready_in_time_in_a_crowd_of_idle_clients(tmp_path: Path) -> None:
+    """The clients use up all sockets and reconnect as soon as they are closed."""
     endpoint, port = Endpoint(), free_port()
     async with contextlib.AsyncExitStack() as stack:
-        registry = await stack.enter_async_context(deaf("down"))
+        discovery_server = await stack.enter_async_context(discovery_without_list("down"))
         await stack.enter_async_context(await endpoint.start())
         changes: dict[str, Any] = {"listen": f"127.0.0.1:{port}", "limits": {"sockets": 64}}
 
@@ -171,31 +175,31 @@
                 await asyncio.sleep(0.02)
 
         crowd = [asyncio.create_task(idle()) for _ in range(100)]
-        stack.callback(lambda: [one.cancel() for one in crowd])
+        stack.callback(lambda: [task.cancel() for task in crowd])
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, registry, endpoint, **changes))
-            stack.push_async_callback(end, process)
-            await ready(port)
+            process = await start(config(tmp_path, discovery_server, endpoint, **changes))
+            stack.push_async_callback(kill_process, process)
+            await wait_until_ready(port)
 
 
 @on_loop
-async def test_who_asks_as_it_comes_is_heard_in_a_crowd_that_says_nothing() -> None:
-    """Places are all taken, and nobody has owed a request for long yet."""
-    async with run_sidecar(Endpoint()) as one:
-        one.server.most = 64  # 48 of them for callers
-        first, first_writer = await one.connect()
-        first_writer.write(http_request(rid="first")[:1])  # it has said something
-        crowd = [await one.connect() for _ in range(47)]
-        await wait_until(lambda: len(one.server.callers) == 48)
-        for n in range(20):  # each is followed by another that says nothing
-            asker = await one.connect()
-            crowd.append(await one.connect())
-            asker[1].write(http_request(rid=f"r{n}"))
-            assert (await read_message(asker[0])).body == b"ok"
-            asker[1].close()
-            await wait_until(lambda: len(one.server.callers) <= 48)
+async def test_a_new_client_that_sends_a_request_is_served_in_a_crowd_of_silent_ones() -> None:
+    """All sockets are in use, and no client has been silent for long yet."""
+    async with run_sidecar(Endpoint()) as sidecar:
+        sidecar.server.most = 64  # 48 of them for clients
+        first, first_writer = await sidecar.connect()
+        first_writer.write(http_request(rid="first")[:1])  # it has sent part of a request
+        crowd = [await sidecar.connect() for _ in range(47)]
+        await wait_until(lambda: len(sidecar.server.callers) == 48)
+        for n in range(20):  # each is followed by another silent client
+            client = await sidecar.connect()
+            crowd.append(await sidecar.connect())
+            client[1].write(http_request(rid=f"r{n}"))
+            assert (await read_message(client[0])).body == b"ok"
+            client[1].close()
+            await wait_until(lambda: len(sidecar.server.callers) <= 48)
         first_writer.write(http_request(rid="first")[1:])
         assert (await read_message(first)).body == b"ok"
         for _, writer in crowd:
             writer.close()
-        assert not one.driver.calls
+        assert not sidecar.driver.calls
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Two processes that both believe they write: one history survives, and the other says so."""
+"""Two processes that both act as leader: one history survives, and the other process reports its loss."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def next_log_event(process: Process, event: str) -> dict[str, Any]:
-    """The next line of that event in the process's log."""
+    """The next log line with this event."""
     assert process.stderr is not None
     while True:
         line = json.loads(await process.stderr.readline())
@@ -30,11 +30,11 @@
 
 
 def instance_ids(listing: dict[str, Any]) -> list[str]:
-    return [one["instanceId"] for one in listing["instances"]]
+    return [entry["instanceId"] for entry in listing["instances"]]
 
 
-async def both_write(folder: Path, ports: list[int], *more: str) -> list[Process]:
-    """A writer with `x-1`, and a replica of it that was given its place, both alive."""
+async def start_two_leaders(folder: Path, ports: list[int], *more: str) -> list[Process]:
+    """Start a leader with `x-1` registered, and a former follower of it that leads too."""
     writer = await service(folder / "a", ports[0], *more)
     assert (await register(ports[0], "x-1"))[0] == 200
     second = await replica(folder / "b", ports[1], ports[0])
@@ -43,89 +43,99 @@
     return [writer, await service(folder / "b", ports[1], *more)]
 
 
-def test_a_client_tells_the_replaced_writer_and_what_only_that_wrote_is_said_to_be_lost(
+def test_a_client_deposes_the_replaced_leader_and_its_unreplicated_writes_are_reported_lost(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
         ports = [free_port(), free_port()]
-        first, second = await both_write(tmp_path, ports)
+        first, second = await start_two_leaders(tmp_path, ports)
         _, x_2 = await register(ports[0], "x-2")
         _, y_2 = await register(ports[1], "y-2")
         assert x_2["generation"] == y_2["generation"] == 2 and x_2["term"] < y_2["term"]
-        watcher = Watcher(ports[1], 1, 2)  # of the newer one
+        watcher = Watcher(ports[1], 1, 2)  # of the newer leader
         await watcher.reached.wait()
-        watcher.discovery.replicas = [f"127.0.0.1:{ports[0]}"]  # and now of the older alone
+        watcher.discovery.replicas = [f"127.0.0.1:{ports[0]}"]  # now of the older leader only
         watcher.discovery.watch(True)
-        loser = await next_log_event(first, "deposed: another process writes, this one stops")
-        assert loser["greater"] == y_2["term"] and loser["remedy"]
+        deposed = await next_log_event(first, "deposed: another process writes, this one stops")
+        assert deposed["greater"] == y_2["term"] and deposed["remedy"]
         status, text = await register(ports[0], "x-3")
         assert status == 503 and json.loads(text)["remedy"]
-        assert watcher.names == {"x-1", "y-2"}, "the older list was not taken"
+        assert watcher.names == {"x-1", "y-2"}, "the older list was not applied"
         watcher.discovery.close()
         await end(first)
         first = await replica(tmp_path / "a", ports[0], ports[1])
-        lost = await next_log_event(first, "records thrown away, the writer's state taken whole")
-        assert (lost["records"], lost["lost"], lost["new_term"]) == (1, ["x-2"], y_2["term"])
-        told = await until(ports[0], caught_up(2))
-        assert instance_ids(told) == ["x-1", "y-2"] and told == (await ask(ports[1], "GET", PATH))[1]
+        discarded = await next_log_event(first, "records thrown away, the writer's state taken whole")
+        assert (discarded["records"], discarded["lost"], discarded["new_term"]) == (1, ["x-2"], y_2["term"])
+        received = await until(ports[0], caught_up(2))
+        assert instance_ids(received) == ["x-1", "y-2"] and received == (await ask(ports[1], "GET", PATH))[1]
         await end(first, second)
 
     run_test(main())
 
 
-def test_peers_tell_each_other_and_the_loser_follows_by_itself(tmp_path: Path) -> None:
+def test_peers_exchange_terms_and_the_deposed_leader_follows_by_itself(tmp_path: Path) -> None:
     async def main() -> None:
         ports = [free_port(), free_port()]
         both = "--peers", ",".join(f"127.0.0.1:{port}" for port in ports)
-        first, second = await both_write(tmp_path, ports, *both)
+        first, second = await start_two_leaders(tmp_path, ports, *both)
         await next_log_event(first, "deposed: another process writes, this one stops")
         await next_log_event(first, "following")
         status, text = await register(ports[0], "x-2")
         assert status == 307 and json.loads(text)["writer"] == f"127.0.0.1:{ports[1]}"
-        caller, told = ListWriter(f"127.0.0.1:{ports[0]}", Random(1)), list[Any]()
-        assert await caller.write("PUT", f"{PATH}/y-2?ttl_ms=60000", ENTRY, told.append), "in one call"
-        assert caller.sent_on == ("127.0.0.1", ports[1]) and caller.term is not None
+        client, received = ListWriter(f"127.0.0.1:{ports[0]}", Random(1)), list[Any]()
+        assert await client.write("PUT", f"{PATH}/y-2?ttl_ms=60000", ENTRY, received.append), (
+            "redirected within one call"
+        )
+        assert client.sent_on == ("127.0.0.1", ports[1]) and client.term is not None
         assert instance_ids(await until(ports[0], caught_up(2))) == ["x-1", "y-2"]
-        older = {"lineage": caller.term[0], "term": caller.term[1] - 1}
-        assert not caller._take(json.dumps(older).encode(), told.append), "an answer of an older term"
-        await end(second)  # its place is not taken back by a mere restart of the first
+        older_term = {"lineage": client.term[0], "term": client.term[1] - 1}
+        assert not client._take(json.dumps(older_term).encode(), received.append), (
+            "a response of an older term"
+        )
+        await end(second)  # a mere restart of the first doesn't make it leader again
         await end(first)
         first = await service(tmp_path / "a", ports[0])
         status, _ = await register(ports[0], "x-3")
-        assert status == 200, "it holds all of the greater term, so it may lead on"
+        assert status == 200, "it has the whole log of the greater term, so it may lead"
         await end(first)
 
     run_test(main())
 
 
-def test_a_restart_does_not_take_back_a_place_that_was_lost(tmp_path: Path) -> None:
+def test_a_deposed_leader_does_not_lead_again_after_a_restart(tmp_path: Path) -> None:
     async def main() -> None:
         port = free_port()
         process = await service(tmp_path, port)
-        _, told = await register(port, "s-0")
-        greater = f"{told['lineage']}:{told['term'] + (1 << 24)}"
-        status, _ = await ask(port, "GET", PATH, headers=f"X-Term: {greater}\r\n")
+        _, received = await register(port, "s-0")
+        greater_term = f"{received['lineage']}:{received['term'] + (1 << 24)}"
+        status, _ = await ask(port, "GET", PATH, headers=f"X-Term: {greater_term}\r\n")
         assert status == 200 and (await register(port, "s-1"))[0] == 503
         await end(process)
         process = await service(tmp_path, port)
         assert (await register(port, "s-1"))[0] == 503
-        assert (await ask(port, "GET", PATH))[1]["following"] is False, "reads go on, and say so"
+        assert (await ask(port, "GET", PATH))[1]["following"] is False, (
+            "reads are still served, and report that it doesn't follow"
+        )
         await end(process)
         process = await service(tmp_path, port, "--take-over")
         assert (await register(port, "s-1"))[0] == 200
-        for lie in (f"{'0' * 16}:{1 << 50}", f"{told['lineage']}:{(1 << 52) - 1}", "x"):
-            await ask(port, "GET", PATH, headers=f"X-Term: {lie}\r\n")
-        assert (await register(port, "s-2"))[0] == 200, "another log's term, or a lie, deposes nobody"
+        for bogus_term in (f"{'0' * 16}:{1 << 50}", f"{received['lineage']}:{(1 << 52) - 1}", "x"):
+            await ask(port, "GET", PATH, headers=f"X-Term: {bogus_term}\r\n")
+        assert (await register(port, "s-2"))[0] == 200, (
+            "a foreign, implausible or malformed term deposes nobody"
+        )
         await end(process)
 
     run_test(main())
 
 
-def test_a_write_that_was_answered_is_at_the_replica_that_takes_the_writers_place(tmp_path: Path) -> None:
+def test_an_acknowledged_write_is_on_the_follower_that_takes_over(tmp_path: Path) -> None:
     async def main() -> None:
         ports = [free_port(), free_port()]
         writer = await service(tmp_path / "a", ports[0], "--copies", "1")
-        assert (await register(ports[0], "s-0"))[0] == 503, "nobody follows: not settled, and said"
+        assert (await register(ports[0], "s-0"))[0] == 503, (
+            "without a follower the write is not committed, and refused"
+        )
         second = await replica(tmp_path / "b", ports[1], ports[0])
         answered = [n for n in range(20) if (await register(ports[0], f"s-{n}"))[0] == 200]
         await end(writer, second)
@@ -137,11 +147,11 @@
     run_test(main())
 
 
-OF: dict[str, Any] = {"lineage": "ab", "term": 5, "generation": 7}
+HELD: dict[str, Any] = {"lineage": "ab", "term": 5, "generation": 7}
 
 
 @pytest.mark.parametrize(
-    ("told", "whole", "after_s", "verdict"),
+    ("received", "is_full", "after_s", "verdict"),
     [
         ({"generation": 8}, False, 0.0, TAKE),
         ({"generation": 6}, True, 0.0, KEEP),
@@ -153,19 +163,25 @@
         ({"lineage": "", "term": 0, "generation": 9}, True, 0.0, REFUSE),
     ],
 )
-def test_the_greater_term_is_the_newer_list(
-    told: dict[str, Any], whole: bool, after_s: float, verdict: str
+def test_the_list_with_the_greater_term_is_the_newer_one(
+    received: dict[str, Any], is_full: bool, after_s: float, verdict: str
 ) -> None:
-    held = Held()
-    held.take(Named(**OF), 100.0)
-    held.trusting = False
-    assert held.judge(Named(**{**OF, **told}), whole, 100.0 + after_s) == verdict
+    held_list = Held()
+    held_list.take(Named(**HELD), 100.0)
+    held_list.trusting = False
+    assert held_list.judge(Named(**{**HELD, **received}), is_full, 100.0 + after_s) == verdict
 
 
-def test_discovery_without_terms_hears_no_more_than_before() -> None:
+def test_without_terms_only_a_greater_generation_is_applied() -> None:
     loop = cast(asyncio.AbstractEventLoop, type("Loop", (), {"time": lambda self: 0.0})())
-    heard: list[int] = []
-    one = Discovery(loop, "127.0.0.1:1", "/l", True, lambda version, *_: heard.append(version), Random(1))
+    applied: list[int] = []
+    discovery = Discovery(
+        loop, "127.0.0.1:1", "/l", True, lambda version, *_: applied.append(version), Random(1)
+    )
     for version in (41, 40, 42):
-        assert one.take(Told(version, True, []))
-    assert heard == [41, 42] and one.held.target("/l") == "/l?watch=1&from=42" and not one.held.header()
+        assert discovery.take(Told(version, True, []))
+    assert (
+        applied == [41, 42]
+        and discovery.held.target("/l") == "/l?watch=1&from=42"
+        and not discovery.held.header()
+    )
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at endpoints, from the module's word to their one outcome."""
+"""Runs attempts at endpoints, from the balancer's `Send` action to their one outcome each."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 
 
 class AttemptRunner:
+    """Starts, times out, cancels and completes attempts, and reports their outcomes."""
+
     def __init__(
         self,
-        turns: EventDispatcher,
+        dispatcher: EventDispatcher,
         requests: Requests,
-        places: Places,
-        force: InForce,
+        listed_endpoints: Places,
+        in_force: InForce,
         upstream: Upstream,
     ) -> None:
-        self.dispatcher, self.requests, self.listed_endpoints = turns, requests, places
-        self.in_force, self.upstream = force, upstream
+        self.dispatcher, self.requests, self.listed_endpoints = dispatcher, requests, listed_endpoints
+        self.in_force, self.upstream = in_force, upstream
         requests.stop = self.stop
-        # The audit is told of attempts that no endpoint saw: request and endpoint.
+        # Called with request and endpoint for each attempt that wrote no byte (for the audit).
         self.on_unsent: Callable[[int, int], None] | None = None
-        self.invariants = InvariantChecker(force, places, turns.metrics)
+        self.invariants = InvariantChecker(in_force, listed_endpoints, dispatcher.metrics)
         upstream.on_outcome, upstream.may_start, upstream.begin_relay = (
             self.record_outcome,
             self.may_start,
@@ -37,18 +39,20 @@
         upstream.on_written = self.invariants.check_written
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
+        """Whether the first byte of the attempt may be written now (µs)."""
         if not attempt.call.open or now >= min(attempt.until, attempt.start_by):
             return False
-        if not attempt.call.relay.there():  # where the client has left, that ends the call
+        if not attempt.call.relay.there():  # a client that has disconnected ends the request here
             return False
         return self.listed_endpoints.may_start(attempt.endpoint, now)
 
     def send(self, action: Send) -> None:
+        """Start an attempt; one that may not start ends as MOOT at once."""
         now, call = now_us(), self.requests.calls.get(action.request)
         if call is None:
             return
-        left = action.timeout_us or call.expires - now
-        until = min(call.expires, now + left)
+        wait_us = action.timeout_us or call.expires - now
+        until = min(call.expires, now + wait_us)
         attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
         call.attempts.append(attempt)
         self.dispatcher.metrics.sent(attempt.copy)
@@ -66,20 +70,24 @@
         self.upstream.send(attempt)
 
     def cancel(self, request: int, copy: int) -> None:
+        """Cancel one attempt of a request, given by its attempt index."""
         if (call := self.requests.calls.get(request)) is not None:
             self.stop(call.attempts[copy], CANCELLED)
 
     def stop(self, attempt: Attempt, outcome: int) -> None:
-        """Wait for it no longer."""
+        """Stop waiting for an attempt and record this outcome."""
         if attempt.out:
             never_left = self.upstream.cancel(attempt)
-            # The wait for a connection that is not there yet, or takes no more, proves that it never ran.
+            # A timeout while connecting, or while the connection accepts no more bytes, proves that
+            # the endpoint never ran the request.
             proven = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
             self.record_outcome(attempt, proven, None, b"")
 
     def begin_relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool:
-        """An answer too large to hold has begun: it is the caller's from now on,
-        and neither the attempt's time nor the caller's runs any longer."""
+        """Start streaming a response that is too large to buffer; false if nobody waits for it.
+
+        It is the client's final response, so the timeouts of the attempt and the request end.
+        """
         call = attempt.call
         if not call.open or not attempt.out or attempt.link is None:
             return False
@@ -94,8 +102,10 @@
         call.relay.begin(answer, length, attempt.link)
         return True
 
-    def record_outcome(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
-        """The one outcome of an attempt."""
+    def record_outcome(
+        self, attempt: Attempt, outcome: int, answer: Answer | None, load_report: bytes
+    ) -> None:
+        """Complete an attempt and report its outcome; any later outcome is ignored."""
         if not attempt.out:
             return
         attempt.out, attempt.outcome = False, outcome
@@ -117,7 +127,7 @@
             outcome,
             attempt.head_us or now - attempt.sent,
             over,
-            self.in_force.names.report(load),
+            self.in_force.names.report(load_report),
             call.upload is not None and call.upload.spent,
         )
         if self.on_unsent is not None and not attempt.wrote:
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -1,7 +1,7 @@
-"""Drives one `Balancer` in real time: lists, settings, operators, and its actions.
+"""Drives one `Balancer` in real time: passes it events and executes the actions it returns.
 
-It translates and obeys; the parts that it is made of keep the requests, the
-attempts, the listed endpoints and the settings in force.
+Events are lists, settings and operator calls, besides requests and attempts. The driver only
+translates; its parts keep the open requests, attempts, listed endpoints and settings in force.
 """
 
 from __future__ import annotations
@@ -50,6 +50,8 @@
 
 
 class Driver:
+    """Connects the balancer to the sockets, the endpoint list, the settings and the operators."""
+
     now = staticmethod(now_us)
 
     def __init__(
@@ -57,7 +59,7 @@
         loop: asyncio.AbstractEventLoop,
         seed: int,
         settings: Settings,
-        raw: dict[str, Any],
+        raw_settings: dict[str, Any],
         upstream: Upstream,
         state: Path | None = None,
         metrics: Quiet | None = None,
@@ -66,7 +68,7 @@
     ) -> None:
         self.loop, self.upstream, self.shared = loop, upstream, shared
         self.metrics = metrics or Quiet()
-        self.raw_settings = raw
+        self.raw_settings = raw_settings
         self.in_force = InForce(shared is not None)
         self._put_in_force(settings, locality)
         self.balancer = Balancer(seed, self.settings)
@@ -79,10 +81,11 @@
             self.dispatcher, self.requests, self.listed_endpoints, self.in_force, upstream
         )
         self.dispatch = self.dispatcher.dispatch
-        self.affinity_header = b""  # requests alike in it go to one endpoint, lower case
-        self.plan_listener: ListListener | None = None  # a plan's weights, resolved for each list
+        # Lower case; requests with the same value of this header go to the same endpoint.
+        self.affinity_header = b""
+        self.plan_listener: ListListener | None = None  # resolves a plan's weights for each list
         self.discovery: Discovery | None = None
-        self.has_received_list = False  # a list of discovery, since the start
+        self.has_received_list = False  # from discovery, since the start
 
     @property
     def settings(self) -> Settings:
@@ -102,7 +105,7 @@
 
     @property
     def observer(self) -> Observer | None:
-        """Told all that happens from now on; set before `start`, it hears the first settings."""
+        """Receives all events from now on; one set before `start` also receives the first settings."""
         return self.dispatcher.observer
 
     @observer.setter
@@ -110,16 +113,21 @@
         self.dispatcher.observer = observer
 
     def add_observer(self, observer: Observer) -> None:
-        """One more, beside those there are."""
+        """Add an observer to those already set."""
         self.observer = observer if self.observer is None else ObserverGroup(self.observer, observer)
 
-    def start(self, known: dict[str, Any] | None, alone: bool = True) -> None:
+    def start(self, cached_list: dict[str, Any] | None, alone: bool = True) -> None:
+        """Start the balancer with the cached list, if any, and start watching discovery.
+
+        `alone` is false if this process takes over from another one of the same sidecar. Raises
+        PeerError if the cached list is invalid.
+        """
         self._notify_settings()
         self.dispatch(self.balancer.start, alone, self.discovery is not None)
-        if known is not None:
-            self._apply_entries(LIST_CACHED, int(known["generation"]), known["instances"])
+        if cached_list is not None:
+            self._apply_entries(LIST_CACHED, int(cached_list["generation"]), cached_list["instances"])
         if self.discovery is not None:
-            self.discovery.generation = int(known["generation"]) if known else 0
+            self.discovery.generation = int(cached_list["generation"]) if cached_list else 0
             self.discovery.on_failed = self._on_list_failed
             self.discovery.on_anew = self.listed_endpoints.left.clear
             self._subscribe_lease_events(self.discovery)
@@ -127,7 +135,7 @@
                 self.discovery.watch(True)
 
     def _subscribe_lease_events(self, discovery: Discovery) -> None:
-        """The membership lease follows what discovery is heard of."""
+        """Forward what discovery reports about its state, which the membership lease depends on."""
         balancer = self.balancer
         discovery.on_confirmed = lambda: self.dispatch(balancer.confirmed)
         discovery.on_silent = lambda: self.dispatch(balancer.silent)
@@ -136,15 +144,18 @@
 
     # --- Settings ---------------------------------------------------------------------
 
-    def apply_settings(self, raw: dict[str, Any], read: Settings, locality: Locality | None = None) -> None:
+    def apply_settings(
+        self, raw: dict[str, Any], new_settings: Settings, locality: Locality | None = None
+    ) -> None:
+        """Replace the settings in force."""
         self.raw_settings = raw
-        self._put_in_force(read, locality)
+        self._put_in_force(new_settings, locality)
         self._notify_settings()
         self.dispatch(self.balancer.retune, self.settings)
 
-    def _put_in_force(self, read: Settings, locality: Locality | None) -> None:
-        self.in_force.settle(self.raw_settings, read, locality)
-        self.upstream.set_timeouts(read.idle_us, read.connect_timeout_us)
+    def _put_in_force(self, settings: Settings, locality: Locality | None) -> None:
+        self.in_force.settle(self.raw_settings, settings, locality)
+        self.upstream.set_timeouts(settings.idle_us, settings.connect_timeout_us)
 
     def _notify_settings(self) -> None:
         if self.observer is not None:
@@ -152,9 +163,9 @@
 
     # --- Lists and weights ------------------------------------------------------------
 
-    def apply_list(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        """A list of discovery; PeerError, and nothing of it used, where it is none."""
-        self._apply_entries(LIST_FULL if whole else LIST_DELTA, version, entries)
+    def apply_list(self, version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
+        """Apply a list received from discovery; raises PeerError and applies nothing if it is invalid."""
+        self._apply_entries(LIST_FULL if is_full else LIST_DELTA, version, entries)
         self.has_received_list = True
 
     def _on_list_failed(self) -> None:
@@ -162,10 +173,10 @@
         self.dispatch(self.balancer.members, LIST_FAILED, ())
 
     def _apply_entries(self, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        read = self.listed_endpoints.read(version, raw)
+        entries = self.listed_endpoints.read(version, raw)
         self.metrics.listed(mode, version)
-        self.listed_endpoints.apply(version, mode != LIST_DELTA, read)
-        self.dispatch(self.balancer.members, mode, [entry for entry, _ in read])
+        self.listed_endpoints.apply(version, mode != LIST_DELTA, entries)
+        self.dispatch(self.balancer.members, mode, [entry for entry, _ in entries])
         if self.observer is not None:
             self.observer.list_applied(now_us(), mode, version, raw)
         if self.plan_listener is not None:
@@ -176,48 +187,61 @@
             self.shared.announce_limits()
 
     def apply_verdicts(self, entries: list[VerdictEntry]) -> None:
-        """The other sidecars' verdicts by now, all that are within their bound."""
+        """Replace the other sidecars' verdicts by these, all that have not expired."""
         if self.shared is not None:
             self.shared.verdict_entries = entries
             self._dispatch_weight_factors()
 
     def ignore_verdicts(self, names: frozenset[str]) -> None:
-        """The verdicts of sidecars of these names do not count, until they are left out again."""
+        """Ignore the verdicts of exactly these sidecars, until the next call."""
         if self.shared is not None:
             self.shared.ignored_sidecars = names
             self._dispatch_weight_factors()
 
     def set_planned_weights(self, factors: Mapping[str, float]) -> None:
-        """A plan's weights by instance id, each above 0 and up to 1, from now on and over all
-        lists; they lower what the list says. Who is not named keeps its weight whole."""
+        """Set a plan's weight factors by instance id, each in (0, 1].
+
+        They multiply the weights of all current and later lists; instances not named keep theirs.
+        """
         self.weight_factors.set_planned(factors)
         self._dispatch_weight_factors()
 
     def _dispatch_weight_factors(self) -> None:
         self.dispatch(self.balancer.trust, self.weight_factors.combined(self.listed_endpoints.ready()))
 
-    # --- Limits kept together -----------------------------------------------------------
+    # --- Limits shared with other sidecars ----------------------------------------------
 
     def preferred_endpoints(self) -> list[int]:
-        """The endpoints that the module sends to from here."""
-        return [one.id for one in self.balancer.endpoints.values() if one.own and one.ready]
+        """The ready endpoints that the balancer sends to from this sidecar."""
+        return [
+            endpoint.id for endpoint in self.balancer.endpoints.values() if endpoint.own and endpoint.ready
+        ]
 
     def in_flight_counts(self) -> dict[int, int]:
-        return {one.id: one.inflight for one in self.balancer.endpoints.values() if one.inflight}
+        """Attempts in flight by endpoint number, where there are any."""
+        return {
+            endpoint.id: endpoint.inflight
+            for endpoint in self.balancer.endpoints.values()
+            if endpoint.inflight
+        }
 
     def longest_deadline_us(self) -> int:
+        """The longest deadline of all request classes."""
         return max(cls.deadline_us for cls in self.settings.classes)
 
     def apply_limits(self, caps: dict[int, int], others: int) -> None:
-        """This process's shares of the limits that all sidecars keep together."""
+        """Apply this process's shares of the limits shared by all sidecars, by endpoint number.
+
+        `others` is the limit of each endpoint that `caps` does not name.
+        """
         self.metrics.shares(sum(caps.values()))
         self.dispatch(self.balancer.limit, caps, others)
 
     # --- Operators --------------------------------------------------------------------
 
-    def _on_ban_changed(self, number: int, out: bool) -> None:
-        """Told on any thread; `may_start` heeds the ban from before this on."""
-        self.loop.call_soon_threadsafe(self._detach if out else self._attach, number)
+    def _on_ban_changed(self, number: int, is_banned: bool) -> None:
+        """Called on any thread; `may_start` already respects the changed ban."""
+        self.loop.call_soon_threadsafe(self._detach if is_banned else self._attach, number)
 
     def _detach(self, number: int) -> None:
         self.metrics.banned(True)
@@ -240,8 +264,8 @@
                 self.attempts.send(action)
             case Timer(token, delay_us):
                 self.dispatcher.start_timer(delay_us, token)
-            case Refuse(request, after_us):
-                self.requests.refuse(request, after_us)
+            case Refuse(request, retry_after_us):
+                self.requests.refuse(request, retry_after_us)
             case Fail(request):
                 self.requests.fail(request)
             case Cancel(request, copy):
@@ -249,7 +273,7 @@
             case Close(endpoint):
                 self.upstream.close_idle(endpoint)
             case Watch(on):
-                # Asked for after a wait: by now a new address may have begun another one.
+                # The action may come after a wait, in which a new address has started another watch.
                 if self.discovery is not None and not (on and self.discovery.watching):
                     self.discovery.watch(on)
             case Fetch():
@@ -261,4 +285,4 @@
             case Log(text):
                 LOG.info("module", extra={"text": text})
             case _:
-                raise TypeError(f"{action!r} is not of this deployment")
+                raise TypeError(f"{action!r} is not supported by this deployment")
--- a/woadyard/net/endpoint_connection.py
+++ b/woadyard/net/endpoint_connection.py
@@ -1,7 +1,7 @@
-"""One connection to an endpoint: it carries one attempt at a time, and reports its outcome.
+"""A connection to an endpoint: carries one attempt at a time and reports its outcome.
 
-Whether an attempt may still start is asked of its owner at the moment of writing;
-a broken connection is never tried again from here.
+The owner decides at the moment of writing whether an attempt may still start. A broken
+connection is never retried here.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """Whose connection it is: told of its ends, asked before each start."""
+    """What a connection needs of its owner: shared resources, permission to start, and callbacks."""
 
     loop: asyncio.AbstractEventLoop
     read_buffer: memoryview
@@ -41,13 +41,15 @@
     @property
     def on_written(self) -> Callable[[Attempt, int], None]: ...
     def begin_relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool: ...
-    def on_outcome(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None: ...
-    def on_connection_lost(self, link: EndpointConnection) -> None: ...
-    def schedule_sweep(self, since: float) -> None: ...
+    def on_outcome(
+        self, attempt: Attempt, outcome: int, answer: Answer | None, load_report: bytes
+    ) -> None: ...
+    def on_connection_lost(self, connection: EndpointConnection) -> None: ...
+    def schedule_sweep(self, idle_since_s: float) -> None: ...
 
 
 class ConnectionPool:
-    """The idle connections to one process at one address, the last used last."""
+    """The idle connections to one process at one address, least recently used first."""
 
     __slots__ = ("host", "idle", "is_closed", "port")
 
@@ -57,48 +59,51 @@
         self.is_closed = False
 
     def close_idle(self) -> None:
-        links, self.idle = self.idle, []
-        for link in links:
-            link.close()
+        """Close the idle connections; the pool stays usable."""
+        connections, self.idle = self.idle, []
+        for connection in connections:
+            connection.close()
 
     def close(self) -> None:
+        """Close the idle connections; busy ones are closed instead of returned to the pool."""
         self.is_closed = True
         self.close_idle()
 
 
 class EndpointConnection(asyncio.BufferedProtocol):
-    """One connection, carrying one attempt at a time."""
+    """One connection to an endpoint, carrying one attempt at a time."""
 
     def __init__(self, owner: ConnectionOwner, pool: ConnectionPool, attempt: Attempt) -> None:
         self.owner, self.pool = owner, pool
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.connect_task: asyncio.Task[None] | None = None
-        self.connect_timer: asyncio.TimerHandle | None = None  # runs while it opens
+        self.connect_timer: asyncio.TimerHandle | None = None
         self.is_lost = False
-        self.idle_since_s = 0.0
-        self.is_request_unwritten = True  # the request's last byte is not yet with the system
-        self.upload: Upload | None = None  # a body on its way out
+        self.idle_since_s = 0.0  # loop time
+        self.is_request_unwritten = True  # the kernel does not have the request's last byte yet
+        self.upload: Upload | None = None  # a body that is being streamed
         self.parser = httptools.HttpResponseParser(self)
         self._reset_response()
 
     def _reset_response(self) -> None:
         self.headers: Headers = []
         self.body_parts: list[bytes] = []
-        self.body_size = self.bytes_since_body = 0  # of the body, and of what came since its last byte
+        self.body_size = self.bytes_since_body = 0  # the latter: read since the last body byte
         self.load_report = b""
-        self.status = 0  # of an answer whose head has come
+        self.status = 0  # 0 until the response head is complete
         self.content_length: int | None = None
         self.is_chunked = False
-        self.is_relaying = False  # the answer is passed on as it comes
+        self.is_relaying = False  # the response is streamed to the client
         self.is_marked_not_run = self.is_complete = self.allows_keep_alive = False
 
     # --- Connection -----------------------------------------------------------
 
     def connect(self) -> None:
+        """Start connecting; the attempt is written as soon as the connection is up."""
         loop, pool = self.owner.loop, self.pool
         self.connect_task = loop.create_task(self._create_connection(pool.host, pool.port))
-        # Not within the task: one called off before its first step runs nothing at all.
+        # A callback, not code in the task: a task cancelled before its first step runs nothing.
         self.connect_task.add_done_callback(self._on_connect_done)
         self.connect_timer = loop.call_later(self.owner.connect_timeout_s, self._on_connect_timeout)
 
@@ -109,18 +114,22 @@
         if self.transport is None and self.connect_task is not None:
             self.connect_task.cancel()
 
-    def _on_connect_done(self, opening: asyncio.Task[None]) -> None:
-        """It came up, or failed, or was called off; of the latter two uvloop tells no
-        `connection_lost`, even where it came up in the same turn and told of that."""
+    def _on_connect_done(self, task: asyncio.Task[None]) -> None:
+        """Handle the end of connecting, whether it succeeded, failed or was cancelled.
+
+        After a failure or a cancellation uvloop never calls `connection_lost`, not even if it
+        called `connection_made` in the same iteration of the loop.
+        """
         if self.connect_timer is not None:
             self.connect_timer.cancel()
-        if not self.is_lost and (opening.cancelled() or opening.exception() is not None):
+        if not self.is_lost and (task.cancelled() or task.exception() is not None):
             self.connection_lost(None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # `pause_writing` tells of unwritten bytes
-        # Called off, or too late by the same turn: nothing may be written any more.
+        # With a limit of 0, `pause_writing` is called as soon as any byte stays buffered.
+        self.transport.set_write_buffer_limits(high=0)
+        # Cancelled or timed out in the same iteration of the loop: nothing may be written.
         if self.attempt is None or (self.connect_task is not None and self.connect_task.cancelling()):
             self.transport.abort()
         else:
@@ -137,12 +146,13 @@
             self.upload.hold(False)
 
     def write_request(self) -> None:
+        """Write the attempt's request, or end the attempt as MOOT if it may not start any more."""
         attempt, transport = self.attempt, self.transport
         assert attempt is not None and transport is not None
         now = self.owner.now()
         if self.pool.is_closed or not self.owner.may_start(attempt, now):
-            # Guards the rules after a slow connect: past the drain grace, the deadline or
-            # the final answer nothing may start, nor at a process that another has replaced.
+            # Checked again because connecting may have been slow: nothing may start after the drain
+            # grace, the deadline or the final response, nor at a process that has been replaced.
             self.attempt = None
             self.release()
             self.owner.on_outcome(attempt, MOOT, None, b"")
@@ -155,13 +165,15 @@
         if self.upload is not None:
             self.upload.attach(self)
         if transport.is_closing():
-            self.is_request_unwritten = True  # the first write failed: nothing left
+            self.is_request_unwritten = True  # the first write failed: no byte was sent
 
     def load_part(self, data: bytes) -> None:
+        """Write a part of a streamed body."""
         assert self.transport is not None and self.upload is not None
         self.transport.write(data if self.upload.length is not None else chunk(data))
 
     def load_end(self) -> None:
+        """Finish a streamed body."""
         assert self.transport is not None and self.upload is not None
         chunked, self.upload = self.upload.length is None, None
         if chunked:
@@ -169,13 +181,13 @@
         self.is_request_unwritten = self.transport.get_write_buffer_size() > 0
 
     def detach_upload(self) -> None:
-        """The attempt is over before its body was."""
+        """Stop streaming the body of an attempt that ended before its body did."""
         if self.upload is not None:
             self.upload.detach()
             self.upload = None
 
     def release(self) -> None:
-        """The connection carries nothing now: keep it for the next attempt."""
+        """Return the connection to its pool, or close it if it can't be reused."""
         if self.pool.is_closed or self.transport is None or self.transport.is_closing():
             self.close()
             return
@@ -185,15 +197,19 @@
         self.owner.schedule_sweep(self.idle_since_s)
 
     def is_reusable(self) -> bool:
-        """Whether it may carry a request: an end of the endpoint's, or bytes that nobody asked for,
-        may lie in the system since the loop last looked, and would be taken for the answer."""
+        """Whether the connection may carry another request.
+
+        Polls the socket: since the loop last did, the endpoint may have closed the connection or
+        sent unsolicited bytes, which would be taken for the next response.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
-        look = select.poll()
-        look.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
-        return not look.poll(0)
+        poller = select.poll()
+        poller.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
+        return not poller.poll(0)
 
     def close(self) -> None:
+        """Close the connection at once, or cancel connecting."""
         if self.transport is not None:
             self.transport.abort()
         elif self.connect_task is not None:
@@ -204,9 +220,9 @@
         if self in self.pool.idle:
             self.pool.idle.remove(self)
         self.owner.on_connection_lost(self)
-        # Where an answer has begun, the request was read whatever is still unwritten.
+        # Once a response has begun, the endpoint has read the request, whatever is still unwritten.
         self._report_outcome(NO_CONNECT if self.is_request_unwritten and not self.is_relaying else RESET)
-        del self.parser  # it holds the link in turn
+        del self.parser  # breaks the reference cycle between parser and connection
 
     def _report_outcome(self, outcome: int, answer: Answer | None = None) -> None:
         self.detach_upload()
@@ -214,7 +230,7 @@
         if attempt is not None:
             self.owner.on_outcome(attempt, outcome, answer, self.load_report)
 
-    # --- Answers ------------------------------------------------------------------
+    # --- Responses ----------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.owner.read_buffer
@@ -223,46 +239,45 @@
         self.feed_response(bytes(self.owner.read_buffer[:size]))
 
     def eof_received(self) -> None:
-        """A clean end ends a body that has no other."""
+        """End of stream delimits a body that has neither a length nor chunks."""
         if self.attempt is not None and self.status and self.content_length is None and not self.is_chunked:
             self.is_complete = True
             self._finish_response()
 
     def feed_response(self, data: bytes) -> None:
-        if self.attempt is None:  # nobody asked: whatever it is, it ends the connection
+        """Parse response bytes, and end the attempt once the response is complete or invalid."""
+        if self.attempt is None:  # unsolicited bytes
             self.close()
             return
         self.bytes_since_body += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # Bytes after a whole answer take nothing from it, but nobody asked
-            # for them: what follows on this connection can't be told apart.
+            # Unsolicited bytes after a complete response don't invalidate it, but no further
+            # response can be delimited on this connection.
             self.allows_keep_alive = False
             if not self.is_complete:
                 self._fail_response()
                 return
         if self.is_complete:
             self._finish_response()
-        elif (
-            self.bytes_since_body > HEAD_MAX
-        ):  # a head, or trailers, that the parser would gather without an end
+        elif self.bytes_since_body > HEAD_MAX:  # a head or trailers that the parser would buffer endlessly
             self._fail_response()
         elif self.body_size > HOLD_MAX and not self.is_relaying:
-            self._finish_response()  # no answer to pass on: the rest of it tells nothing
+            self._finish_response()  # not a response to relay: the rest of the body is not needed
 
     def _fail_response(self) -> None:
-        """No answer of this protocol: it ends as a reset."""
+        """End the attempt as reset: the response is not valid HTTP."""
         self.close()
         self._report_outcome(RESET)
 
     def on_message_begin(self) -> None:
         if self.is_complete:
-            raise FramingError("a second answer to one request")
+            raise FramingError("second response to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.status:
-            return  # a trailer: it is not passed on
+            return  # trailers are not relayed
         lower, value = name.lower(), value.strip(b" \t")
         if lower == b"x-load":
             self.load_report = value
@@ -290,14 +305,14 @@
                 self._begin_relay()
 
     def _begin_relay(self) -> None:
-        """Too large to be held whole: from here on it is passed on as it comes."""
+        """Stream a response that is too large to buffer to the client from here on."""
         if self.status == 200 and self.attempt is not None:
             answer = Answer(200, pass_on(self.headers), b"".join(self.body_parts))
             self.body_parts.clear()
             self.is_relaying = self.owner.begin_relay(self.attempt, answer, self.content_length)
 
     def pace(self, paused: bool) -> None:
-        """Read no faster than the caller does."""
+        """Pause or resume reading, so that the endpoint is read no faster than the client reads."""
         if self.transport is not None and not self.transport.is_closing():
             if paused:
                 self.transport.pause_reading()
@@ -305,7 +320,7 @@
                 self.transport.resume_reading()
 
     def on_message_complete(self) -> None:
-        if not self.status:  # an interim answer; the real one follows
+        if not self.status:  # an interim (1xx) response; the final one follows
             self.headers.clear()
         else:
             self.is_complete, self.allows_keep_alive = True, self.parser.should_keep_alive()
@@ -321,29 +336,29 @@
             )
         elif self.is_complete and self.status in (503, 504) and self.is_marked_not_run:
             outcome = FULL
-        attempt, load = self.attempt, self.load_report
+        attempt, load_report = self.attempt, self.load_report
         self.attempt = None
         self.detach_upload()
-        # A request not yet read whole leaves the connection unfit for the next.
+        # The connection can't be reused while part of the request is unwritten.
         if self.allows_keep_alive and self.is_complete and not self.is_request_unwritten:
             self.release()
         else:
             self.close()
         if attempt is not None:
-            self.owner.on_outcome(attempt, outcome, answer, load)
+            self.owner.on_outcome(attempt, outcome, answer, load_report)
 
 
 def encode_request(attempt: Attempt, now: int) -> bytes:
-    """The head, with the body where that is held whole."""
+    """Encode the request head, and the body if it is buffered whole; `now` in µs."""
     call, upload = attempt.call, attempt.call.upload
-    # Rounded down: the endpoint must not work on past the sidecar's patience.
+    # Rounded down: the endpoint must not work on after the sidecar has stopped waiting.
     wait_us = attempt.until - now if upload is None or upload.whole else call.wait_us
-    wait = b"X-Deadline-Ms: %d\r\n" % max(1, wait_us // 1000)
+    deadline_header = b"X-Deadline-Ms: %d\r\n" % max(1, wait_us // 1000)
     if upload is not None and upload.length is None:
-        length = b"Transfer-Encoding: chunked\r\n"
+        length_header = b"Transfer-Encoding: chunked\r\n"
     elif call.start.startswith(b"GET ") and not call.body and upload is None:
-        length = b""
+        length_header = b""
     else:
-        length = b"Content-Length: %d\r\n" % (len(call.body) if upload is None else upload.length or 0)
+        length_header = b"Content-Length: %d\r\n" % (len(call.body) if upload is None else upload.length or 0)
     head = call.head + attempt.extra
-    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, head, wait, length, call.body)
+    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, head, deadline_header, length_header, call.body)
--- a/woadyard/net/event_dispatcher.py
+++ b/woadyard/net/event_dispatcher.py
@@ -1,8 +1,7 @@
-"""One `Balancer` in real time: its clock, its timers, and its events in their order.
+"""Feeds events to one `Balancer` in real time: clock, timers and the order of events.
 
-What happens is told to the module as one event at a time, and the actions that
-come back are carried out in their order; events that an action brings about
-wait until the present one is done.
+Each event is passed to the balancer on its own, and the actions it returns are carried out in
+order. Events that arise while an action is carried out wait until the current one is done.
 """
 
 from __future__ import annotations
@@ -26,46 +25,51 @@
 
 
 def now_us() -> int:
-    """The clock of the driver and of the module, µs."""
+    """Return the monotonic time in µs, the clock of the driver and the balancer."""
     return time.monotonic_ns() // 1000
 
 
 class EventDispatcher:
-    """`act` carries out an action; `failed` is told whose event the module had a fault over."""
+    """Dispatches events to the balancer.
+
+    `execute` carries out one action. `on_fault` is called with the request whose event made the
+    balancer raise an exception.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         balancer: Balancer,
-        act: Callable[[Action], None],
-        failed: Callable[[Call], None],
+        execute: Callable[[Action], None],
+        on_fault: Callable[[Call], None],
         metrics: Quiet,
     ) -> None:
         self.loop, self.balancer, self.metrics = loop, balancer, metrics
-        self.execute, self.on_fault = act, failed
+        self.execute, self.on_fault = execute, on_fault
         self.observer: Observer | None = None
         self.pending: deque[tuple[EventMethod, tuple[Any, ...], Call | None]] = deque()
         self.is_dispatching = False
 
-    def call_at(self, due: int, call: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
-        """Call no sooner than due: loops round delays, so the time is checked."""
-        delay = ceil(max(0, due - now_us()) / 1000) / 1000
-        return self.loop.call_later(delay, self._call_when_due, due, call, args)
+    def call_at(self, due_us: int, callback: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
+        """Call back at this time or later, never earlier: event loops round delays."""
+        delay_s = ceil(max(0, due_us - now_us()) / 1000) / 1000
+        return self.loop.call_later(delay_s, self._call_when_due, due_us, callback, args)
 
-    def _call_when_due(self, due: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        if now_us() < due:
-            self.call_at(due, call, *args)
+    def _call_when_due(self, due_us: int, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
+        if now_us() < due_us:
+            self.call_at(due_us, callback, *args)
         else:
-            call(*args)
+            callback(*args)
 
     def start_timer(self, delay_us: int, token: int) -> None:
-        """The module's timer."""
+        """Start a timer of the balancer."""
         self.call_at(now_us() + delay_us, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
         self.dispatch(self.balancer.timer, token)
 
     def dispatch(self, event: EventMethod, *args: Any, call: Call | None = None) -> None:
+        """Pass an event to the balancer, or queue it if one is being dispatched."""
         self.pending.append((event, args, call))
         if self.is_dispatching:
             return
@@ -81,8 +85,8 @@
             for action in event(now_us(), *args):
                 self.execute(action)
         except Exception:
-            # Guards the process and its callers against a fault of the module.
-            LOG.exception("fault in the module")
+            # A fault of the balancer must not end the process or leave a client without a response.
+            LOG.exception("unhandled exception in the balancer")
             self.balancer.out.clear()
             if call is not None and call.open:
                 self.on_fault(call)
--- a/woadyard/net/invariants.py
+++ b/woadyard/net/invariants.py
@@ -1,9 +1,10 @@
-"""Run-time checks of the rules: what must never happen is counted at the moment of the act.
+"""Run-time checks of the protocol rules: counts each violation when it happens.
 
-The guards (`Balancer._send`, `Attempts.may_start`, `Server.close`) keep the rules by what they know
-beforehand. The checks here come after the act and read the clock anew, so they also see a process that
-was held up between its guard and its write. They change nothing; each violation is counted, logged, and
-shown as `woadyard_invariant_violations` at the door. Times are of the driver's clock, in microseconds.
+The guards (`Balancer._send`, `AttemptRunner.may_start`, `Server.close`) keep the rules by what is
+known before an action. The checks here run after the action and read the clock again, so they also
+detect a process that was suspended between its guard and its write. They don't change behavior; each
+violation is counted, logged, and exported as `woadyard_invariant_violations` by the admin listener.
+Times are in µs of the driver's clock.
 """
 
 from __future__ import annotations
@@ -22,67 +23,70 @@
     from woadyard.net.places import Places
 
 LOG = logging.getLogger(__name__)
-# The rules allow so much on their time limits (PROTOCOL), and a deadline passed on may exceed what the
-# client has left by the second (STANDING.md).
+# Tolerance of the rules on their time limits (PROTOCOL), and the amount by which a forwarded
+# deadline may exceed the client's remaining time (STANDING.md).
 TIME_SLACK_US, DEADLINE_SLACK_US = 50_000, 150_000
 
 
 class Rule(StrEnum):
-    """What a violation is of."""
+    """The rule that was violated."""
 
-    SEND = "send"  # to an endpoint that drains, is gone, or whose lease has run out
-    START = "start"  # for a request that is over, or without time
-    REPEAT = "repeat"  # of a request that may have run, out of its effect, window or number
-    CLOSE = "close"  # of a connection that is still owed an answer
+    SEND = "send"  # an attempt at an endpoint that is draining or gone, or whose lease expired
+    START = "start"  # an attempt for a request that is complete or has no time left
+    REPEAT = "repeat"  # a retry of a request that may have run, against its effect, window or limit
+    CLOSE = "close"  # closing a client connection that still awaits a response
 
 
 class InvariantChecker:
     """Counts violations by rule."""
 
-    def __init__(self, force: InForce, places: Places, metrics: Quiet) -> None:
-        self.in_force, self.listed_endpoints, self.metrics = force, places, metrics
+    def __init__(self, in_force: InForce, listed_endpoints: Places, metrics: Quiet) -> None:
+        self.in_force, self.listed_endpoints, self.metrics = in_force, listed_endpoints, metrics
         self.counts: Counter[Rule] = Counter()
 
     def check_written(self, attempt: Attempt, now: int) -> None:
-        """The first bytes of an attempt were given to the system by now."""
+        """Check an attempt whose first bytes have been passed to the kernel by now."""
         if not self.listed_endpoints.may_have_started(attempt.endpoint, now - TIME_SLACK_US):
-            self._report_violation(Rule.SEND, "the endpoint drains or is gone", attempt)
+            self._report_violation(Rule.SEND, "the endpoint is draining or gone", attempt)
         if now > attempt.start_by + TIME_SLACK_US:
-            self._report_violation(Rule.SEND, "its lease, window or time has run out", attempt)
+            self._report_violation(Rule.SEND, "the lease, repeat window or timeout has expired", attempt)
         if not attempt.call.open:
-            self._report_violation(Rule.START, "the request has its answer", attempt)
+            self._report_violation(Rule.START, "the request already has its final response", attempt)
         if attempt.until > attempt.call.expires + DEADLINE_SLACK_US:
-            self._report_violation(Rule.START, "it is given more time than the client has left", attempt)
-        if why := self._forbidden_repeat_reason(attempt, now):
-            self._report_violation(Rule.REPEAT, why, attempt)
+            self._report_violation(Rule.START, "the timeout exceeds the client's deadline", attempt)
+        if reason := self._forbidden_repeat_reason(attempt, now):
+            self._report_violation(Rule.REPEAT, reason, attempt)
 
     def check_closed(self, call: Call | None) -> None:
-        """This process ends a connection whose client is there, with this request read and unanswered."""
+        """Check a client connection that this process closes while the client is connected.
+
+        `call` is the request that the connection currently serves, if any.
+        """
         if call is not None and call.open:
-            self._count(Rule.CLOSE, "a request that was read has no answer", request=call.id)
+            self._count(Rule.CLOSE, "a request that was read has no response", request=call.id)
 
     def _forbidden_repeat_reason(self, attempt: Attempt, now: int) -> str:
-        """Why an attempt is a repeat that the rules forbid; empty where it is none."""
+        """Why the rules forbid this attempt as a repeat; empty if they don't."""
         settings, call = self.in_force.settings, attempt.call
-        before = [one for one in call.attempts[: attempt.copy] if one.wrote]
+        earlier = [other for other in call.attempts[: attempt.copy] if other.wrote]
         if attempt.copy >= settings.max_attempts:
             return "more attempts than allowed"
-        if not settings.second_copies and any(one.out for one in before):
-            return "an earlier attempt is still out"
+        if not settings.second_copies and any(other.out for other in earlier):
+            return "an earlier attempt is still in flight"
         cls = settings.classes[call.cls]
-        proofs = NEVER_RAN - {FULL} if settings.full_unproven else NEVER_RAN
-        maybe = next((one for one in before if one.outcome not in proofs), None)
-        if maybe is None or cls.effect == SAFE:
+        never_ran = NEVER_RAN - {FULL} if settings.full_unproven else NEVER_RAN
+        may_have_run = next((other for other in earlier if other.outcome not in never_ran), None)
+        if may_have_run is None or cls.effect == SAFE:
             return ""
         if cls.effect != KEYED:
             return "an earlier attempt may have run"
-        late = now > maybe.sent + cls.window_us + TIME_SLACK_US
-        return "the window for repeats is over" if late else ""
+        is_late = now > may_have_run.sent + cls.window_us + TIME_SLACK_US
+        return "the repeat window has expired" if is_late else ""
 
-    def _report_violation(self, rule: Rule, why: str, attempt: Attempt) -> None:
-        self._count(rule, why, request=attempt.call.id, copy=attempt.copy, endpoint=attempt.endpoint)
+    def _report_violation(self, rule: Rule, reason: str, attempt: Attempt) -> None:
+        self._count(rule, reason, request=attempt.call.id, copy=attempt.copy, endpoint=attempt.endpoint)
 
-    def _count(self, rule: Rule, why: str, **fields: int) -> None:
+    def _count(self, rule: Rule, reason: str, **fields: int) -> None:
         self.counts[rule] += 1
         self.metrics.violated(rule)
-        LOG.error("invariant violated", extra={"rule": rule, "why": why, **fields})
+        LOG.error("invariant violated", extra={"rule": rule, "why": reason, **fields})
--- a/woadyard/net/observers.py
+++ b/woadyard/net/observers.py
@@ -1,7 +1,7 @@
-"""Those that watch what the driver does: the audit, a recording, evidence of an experiment.
+"""Interfaces to observe the driver, for the audit, recordings and evidence of an experiment.
 
-The driver has one `Observer` or none. Each method is called on the loop, at the moment it tells
-of, and must neither block nor fail; times are the driver's µs.
+The driver has at most one `Observer`; `ObserverGroup` combines several. The methods are called on
+the event loop as each event happens, and must neither block nor raise. Times are the driver's, in µs.
 """
 
 from __future__ import annotations
@@ -12,8 +12,10 @@
 
 
 class Observer(Protocol):
+    """Receives every request, attempt, list and settings change of the driver."""
+
     def request_accepted(self, now: int, event: Arrival) -> None:
-        """A request was taken."""
+        """A request was accepted."""
 
     def attempt_started(self, now: int, action: Send) -> bytes:
         """An attempt starts; returns header lines to add to it, each with its CRLF, or none."""
@@ -22,54 +24,54 @@
         """An attempt ended."""
 
     def request_answered(self, now: int, request: int, status: int) -> None:
-        """The request has its final answer (0: its caller left)."""
+        """The request has its final response (status 0: the client disconnected)."""
 
     def request_refused(self, now: int, request: int) -> None:
-        """The module refused the request; `answered` follows."""
+        """The balancer rejected the request; `request_answered` follows."""
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        """A list was put to use."""
+        """A list of endpoints was applied."""
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
-        """Settings were put in force (first at the start)."""
+        """Settings were applied, also once at the start."""
 
 
 class ListListener(Protocol):
-    """Told only of lists, once the module was."""
+    """Receives only the lists, each after the balancer."""
 
     def list_applied(self, mode: int, raw: list[dict[str, Any]]) -> None:
-        """A list was put to use."""
+        """A list of endpoints was applied."""
 
 
 class ObserverGroup:
-    """Several as one, told in their order."""
+    """Combines several observers; they are called in order."""
 
-    def __init__(self, *all_: Observer) -> None:
-        self.observers = all_
+    def __init__(self, *members: Observer) -> None:
+        self.observers = members
 
     def request_accepted(self, now: int, event: Arrival) -> None:
-        for one in self.observers:
-            one.request_accepted(now, event)
+        for observer in self.observers:
+            observer.request_accepted(now, event)
 
     def attempt_started(self, now: int, action: Send) -> bytes:
-        return b"".join([one.attempt_started(now, action) for one in self.observers])
+        return b"".join([observer.attempt_started(now, action) for observer in self.observers])
 
     def attempt_ended(self, now: int, event: Outcome) -> None:
-        for one in self.observers:
-            one.attempt_ended(now, event)
+        for observer in self.observers:
+            observer.attempt_ended(now, event)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
-        for one in self.observers:
-            one.request_answered(now, request, status)
+        for observer in self.observers:
+            observer.request_answered(now, request, status)
 
     def request_refused(self, now: int, request: int) -> None:
-        for one in self.observers:
-            one.request_refused(now, request)
+        for observer in self.observers:
+            observer.request_refused(now, request)
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        for one in self.observers:
-            one.list_applied(now, mode, version, raw)
+        for observer in self.observers:
+            observer.list_applied(now, mode, version, raw)
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
-        for one in self.observers:
-            one.settings_applied(now, settings, raw)
+        for observer in self.observers:
+            observer.settings_applied(now, settings, raw)
--- a/woadyard/net/weight_factors.py
+++ b/woadyard/net/weight_factors.py
@@ -1,4 +1,4 @@
-"""What lowers endpoints' weight from outside: others' verdicts, and a plan's weights."""
+"""Factors that lower endpoints' weights: other sidecars' verdicts and a plan's weights."""
 
 from __future__ import annotations
 
@@ -15,47 +15,51 @@
 
 
 class SharedState:
-    """What the driver keeps of the state shared with other sidecars."""
+    """The driver's view of the state that is shared with other sidecars."""
 
     def __init__(self, name: str, eject_share: float) -> None:
         self.name, self.eject_share = name, eject_share
         self.publish: Callable[[int, str | None], None] = lambda endpoint, state: None
         self.verdict_entries: list[Entry] = []
         self.ignored_sidecars: frozenset[str] = frozenset()  # names whose verdicts do not count
-        self.factors: dict[int, float] = {}
+        self.factors: dict[int, float] = {}  # below 1, by endpoint number
         self.affinity = Affinity()
-        self.announce_limits: Callable[[], None] = lambda: None  # tells the caps anew
+        # Sends this sidecar's limits to the balancer again.
+        self.announce_limits: Callable[[], None] = lambda: None
 
     def update_factors(self, ready: set[int], metrics: Quiet) -> dict[int, float]:
-        """Factors below 1 that the other sidecars' verdicts leave, by endpoint."""
-        entries = [one for one in self.verdict_entries if one.name not in self.ignored_sidecars]
+        """Recompute the factors below 1 from the other sidecars' verdicts, by endpoint number."""
+        entries = [entry for entry in self.verdict_entries if entry.name not in self.ignored_sidecars]
         factors = trusts(entries, self.name, ready, self.eject_share)
         if factors != self.factors:
             self.factors = factors
             metrics.lowered(len(factors))
             LOG.info("others' verdicts", extra={"lowered": len(factors), "of": len(ready)})
-        # A key stays at its home on one sidecar's word; two move it, at all alike.
+        # The verdict of one sidecar leaves a key at its home endpoint; those of two move it,
+        # on all sidecars alike.
         self.affinity.settle(number for number in ready if factors.get(number, 1.0) >= TRUST_ONE)
         return factors
 
 
 class WeightFactors:
-    """One factor for each endpoint, from all that has a say."""
+    """Combines all factors into one for each endpoint."""
 
     def __init__(self, shared: SharedState | None, metrics: Quiet) -> None:
         self.shared, self.metrics = shared, metrics
         self.planned_factors: dict[int, float] = {}  # below 1, by endpoint number
 
     def set_planned(self, factors: Mapping[str, float]) -> None:
-        """A plan's weights by instance id, each above 0 and up to 1; who is not named has 1."""
+        """Set a plan's factors by instance id, each in (0, 1]; instances not named have 1."""
         self.planned_factors = {
             endpoint_number(name): factor for name, factor in factors.items() if factor < 1.0
         }
 
     def combined(self, ready: set[int]) -> dict[int, float]:
-        """Below 1, by endpoint number."""
+        """The product of all factors by endpoint number, where it may be below 1."""
         factors = {} if self.shared is None else self.shared.update_factors(ready, self.metrics)
         if not self.planned_factors:
             return factors
-        both = self.planned_factors.keys() | factors.keys()
-        return {number: self.planned_factors.get(number, 1.0) * factors.get(number, 1.0) for number in both}
+        numbers = self.planned_factors.keys() | factors.keys()
+        return {
+            number: self.planned_factors.get(number, 1.0) * factors.get(number, 1.0) for number in numbers
+        }
