--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -267,7 +267,7 @@
 
 async def assert_nothing_pending(sidecar: Sidecar) -> None:
     """Disconnect all clients; then all attempts must end and all endpoint connections be idle or closed."""
-    for caller in list(sidecar.server.callers):
+    for caller in list(sidecar.server.connections):
         if caller.transport is not None:
             caller.transport.abort()
     balancer, upstream = sidecar.driver.balancer, sidecar.upstream
@@ -275,11 +275,15 @@
     def pending() -> list[object]:
         idle_connections = {connection for pool in upstream.pools.values() for connection in pool.idle}
         return [
-            *sidecar.server.callers,
+            *sidecar.server.connections,
             *sidecar.driver.calls.values(),
             *balancer.requests.values(),
-            *balancer.ended.values(),
-            *(endpoint for endpoint in balancer.endpoints.values() if endpoint.inflight or endpoint.moving),
+            *balancer.finished.values(),
+            *(
+                endpoint
+                for endpoint in balancer.endpoints.values()
+                if endpoint.inflight or endpoint.transferring
+            ),
             *(upstream.connections - idle_connections),
         ]
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -219,12 +219,12 @@
         place = sidecar.driver.endpoints_by_number[attempt.endpoint]
         now = sidecar.driver.now()
         assert sidecar.driver.attempts.may_start(attempt, now)
-        assert not sidecar.driver.attempts.may_start(attempt, call.expires)
-        place.left_at = now - 349_000  # of 500 ms; the last 150 are a margin for a suspended process
+        assert not sidecar.driver.attempts.may_start(attempt, call.expires_us)
+        place.removed_at_us = now - 349_000  # of 500 ms; the last 150 are a margin for a suspended process
         assert sidecar.driver.attempts.may_start(attempt, now)
-        place.left_at = now - 350_000
+        place.removed_at_us = now - 350_000
         assert not sidecar.driver.attempts.may_start(attempt, now)
-        connection = attempt.link
+        connection = attempt.connection
         assert isinstance(connection, EndpointConnection)
         connection.write_request()  # as after a slow connect
         assert [event.outcome for event in outcomes] == [MOOT] and len(endpoint.received) == 1
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -18,9 +18,9 @@
     run_sidecar,
 )
 from woadyard.interface import FULL, RESET
+from woadyard.net.endpoint_table import MAX_STALL_US
 from woadyard.net.invariants import TIME_SLACK_US, Rule
 from woadyard.net.message import Attempt, Call
-from woadyard.net.places import HELD_UP_US
 
 MS = 1_000
 
@@ -28,13 +28,13 @@
 def make_call(sidecar: Sidecar, cls: str, **fields: Any) -> Call:
     now = sidecar.driver.now()
     number = sidecar.driver.names.classes[cls]
-    fields = {"expires": now + 4_000 * MS, "wait_us": 4_000 * MS, **fields}
-    return Call(relay=Mock(), start=b"POST /", head=b"", body=b"", cls=number, **fields)
+    fields = {"expires_us": now + 4_000 * MS, "timeout_us": 4_000 * MS, **fields}
+    return Call(client=Mock(), method_and_target=b"POST /", header_lines=b"", body=b"", cls=number, **fields)
 
 
 def make_attempt(sidecar: Sidecar, call: Call, **changes: Any) -> Attempt:
     endpoint = next(iter(sidecar.driver.endpoints_by_number))
-    attempt = Attempt(call, len(call.attempts), endpoint, sidecar.driver.now(), call.expires)
+    attempt = Attempt(call, len(call.attempts), endpoint, sidecar.driver.now(), call.expires_us)
     for name, value in changes.items():
         setattr(attempt, name, value)
     call.attempts.append(attempt)
@@ -64,11 +64,11 @@
         checker.check_written(attempt, now)
         assert not checker.counts
         checker.check_written(
-            make_attempt(sidecar, make_call(sidecar, "page"), start_by=now), now + TIME_SLACK_US + 1
+            make_attempt(sidecar, make_call(sidecar, "page"), start_by_us=now), now + TIME_SLACK_US + 1
         )
         assert checker.counts == {Rule.SEND: 1}
         place = sidecar.driver.endpoints_by_number[attempt.endpoint]
-        place.left_at = now
+        place.removed_at_us = now
         grace = sidecar.driver.in_force.drain_grace_us
         checker.check_written(attempt, now + grace)
         assert checker.counts == {Rule.SEND: 1}
@@ -92,8 +92,8 @@
     cls: str, outcome: int, wrote: bool, late_ms: int, violated: bool
 ) -> None:
     async with run_sidecar(Endpoint()) as sidecar:
-        checker, call = sidecar.driver.attempts.invariants, make_call(sidecar, cls, expires=10**18)
-        make_attempt(sidecar, call, out=False, outcome=outcome, wrote=wrote)
+        checker, call = sidecar.driver.attempts.invariants, make_call(sidecar, cls, expires_us=10**18)
+        make_attempt(sidecar, call, in_flight=False, outcome=outcome, was_written=wrote)
         second = make_attempt(sidecar, call)
         checker.check_written(second, sidecar.driver.now() + late_ms * MS)
         assert checker.counts == ({Rule.REPEAT: 1} if violated else {})
@@ -104,15 +104,15 @@
     async with run_sidecar(Endpoint()) as sidecar:
         checker, call = sidecar.driver.attempts.invariants, make_call(sidecar, "page")
         checker.check_written(
-            make_attempt(sidecar, call, until=call.expires + 151 * MS), sidecar.driver.now()
+            make_attempt(sidecar, call, timeout_at_us=call.expires_us + 151 * MS), sidecar.driver.now()
         )
         assert checker.counts == {Rule.START: 1}
-        call.open = False
+        call.is_open = False
         checker.check_written(make_attempt(sidecar, call), sidecar.driver.now())
         assert checker.counts == {Rule.START: 2}
 
 
-@pytest.mark.parametrize("how", ["close", "cut"])
+@pytest.mark.parametrize("how", ["close_connection", "abort_connection"])
 @on_loop
 async def test_closing_on_a_connected_client_without_a_response_is_counted(how: str) -> None:
     async def never_respond(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -123,7 +123,7 @@
         _, writer = await sidecar.connect()
         writer.write(http_request())
         await endpoint.request_arrived.acquire()
-        (caller,) = sidecar.server.callers
+        (caller,) = sidecar.server.connections
         getattr(sidecar.server, how)(caller)
         assert sidecar.driver.attempts.invariants.counts == {Rule.CLOSE: 1}
         writer.close()
@@ -134,9 +134,9 @@
     async with run_sidecar(Endpoint()) as sidecar:
         listed_endpoints = sidecar.driver.listed_endpoints
         number, place = next(iter(listed_endpoints.by_number.items()))
-        place.left_at, grace = 0, sidecar.driver.in_force.drain_grace_us
-        assert listed_endpoints.may_start(number, grace - HELD_UP_US - 1)
-        assert not listed_endpoints.may_start(number, grace - HELD_UP_US)
+        place.removed_at_us, grace = 0, sidecar.driver.in_force.drain_grace_us
+        assert listed_endpoints.may_start(number, grace - MAX_STALL_US - 1)
+        assert not listed_endpoints.may_start(number, grace - MAX_STALL_US)
         assert listed_endpoints.may_have_started(number, grace - 1) and not listed_endpoints.may_have_started(
             number, grace
         )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -59,7 +59,7 @@
         for n in range(5):
             writer.write(http_request(cls, rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        assert endpoint.connection_count == 1 and len(sidecar.server.callers) == 1
+        assert endpoint.connection_count == 1 and len(sidecar.server.connections) == 1
         assert not sidecar.driver.calls and not sidecar.driver.balancer.requests
 
 
@@ -121,7 +121,7 @@
         sidecar.set_list(first.entry("s-0"), second.entry("s-1"))
         assert sidecar.upstream.pools[endpoint_number("s-0")].idle
         sidecar.set_list(second.entry("s-1", lifecycle="ready"), is_full=False)
-        vars(sidecar.driver.balancer.choice)["pick"] = (
+        vars(sidecar.driver.balancer.picker)["pick"] = (
             lambda now, req, due: sidecar.driver.balancer.endpoints[endpoint_number("s-1")]
         )
         assert (await sidecar.send(http_request(rid="r2"))).body == b"ok"
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -103,10 +103,10 @@
         async with run_sidecar(light, heavy) as sidecar:
             sidecar.driver.set_planned_weights({"s-0": 0.1, "s-1": 1.0, "unknown": 0.5})
             sidecar.set_list(light.entry("s-0"), heavy.entry("s-1"))
-            assert sidecar.driver.balancer.endpoints[endpoint_number("s-0")].trust == 0.1
-            assert sidecar.driver.balancer.endpoints[endpoint_number("s-1")].trust == 1.0
+            assert sidecar.driver.balancer.endpoints[endpoint_number("s-0")].verdict_factor == 0.1
+            assert sidecar.driver.balancer.endpoints[endpoint_number("s-1")].verdict_factor == 1.0
             sidecar.driver.set_planned_weights({})
-            assert sidecar.driver.balancer.endpoints[endpoint_number("s-0")].trust == 1.0
+            assert sidecar.driver.balancer.endpoints[endpoint_number("s-0")].verdict_factor == 1.0
 
     run_test(main())
 
@@ -115,7 +115,7 @@
 def test_a_shut_out_sidecar_rejects_new_requests_and_finishes_the_others(body: bytes) -> None:
     async def main() -> None:
         async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            sidecar.server.shut_out = True
+            sidecar.server.is_shut_out = True
             writer.write(http_response())
 
         endpoint = Endpoint(reply)
@@ -125,7 +125,7 @@
             assert (response.start_line.split()[1], response.headers["retry-after"]) == ("503", "1")
             response = await sidecar.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
             assert response.start_line.split()[1] == "503"
-            sidecar.server.shut_out = False
+            sidecar.server.is_shut_out = False
             assert (await sidecar.send(http_request("pay", rid="r3"))).body == b"ok"
             assert len(endpoint.received) == 2
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -76,9 +76,9 @@
         ):
             assert (await one.send(again)).start_line.split()[1] == "409"
         assert len(endpoint.received) == 1
-        one.server.ids[b"r1"] = one.driver.now() - 60_000_000, one.driver.now()
+        one.server.request_ids[b"r1"] = one.driver.now() - 60_000_000, one.driver.now()
         assert (await one.send(http_request("pay", rid="r2"))).body == b"ok"
-        assert list(one.server.ids) == [b"r2"], "forgotten after its time"
+        assert list(one.server.request_ids) == [b"r2"], "forgotten after its time"
 
 
 @on_loop
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.process import config, free_port, start
+from tests.process import free_port, sidecar_environ, start_sidecar
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -25,7 +25,7 @@
     read_message,
     run_sidecar,
 )
-from woadyard.net.discovery import LOST
+from woadyard.net.discovery import LOST_MESSAGE
 
 
 async def hold(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -44,8 +44,8 @@
     endpoint, discovery_server = Endpoint(slow), FakeDiscovery()
     async with await endpoint.start(), await discovery_server.start():
         port = free_port()
-        environ = {**config(tmp_path, discovery_server, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
-        process = await start(environ)
+        environ = {**sidecar_environ(tmp_path, discovery_server, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
+        process = await start_sidecar(environ)
         _, watch = await discovery_server.watches.get()
         push_list(watch, 2, True, endpoint.entry())
         while True:  # the watch starts before the sidecar listens
@@ -72,7 +72,7 @@
         assert response.body == b"ok" and response.headers["connection"] == "close"
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST}, (
+        assert {json.loads(line)["event"] for line in errors.splitlines()} <= {LOST_MESSAGE}, (
             "the watch is silent; nothing else may be logged"
         )
         for open_writer in (writer, idle_writer, new_writer):
@@ -85,8 +85,8 @@
     async with run_sidecar(endpoint) as sidecar:
         now = sidecar.driver.now()
         sidecar.server.stop(lambda: None)
-        assert now + 3_000_000 < sidecar.server.answered_by < sidecar.driver.now() + 3_700_000
-        sidecar.server.answered_by = sidecar.driver.now() + 50_000
+        assert now + 3_000_000 < sidecar.server.responses_due_us < sidecar.driver.now() + 3_700_000
+        sidecar.server.responses_due_us = sidecar.driver.now() + 50_000
         response = await sidecar.send(http_request("pay", deadline_ms=30_000))
         assert response.start_line.split()[1] == "504"
 
@@ -103,7 +103,7 @@
         for n in range(3):
             writer.write(http_request(rid=f"r{n}"))
             assert (await read_message(reader)).body == b"ok"
-        sidecar.server.closing = True  # as after the idle connections have been closed
+        sidecar.server.is_draining = True  # as after the idle connections have been closed
         writer.write(http_request(rid="last") + http_request(rid="ahead") + http_request(rid="further"))
         for n in range(3):
             response = await read_message(reader)
@@ -120,9 +120,9 @@
     old, new = FakeDiscovery(), FakeDiscovery()
     changes = {"settings": {**SETTINGS, "discovery": discovery}}
     async with await old.start(), await new.start():
-        environ = {**config(tmp_path, old, **changes), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
+        environ = {**sidecar_environ(tmp_path, old, **changes), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
         environ["LB_DISCOVERY"] = f"127.0.0.1:{old.port}"
-        process = await start(environ)
+        process = await start_sidecar(environ)
         assert process.stderr is not None
         start_line, watch = await old.watches.get()
         assert "from=1 " in start_line
@@ -131,7 +131,7 @@
         process.send_signal(signal.SIGHUP)
         line = await process.stderr.readline()
         assert json.loads(line)["event"] == "not reloaded"
-        config(tmp_path, new, **changes)
+        sidecar_environ(tmp_path, new, **changes)
         process.send_signal(signal.SIGHUP)
         start_line, watch = await new.watches.get()
         assert "from=5 " in start_line
@@ -141,7 +141,7 @@
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST], (
+        assert [json.loads(line)["event"] for line in errors.splitlines()] == [LOST_MESSAGE], (
             "logged once, not per attempt"
         )
 
@@ -162,7 +162,7 @@
 ) -> None:
     discovery_server = FakeDiscovery()
     discovery_server.port = 1
-    process = await start(config(tmp_path, discovery_server, **changes))
+    process = await start_sidecar(sidecar_environ(tmp_path, discovery_server, **changes))
     out, errors = await process.communicate()
     assert process.returncode == 2 and out == b""
     assert errors.count(b"\n") == 1 and json.loads(errors)["event"] == "can't start"
@@ -171,6 +171,6 @@
 @on_loop
 async def test_a_missing_configuration_is_logged_in_one_line_and_exits() -> None:
     environ = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
-    process = await start(environ)
+    process = await start_sidecar(environ)
     _, errors = await process.communicate()
     assert process.returncode == 2 and json.loads(errors)["error"] == "LB_CONFIG is not set"
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.process import Process, call, config, free_port, start
-from tests.process import ready as wait_until_admin_ready
+from tests.process import Process, free_port, http_call, sidecar_environ, start_sidecar
+from tests.process import wait_until_ready as wait_until_admin_ready
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -35,7 +35,7 @@
     while True:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(1.0):
-                if (await call(port, "GET", "/health/ready")).start_line.startswith("HTTP/1.1 200"):
+                if (await http_call(port, "GET", "/health/ready")).start_line.startswith("HTTP/1.1 200"):
                     return
         await asyncio.sleep(0.02)
 
@@ -106,8 +106,8 @@
         await stack.enter_async_context(await endpoint.start())
         changes: dict[str, Any] = {"settings": {**SETTINGS, "discovery": discovery}}
         async with asyncio.timeout(READY_S):
-            process = await start(
-                config(tmp_path, discovery_server, endpoint, listen=f"127.0.0.1:{port}", **changes)
+            process = await start_sidecar(
+                sidecar_environ(tmp_path, discovery_server, endpoint, listen=f"127.0.0.1:{port}", **changes)
             )
             stack.push_async_callback(kill_process, process)
             await wait_until_ready(port)
@@ -124,7 +124,9 @@
     async with contextlib.AsyncExitStack() as stack:
         discovery_server = await stack.enter_async_context(discovery_without_list("down"))
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, discovery_server, listen=f"127.0.0.1:{port}"))
+            process = await start_sidecar(
+                sidecar_environ(tmp_path, discovery_server, listen=f"127.0.0.1:{port}")
+            )
             stack.push_async_callback(kill_process, process)
             await wait_until_ready(port)
 
@@ -138,14 +140,14 @@
         await stack.enter_async_context(await endpoint.start())
         await stack.enter_async_context(await discovery_server.start())
         environ = {
-            **config(tmp_path, discovery_server, endpoint, listen=f"127.0.0.1:{port}"),
+            **sidecar_environ(tmp_path, discovery_server, endpoint, listen=f"127.0.0.1:{port}"),
             "LB_ACCEPT_FD": str(listening.fileno()),
         }
         previous = None
         for _ in range(2):
             async with asyncio.timeout(READY_S):
                 admin_port = free_port()
-                process = await start(
+                process = await start_sidecar(
                     {**environ, "LB_CONSOLE": f"127.0.0.1:{admin_port}"}, listening.fileno()
                 )
                 stack.push_async_callback(kill_process, process)
@@ -177,7 +179,7 @@
         crowd = [asyncio.create_task(idle()) for _ in range(100)]
         stack.callback(lambda: [task.cancel() for task in crowd])
         async with asyncio.timeout(READY_S):
-            process = await start(config(tmp_path, discovery_server, endpoint, **changes))
+            process = await start_sidecar(sidecar_environ(tmp_path, discovery_server, endpoint, **changes))
             stack.push_async_callback(kill_process, process)
             await wait_until_ready(port)
 
@@ -186,18 +188,18 @@
 async def test_a_new_client_that_sends_a_request_is_served_in_a_crowd_of_silent_ones() -> None:
     """All sockets are in use, and no client has been silent for long yet."""
     async with run_sidecar(Endpoint()) as sidecar:
-        sidecar.server.most = 64  # 48 of them for clients
+        sidecar.server.max_sockets = 64  # 48 of them for clients
         first, first_writer = await sidecar.connect()
         first_writer.write(http_request(rid="first")[:1])  # it has sent part of a request
         crowd = [await sidecar.connect() for _ in range(47)]
-        await wait_until(lambda: len(sidecar.server.callers) == 48)
+        await wait_until(lambda: len(sidecar.server.connections) == 48)
         for n in range(20):  # each is followed by another silent client
             client = await sidecar.connect()
             crowd.append(await sidecar.connect())
             client[1].write(http_request(rid=f"r{n}"))
             assert (await read_message(client[0])).body == b"ok"
             client[1].close()
-            await wait_until(lambda: len(sidecar.server.callers) <= 48)
+            await wait_until(lambda: len(sidecar.server.connections) <= 48)
         first_writer.write(http_request(rid="first")[1:])
         assert (await read_message(first)).body == b"ok"
         for _, writer in crowd:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.process import config, free_port, open_at, start
+from tests.process import connect_when_open, free_port, sidecar_environ, start_sidecar
 from tests.sockets import (
     LARGE_BODY,
     SETTINGS,
@@ -27,7 +27,7 @@
     run_sidecar,
     wait_until,
 )
-from woadyard.net.server import stop_times
+from woadyard.net.server import shutdown_times
 from woadyard.wire import read_settings
 
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("deadline_s", [0.05, 0.1, 0.3, 1.0, 3.0, 30.0])
 def test_what_comes_last_has_time_for_its_answer_and_that_for_its_way(deadline_s: float) -> None:
-    kept_s, answered_s = stop_times(deadline_s)
+    kept_s, answered_s = shutdown_times(deadline_s)
     assert kept_s > 0.4, "new connections come until then"
     assert answered_s - kept_s > min(0.1, deadline_s) - 1e-9
     assert answered_s < min(3.0, deadline_s) + 0.7 - 0.1 + 1e-9, "SIGKILL"
@@ -56,7 +56,7 @@
     async with run_sidecar(Endpoint()) as one:
         retune(one, 300_000)
         one.server.stop(lambda: None)
-        assert one.server.answered_by < one.driver.now() + 1_000_000, "SIGKILL may come then"
+        assert one.server.responses_due_us < one.driver.now() + 1_000_000, "SIGKILL may come then"
 
 
 @on_loop
@@ -65,8 +65,8 @@
     async with await endpoint.start(), await registry.start():
         port = free_port()
         changes = {"settings": lasting(300_000), "listen": f"127.0.0.1:{port}"}
-        process = await start(config(tmp_path, registry, endpoint, **changes))
-        reader, writer = await open_at(port)
+        process = await start_sidecar(sidecar_environ(tmp_path, registry, endpoint, **changes))
+        reader, writer = await connect_when_open(port)
         writer.write(http_request())
         await read_message(reader)  # it heeds signals by now
         process.send_signal(signal.SIGTERM)
@@ -123,10 +123,10 @@
         if before:
             writer.write(sent)
             await wait_until(
-                lambda: any(caller.call or caller.incoming.reading for caller in one.server.callers)
+                lambda: any(caller.call or caller.parser.is_reading for caller in one.server.connections)
             )
         one.server.stop(ended.set)
-        by = one.server.answered_by
+        by = one.server.responses_due_us
         if not before:
             writer.write(sent)
         back = await read_message(reader)
@@ -150,14 +150,14 @@
         with writer.get_extra_info("socket").dup() as raw:
             raw.send(http_request(rid="last"))  # with the system at once
         if read:
-            one.server._stop_keeping()
+            one.server._begin_draining()
             back = await read_message(reader)
             assert back.body == b"ok" and back.headers["connection"] == "close"
         else:
-            one.server._close_resting()
+            one.server._close_idle()
             with suppress(ConnectionError):
                 assert await reader.read() == b""
-        await wait_until(lambda: not one.server.callers)
+        await wait_until(lambda: not one.server.connections)
         assert [one.headers["x-request-id"] for one in endpoint.received] == ["before", "last"][: 1 + read]
         assert settled(one)
         writer.close()
@@ -177,14 +177,16 @@
     endpoint, registry = Endpoint(slow), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         port = free_port()
-        process = await start(config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}"))
+        process = await start_sidecar(
+            sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}")
+        )
         assert process.stderr is not None
-        reader, writer = await open_at(port)
+        reader, writer = await connect_when_open(port)
         writer.write(http_request(rid="held"))
         await endpoint.request_arrived.acquire()
         process.send_signal(signal.SIGTERM)
         others = {**SETTINGS, "classes": SETTINGS["classes"][1:]}  # its class is gone
-        config(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", settings=others)
+        sidecar_environ(tmp_path, registry, endpoint, listen=f"127.0.0.1:{port}", settings=others)
         process.send_signal(further)
         while further == signal.SIGHUP and b"reloaded" not in await process.stderr.readline():
             pass  # discovery says nothing, and that is told
@@ -199,7 +201,7 @@
 async def test_sigterm_before_it_listens_ends_it_at_once(tmp_path: Path) -> None:
     endpoint, registry = Endpoint(), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
-        process = await start(config(tmp_path, registry, endpoint))
+        process = await start_sidecar(sidecar_environ(tmp_path, registry, endpoint))
         await registry.watches.get()  # it waits a moment for its first list
         process.send_signal(signal.SIGTERM)
         await process.communicate()
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -16,7 +16,15 @@
 from tests.test_replicas import caught_up, end, replica, until
 from woadyard.lists.service import PATH
 from woadyard.net.discovery import Discovery
-from woadyard.net.held import KEEP, OTHER_S, REFUSE, TAKE, Held, Named, Told
+from woadyard.net.list_version import (
+    KEEP,
+    OTHER_LINEAGE_AFTER_S,
+    REFUSE,
+    TAKE,
+    CurrentVersion,
+    ListMessage,
+    ListVersion,
+)
 from woadyard.net.listwriter import ListWriter
 
 
@@ -55,7 +63,7 @@
         watcher = Watcher(ports[1], 1, 2)  # of the newer leader
         await watcher.reached.wait()
         watcher.discovery.replicas = [f"127.0.0.1:{ports[0]}"]  # now of the older leader only
-        watcher.discovery.watch(True)
+        watcher.discovery.set_watch(True)
         deposed = await next_log_event(first, "deposed: another process writes, this one stops")
         assert deposed["greater"] == y_2["term"] and deposed["remedy"]
         status, text = await register(ports[0], "x-3")
@@ -157,19 +165,19 @@
         ({"generation": 6}, True, 0.0, KEEP),
         ({"term": 6, "generation": 2}, True, 0.0, TAKE),
         ({"term": 4, "generation": 9}, True, 99.0, REFUSE),
-        ({"lineage": "cd"}, True, OTHER_S - 1.0, REFUSE),
-        ({"lineage": "cd"}, True, OTHER_S + 1.0, TAKE),
-        ({"lineage": "cd"}, False, OTHER_S + 1.0, REFUSE),
+        ({"lineage": "cd"}, True, OTHER_LINEAGE_AFTER_S - 1.0, REFUSE),
+        ({"lineage": "cd"}, True, OTHER_LINEAGE_AFTER_S + 1.0, TAKE),
+        ({"lineage": "cd"}, False, OTHER_LINEAGE_AFTER_S + 1.0, REFUSE),
         ({"lineage": "", "term": 0, "generation": 9}, True, 0.0, REFUSE),
     ],
 )
 def test_the_list_with_the_greater_term_is_the_newer_one(
     received: dict[str, Any], is_full: bool, after_s: float, verdict: str
 ) -> None:
-    held_list = Held()
-    held_list.take(Named(**HELD), 100.0)
-    held_list.trusting = False
-    assert held_list.judge(Named(**{**HELD, **received}), is_full, 100.0 + after_s) == verdict
+    held_list = CurrentVersion()
+    held_list.replace(ListVersion(**HELD), 100.0)
+    held_list.accepts_any_full_list = False
+    assert held_list.evaluate(ListVersion(**{**HELD, **received}), is_full, 100.0 + after_s) == verdict
 
 
 def test_without_terms_only_a_greater_generation_is_applied() -> None:
@@ -179,9 +187,9 @@
         loop, "127.0.0.1:1", "/l", True, lambda version, *_: applied.append(version), Random(1)
     )
     for version in (41, 40, 42):
-        assert discovery.take(Told(version, True, []))
+        assert discovery.receive(ListMessage(version, True, []))
     assert (
         applied == [41, 42]
-        and discovery.held.target("/l") == "/l?watch=1&from=42"
-        and not discovery.held.header()
+        and discovery.current.watch_target("/l") == "/l?watch=1&from=42"
+        and not discovery.current.term_header()
     )
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from woadyard.interface import CANCELLED, MOOT, NO_CONNECT, OK, TIMEOUT, Outcome, Send
+from woadyard.net.active_settings import ActiveSettings
+from woadyard.net.endpoint_table import EndpointTable
 from woadyard.net.event_dispatcher import EventDispatcher, now_us
 from woadyard.net.invariants import InvariantChecker
-from woadyard.net.message import Answer, Attempt
-from woadyard.net.names import InForce
-from woadyard.net.places import Places
+from woadyard.net.message import Attempt, Response
 from woadyard.net.requests import Requests
 from woadyard.net.upstream import Upstream
 
@@ -21,13 +21,13 @@
         self,
         dispatcher: EventDispatcher,
         requests: Requests,
-        listed_endpoints: Places,
-        in_force: InForce,
+        listed_endpoints: EndpointTable,
+        in_force: ActiveSettings,
         upstream: Upstream,
     ) -> None:
         self.dispatcher, self.requests, self.listed_endpoints = dispatcher, requests, listed_endpoints
         self.in_force, self.upstream = in_force, upstream
-        requests.stop = self.stop
+        requests.stop_attempt = self.stop
         # Called with request and endpoint for each attempt that wrote no byte (for the audit).
         self.on_unsent: Callable[[int, int], None] | None = None
         self.invariants = InvariantChecker(in_force, listed_endpoints, dispatcher.metrics)
@@ -40,9 +40,9 @@
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
         """Whether the first byte of the attempt may be written now (µs)."""
-        if not attempt.call.open or now >= min(attempt.until, attempt.start_by):
+        if not attempt.call.is_open or now >= min(attempt.timeout_at_us, attempt.start_by_us):
             return False
-        if not attempt.call.relay.there():  # a client that has disconnected ends the request here
+        if not attempt.call.client.check_connected():  # a client that has disconnected ends the request here
             return False
         return self.listed_endpoints.may_start(attempt.endpoint, now)
 
@@ -51,22 +51,22 @@
         now, call = now_us(), self.requests.calls.get(action.request)
         if call is None:
             return
-        wait_us = action.timeout_us or call.expires - now
-        until = min(call.expires, now + wait_us)
+        wait_us = action.timeout_us or call.expires_us - now
+        until = min(call.expires_us, now + wait_us)
         attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
         call.attempts.append(attempt)
-        self.dispatcher.metrics.sent(attempt.copy)
+        self.dispatcher.metrics.attempt_sent(attempt.index)
         if (observer := self.dispatcher.observer) is not None:
-            attempt.extra = observer.attempt_started(now, action)
+            attempt.extra_headers = observer.attempt_started(now, action)
         if self.in_force.locality is not None:
             place = self.listed_endpoints.by_number.get(action.endpoint)
             if place is not None:
-                self.dispatcher.metrics.zone(place.zone)
-        if attempt.copy >= self.in_force.settings.max_attempts or not self.may_start(attempt, now):
+                self.dispatcher.metrics.zone_attempt_sent(place.zone)
+        if attempt.index >= self.in_force.settings.max_attempts or not self.may_start(attempt, now):
             self.record_outcome(attempt, MOOT, None, b"")
             return
-        if attempt.until < call.expires:
-            attempt.timer = self.dispatcher.call_at(attempt.until, self.stop, attempt, TIMEOUT)
+        if attempt.timeout_at_us < call.expires_us:
+            attempt.timer = self.dispatcher.call_at(attempt.timeout_at_us, self.stop, attempt, TIMEOUT)
         self.upstream.send(attempt)
 
     def cancel(self, request: int, copy: int) -> None:
@@ -76,63 +76,63 @@
 
     def stop(self, attempt: Attempt, outcome: int) -> None:
         """Stop waiting for an attempt and record this outcome."""
-        if attempt.out:
+        if attempt.in_flight:
             never_left = self.upstream.cancel(attempt)
             # A timeout while connecting, or while the connection accepts no more bytes, proves that
             # the endpoint never ran the request.
             proven = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
             self.record_outcome(attempt, proven, None, b"")
 
-    def begin_relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool:
+    def begin_relay(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
         """Start streaming a response that is too large to buffer; false if nobody waits for it.
 
         It is the client's final response, so the timeouts of the attempt and the request end.
         """
         call = attempt.call
-        if not call.open or not attempt.out or attempt.link is None:
+        if not call.is_open or not attempt.in_flight or attempt.connection is None:
             return False
-        call.relayed, attempt.head_us = attempt, now_us() - attempt.sent
-        self.requests.told(call, answer.status)
+        call.streaming_attempt, attempt.head_us = attempt, now_us() - attempt.sent_us
+        self.requests.record_response(call, answer.status)
         for timer in (call.timer, attempt.timer):
             if timer is not None:
                 timer.cancel()
         call.timer = attempt.timer = None
-        event = Outcome(call.id, attempt.copy, attempt.endpoint, OK, attempt.head_us)
+        event = Outcome(call.id, attempt.index, attempt.endpoint, OK, attempt.head_us)
         self.dispatcher.dispatch(self.dispatcher.balancer.head, event, call=call)
-        call.relay.begin(answer, length, attempt.link)
+        call.client.begin_response(answer, length, attempt.connection)
         return True
 
     def record_outcome(
-        self, attempt: Attempt, outcome: int, answer: Answer | None, load_report: bytes
+        self, attempt: Attempt, outcome: int, answer: Response | None, load_report: bytes
     ) -> None:
         """Complete an attempt and report its outcome; any later outcome is ignored."""
-        if not attempt.out:
+        if not attempt.in_flight:
             return
-        attempt.out, attempt.outcome = False, outcome
+        attempt.in_flight, attempt.outcome = False, outcome
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
         call = attempt.call
-        self.dispatcher.metrics.ended(outcome, now_us() - attempt.sent)
-        if outcome == OK and answer is not None and call.open:
-            self.requests.answer(call, answer)
-        if call.relayed is attempt and call.open:
-            self.requests.over(call)
-            call.relay.end(outcome == OK)
-        now, over = now_us(), not call.open
+        self.dispatcher.metrics.attempt_ended(outcome, now_us() - attempt.sent_us)
+        if outcome == OK and answer is not None and call.is_open:
+            self.requests.send_response(call, answer)
+        if call.streaming_attempt is attempt and call.is_open:
+            self.requests.close(call)
+            call.client.end_response(outcome == OK)
+        now, over = now_us(), not call.is_open
         event = Outcome(
             call.id,
-            attempt.copy,
+            attempt.index,
             attempt.endpoint,
             outcome,
-            attempt.head_us or now - attempt.sent,
+            attempt.head_us or now - attempt.sent_us,
             over,
-            self.in_force.names.report(load_report),
-            call.upload is not None and call.upload.spent,
+            self.in_force.name_index.parse_report(load_report),
+            call.upload is not None and call.upload.partly_sent,
         )
-        if self.on_unsent is not None and not attempt.wrote:
+        if self.on_unsent is not None and not attempt.was_written:
             self.on_unsent(call.id, attempt.endpoint)
         if (observer := self.dispatcher.observer) is not None:
             observer.attempt_ended(now, event)
         self.dispatcher.dispatch(self.dispatcher.balancer.outcome, event, call=call)
-        self.requests.drop(call)
+        self.requests.discard_if_finished(call)
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -31,18 +31,18 @@
     Verdict,
     Watch,
 )
+from woadyard.net.active_settings import ActiveSettings, NameIndex
 from woadyard.net.attempts import AttemptRunner
 from woadyard.net.discovery import Discovery
+from woadyard.net.endpoint_table import EndpointTable, ListedEndpoint
 from woadyard.net.event_dispatcher import EventDispatcher, now_us
-from woadyard.net.message import Answer, Call
-from woadyard.net.names import InForce, Names
+from woadyard.net.message import Call, Response
 from woadyard.net.observers import ListListener, Observer, ObserverGroup
-from woadyard.net.places import Place, Places
 from woadyard.net.requests import Requests
 from woadyard.net.state import Bans
 from woadyard.net.upstream import Upstream
 from woadyard.net.weight_factors import SharedState, WeightFactors
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.policy import Balancer
 from woadyard.shared.store import Entry as VerdictEntry
 
@@ -62,18 +62,18 @@
         raw_settings: dict[str, Any],
         upstream: Upstream,
         state: Path | None = None,
-        metrics: Quiet | None = None,
+        metrics: NullMetrics | None = None,
         shared: SharedState | None = None,
         locality: Locality | None = None,
     ) -> None:
         self.loop, self.upstream, self.shared = loop, upstream, shared
-        self.metrics = metrics or Quiet()
+        self.metrics = metrics or NullMetrics()
         self.raw_settings = raw_settings
-        self.in_force = InForce(shared is not None)
+        self.in_force = ActiveSettings(shared is not None)
         self._put_in_force(settings, locality)
         self.balancer = Balancer(seed, self.settings)
         self.bans = Bans(state, self._on_ban_changed)
-        self.listed_endpoints = Places(upstream, self.bans, self.in_force)
+        self.listed_endpoints = EndpointTable(upstream, self.bans, self.in_force)
         self.weight_factors = WeightFactors(shared, self.metrics)
         self.dispatcher = EventDispatcher(loop, self.balancer, self._execute, self._on_fault, self.metrics)
         self.requests = Requests(self.dispatcher, shared)
@@ -92,11 +92,11 @@
         return self.in_force.settings
 
     @property
-    def names(self) -> Names:
-        return self.in_force.names
+    def names(self) -> NameIndex:
+        return self.in_force.name_index
 
     @property
-    def endpoints_by_number(self) -> dict[int, Place]:
+    def endpoints_by_number(self) -> dict[int, ListedEndpoint]:
         return self.listed_endpoints.by_number
 
     @property
@@ -129,10 +129,10 @@
         if self.discovery is not None:
             self.discovery.generation = int(cached_list["generation"]) if cached_list else 0
             self.discovery.on_failed = self._on_list_failed
-            self.discovery.on_anew = self.listed_endpoints.left.clear
+            self.discovery.on_generation_reset = self.listed_endpoints.removed.clear
             self._subscribe_lease_events(self.discovery)
-            if self.discovery.pushed:
-                self.discovery.watch(True)
+            if self.discovery.uses_push:
+                self.discovery.set_watch(True)
 
     def _subscribe_lease_events(self, discovery: Discovery) -> None:
         """Forward what discovery reports about its state, which the membership lease depends on."""
@@ -154,7 +154,7 @@
         self.dispatch(self.balancer.retune, self.settings)
 
     def _put_in_force(self, settings: Settings, locality: Locality | None) -> None:
-        self.in_force.settle(self.raw_settings, settings, locality)
+        self.in_force.update(self.raw_settings, settings, locality)
         self.upstream.set_timeouts(settings.idle_us, settings.connect_timeout_us)
 
     def _notify_settings(self) -> None:
@@ -169,12 +169,12 @@
         self.has_received_list = True
 
     def _on_list_failed(self) -> None:
-        self.metrics.listed(LIST_FAILED, 0)
+        self.metrics.list_received(LIST_FAILED, 0)
         self.dispatch(self.balancer.members, LIST_FAILED, ())
 
     def _apply_entries(self, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        entries = self.listed_endpoints.read(version, raw)
-        self.metrics.listed(mode, version)
+        entries = self.listed_endpoints.parse(version, raw)
+        self.metrics.list_received(mode, version)
         self.listed_endpoints.apply(version, mode != LIST_DELTA, entries)
         self.dispatch(self.balancer.members, mode, [entry for entry, _ in entries])
         if self.observer is not None:
@@ -207,14 +207,18 @@
         self._dispatch_weight_factors()
 
     def _dispatch_weight_factors(self) -> None:
-        self.dispatch(self.balancer.trust, self.weight_factors.combined(self.listed_endpoints.ready()))
+        self.dispatch(
+            self.balancer.trust, self.weight_factors.combined(self.listed_endpoints.ready_numbers())
+        )
 
     # --- Limits shared with other sidecars ----------------------------------------------
 
     def preferred_endpoints(self) -> list[int]:
         """The ready endpoints that the balancer sends to from this sidecar."""
         return [
-            endpoint.id for endpoint in self.balancer.endpoints.values() if endpoint.own and endpoint.ready
+            endpoint.id
+            for endpoint in self.balancer.endpoints.values()
+            if endpoint.in_subset and endpoint.is_ready
         ]
 
     def in_flight_counts(self) -> dict[int, int]:
@@ -234,7 +238,7 @@
 
         `others` is the limit of each endpoint that `caps` does not name.
         """
-        self.metrics.shares(sum(caps.values()))
+        self.metrics.set_shares(sum(caps.values()))
         self.dispatch(self.balancer.limit, caps, others)
 
     # --- Operators --------------------------------------------------------------------
@@ -244,19 +248,19 @@
         self.loop.call_soon_threadsafe(self._detach if is_banned else self._attach, number)
 
     def _detach(self, number: int) -> None:
-        self.metrics.banned(True)
+        self.metrics.ban_changed(True)
         self.upstream.close_pool(number)
         self.dispatch(self.balancer.detach, number)
 
     def _attach(self, number: int) -> None:
-        self.metrics.banned(False)
-        self.listed_endpoints.reopen(number)
+        self.metrics.ban_changed(False)
+        self.listed_endpoints.reattach(number)
         self.dispatch(self.balancer.attach, number)
 
     # --- Actions ----------------------------------------------------------------------
 
     def _on_fault(self, call: Call) -> None:
-        self.requests.answer(call, Answer(500))
+        self.requests.send_response(call, Response(500))
 
     def _execute(self, action: Action) -> None:
         match action:
@@ -265,7 +269,7 @@
             case Timer(token, delay_us):
                 self.dispatcher.start_timer(delay_us, token)
             case Refuse(request, retry_after_us):
-                self.requests.refuse(request, retry_after_us)
+                self.requests.reject(request, retry_after_us)
             case Fail(request):
                 self.requests.fail(request)
             case Cancel(request, copy):
@@ -274,8 +278,8 @@
                 self.upstream.close_idle(endpoint)
             case Watch(on):
                 # The action may come after a wait, in which a new address has started another watch.
-                if self.discovery is not None and not (on and self.discovery.watching):
-                    self.discovery.watch(on)
+                if self.discovery is not None and not (on and self.discovery.is_watching):
+                    self.discovery.set_watch(on)
             case Fetch():
                 if self.discovery is not None:
                     self.discovery.fetch()
--- a/woadyard/net/endpoint_connection.py
+++ b/woadyard/net/endpoint_connection.py
@@ -15,17 +15,17 @@
 
 from woadyard.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from woadyard.net.message import (
-    HEAD_MAX,
-    HOLD_MAX,
     LAST_CHUNK,
-    Answer,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
     Attempt,
     FramingError,
     Headers,
+    Response,
     Upload,
-    chunk,
-    framing,
-    pass_on,
+    encode_chunk,
+    end_to_end_headers,
+    parse_framing,
 )
 
 
@@ -40,9 +40,9 @@
     def may_start(self, attempt: Attempt, now: int) -> bool: ...
     @property
     def on_written(self) -> Callable[[Attempt, int], None]: ...
-    def begin_relay(self, attempt: Attempt, answer: Answer, length: int | None) -> bool: ...
+    def begin_relay(self, attempt: Attempt, answer: Response, length: int | None) -> bool: ...
     def on_outcome(
-        self, attempt: Attempt, outcome: int, answer: Answer | None, load_report: bytes
+        self, attempt: Attempt, outcome: int, answer: Response | None, load_report: bytes
     ) -> None: ...
     def on_connection_lost(self, connection: EndpointConnection) -> None: ...
     def schedule_sweep(self, idle_since_s: float) -> None: ...
@@ -138,12 +138,12 @@
     def pause_writing(self) -> None:
         self.is_request_unwritten = True
         if self.upload is not None:
-            self.upload.hold(True)
+            self.upload.set_paused(True)
 
     def resume_writing(self) -> None:
         self.is_request_unwritten = self.upload is not None
         if self.upload is not None:
-            self.upload.hold(False)
+            self.upload.set_paused(False)
 
     def write_request(self) -> None:
         """Write the attempt's request, or end the attempt as MOOT if it may not start any more."""
@@ -159,7 +159,7 @@
             return
         self.upload = attempt.call.upload
         self.is_request_unwritten = self.upload is not None
-        attempt.wrote = True
+        attempt.was_written = True
         transport.write(encode_request(attempt, now))
         self.owner.on_written(attempt, self.owner.now())
         if self.upload is not None:
@@ -167,12 +167,12 @@
         if transport.is_closing():
             self.is_request_unwritten = True  # the first write failed: no byte was sent
 
-    def load_part(self, data: bytes) -> None:
+    def send_body_part(self, data: bytes) -> None:
         """Write a part of a streamed body."""
         assert self.transport is not None and self.upload is not None
-        self.transport.write(data if self.upload.length is not None else chunk(data))
+        self.transport.write(data if self.upload.length is not None else encode_chunk(data))
 
-    def load_end(self) -> None:
+    def end_body(self) -> None:
         """Finish a streamed body."""
         assert self.transport is not None and self.upload is not None
         chunked, self.upload = self.upload.length is None, None
@@ -224,7 +224,7 @@
         self._report_outcome(NO_CONNECT if self.is_request_unwritten and not self.is_relaying else RESET)
         del self.parser  # breaks the reference cycle between parser and connection
 
-    def _report_outcome(self, outcome: int, answer: Answer | None = None) -> None:
+    def _report_outcome(self, outcome: int, answer: Response | None = None) -> None:
         self.detach_upload()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
@@ -261,9 +261,11 @@
                 return
         if self.is_complete:
             self._finish_response()
-        elif self.bytes_since_body > HEAD_MAX:  # a head or trailers that the parser would buffer endlessly
+        elif (
+            self.bytes_since_body > MAX_HEAD_BYTES
+        ):  # a head or trailers that the parser would buffer endlessly
             self._fail_response()
-        elif self.body_size > HOLD_MAX and not self.is_relaying:
+        elif self.body_size > MAX_BUFFERED_BODY_BYTES and not self.is_relaying:
             self._finish_response()  # not a response to relay: the rest of the body is not needed
 
     def _fail_response(self) -> None:
@@ -288,9 +290,9 @@
     def on_headers_complete(self) -> None:
         status = self.parser.get_status_code()
         if status >= 200:
-            self.content_length, self.is_chunked = framing(self.headers)
+            self.content_length, self.is_chunked = parse_framing(self.headers)
             self.status = status
-            if (self.content_length or 0) > HOLD_MAX:
+            if (self.content_length or 0) > MAX_BUFFERED_BODY_BYTES:
                 self._begin_relay()
 
     def on_body(self, data: bytes) -> None:
@@ -298,20 +300,20 @@
         self.bytes_since_body = 0
         if self.is_relaying:
             assert self.attempt is not None
-            self.attempt.call.relay.part(data)
+            self.attempt.call.client.send_body_part(data)
         else:
             self.body_parts.append(data)
-            if self.body_size > HOLD_MAX:
+            if self.body_size > MAX_BUFFERED_BODY_BYTES:
                 self._begin_relay()
 
     def _begin_relay(self) -> None:
         """Stream a response that is too large to buffer to the client from here on."""
         if self.status == 200 and self.attempt is not None:
-            answer = Answer(200, pass_on(self.headers), b"".join(self.body_parts))
+            answer = Response(200, end_to_end_headers(self.headers), b"".join(self.body_parts))
             self.body_parts.clear()
             self.is_relaying = self.owner.begin_relay(self.attempt, answer, self.content_length)
 
-    def pace(self, paused: bool) -> None:
+    def set_reading_paused(self, paused: bool) -> None:
         """Pause or resume reading, so that the endpoint is read no faster than the client reads."""
         if self.transport is not None and not self.transport.is_closing():
             if paused:
@@ -332,7 +334,9 @@
         elif self.status == 200:
             outcome = OK if self.is_complete else RESET
             answer = (
-                Answer(200, pass_on(self.headers), b"".join(self.body_parts)) if self.is_complete else None
+                Response(200, end_to_end_headers(self.headers), b"".join(self.body_parts))
+                if self.is_complete
+                else None
             )
         elif self.is_complete and self.status in (503, 504) and self.is_marked_not_run:
             outcome = FULL
@@ -352,13 +356,19 @@
     """Encode the request head, and the body if it is buffered whole; `now` in µs."""
     call, upload = attempt.call, attempt.call.upload
     # Rounded down: the endpoint must not work on after the sidecar has stopped waiting.
-    wait_us = attempt.until - now if upload is None or upload.whole else call.wait_us
+    wait_us = attempt.timeout_at_us - now if upload is None or upload.is_complete else call.timeout_us
     deadline_header = b"X-Deadline-Ms: %d\r\n" % max(1, wait_us // 1000)
     if upload is not None and upload.length is None:
         length_header = b"Transfer-Encoding: chunked\r\n"
-    elif call.start.startswith(b"GET ") and not call.body and upload is None:
+    elif call.method_and_target.startswith(b"GET ") and not call.body and upload is None:
         length_header = b""
     else:
         length_header = b"Content-Length: %d\r\n" % (len(call.body) if upload is None else upload.length or 0)
-    head = call.head + attempt.extra
-    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, head, deadline_header, length_header, call.body)
+    head = call.header_lines + attempt.extra_headers
+    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (
+        call.method_and_target,
+        head,
+        deadline_header,
+        length_header,
+        call.body,
+    )
--- a/woadyard/net/event_dispatcher.py
+++ b/woadyard/net/event_dispatcher.py
@@ -17,7 +17,7 @@
 from woadyard.interface import Action
 from woadyard.net.message import Call
 from woadyard.net.observers import Observer
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.policy import Balancer
 
 LOG = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
         balancer: Balancer,
         execute: Callable[[Action], None],
         on_fault: Callable[[Call], None],
-        metrics: Quiet,
+        metrics: NullMetrics,
     ) -> None:
         self.loop, self.balancer, self.metrics = loop, balancer, metrics
         self.execute, self.on_fault = execute, on_fault
@@ -87,6 +87,6 @@
         except Exception:
             # A fault of the balancer must not end the process or leave a client without a response.
             LOG.exception("unhandled exception in the balancer")
-            self.balancer.out.clear()
-            if call is not None and call.open:
+            self.balancer.actions.clear()
+            if call is not None and call.is_open:
                 self.on_fault(call)
--- a/woadyard/net/invariants.py
+++ b/woadyard/net/invariants.py
@@ -1,6 +1,6 @@
 """Run-time checks of the protocol rules: counts each violation when it happens.
 
-The guards (`Balancer._send`, `AttemptRunner.may_start`, `Server.close`) keep the rules by what is
+The guards (`Balancer._send`, `AttemptRunner.may_start`, `Server.close_connection`) keep the rules by what is
 known before an action. The checks here run after the action and read the clock again, so they also
 detect a process that was suspended between its guard and its write. They don't change behavior; each
 violation is counted, logged, and exported as `woadyard_invariant_violations` by the admin listener.
@@ -16,12 +16,11 @@
 
 from woadyard.interface import FULL, KEYED, NEVER_RAN, SAFE
 from woadyard.net.message import Attempt, Call
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 
 if TYPE_CHECKING:
-    from woadyard.net.names import InForce
-    from woadyard.net.places import Places
-
+    from woadyard.net.active_settings import ActiveSettings
+    from woadyard.net.endpoint_table import EndpointTable
 LOG = logging.getLogger(__name__)
 # Tolerance of the rules on their time limits (PROTOCOL), and the amount by which a forwarded
 # deadline may exceed the client's remaining time (STANDING.md).
@@ -40,7 +39,9 @@
 class InvariantChecker:
     """Counts violations by rule."""
 
-    def __init__(self, in_force: InForce, listed_endpoints: Places, metrics: Quiet) -> None:
+    def __init__(
+        self, in_force: ActiveSettings, listed_endpoints: EndpointTable, metrics: NullMetrics
+    ) -> None:
         self.in_force, self.listed_endpoints, self.metrics = in_force, listed_endpoints, metrics
         self.counts: Counter[Rule] = Counter()
 
@@ -48,11 +49,11 @@
         """Check an attempt whose first bytes have been passed to the kernel by now."""
         if not self.listed_endpoints.may_have_started(attempt.endpoint, now - TIME_SLACK_US):
             self._report_violation(Rule.SEND, "the endpoint is draining or gone", attempt)
-        if now > attempt.start_by + TIME_SLACK_US:
+        if now > attempt.start_by_us + TIME_SLACK_US:
             self._report_violation(Rule.SEND, "the lease, repeat window or timeout has expired", attempt)
-        if not attempt.call.open:
+        if not attempt.call.is_open:
             self._report_violation(Rule.START, "the request already has its final response", attempt)
-        if attempt.until > attempt.call.expires + DEADLINE_SLACK_US:
+        if attempt.timeout_at_us > attempt.call.expires_us + DEADLINE_SLACK_US:
             self._report_violation(Rule.START, "the timeout exceeds the client's deadline", attempt)
         if reason := self._forbidden_repeat_reason(attempt, now):
             self._report_violation(Rule.REPEAT, reason, attempt)
@@ -62,16 +63,16 @@
 
         `call` is the request that the connection currently serves, if any.
         """
-        if call is not None and call.open:
+        if call is not None and call.is_open:
             self._count(Rule.CLOSE, "a request that was read has no response", request=call.id)
 
     def _forbidden_repeat_reason(self, attempt: Attempt, now: int) -> str:
         """Why the rules forbid this attempt as a repeat; empty if they don't."""
         settings, call = self.in_force.settings, attempt.call
-        earlier = [other for other in call.attempts[: attempt.copy] if other.wrote]
-        if attempt.copy >= settings.max_attempts:
+        earlier = [other for other in call.attempts[: attempt.index] if other.was_written]
+        if attempt.index >= settings.max_attempts:
             return "more attempts than allowed"
-        if not settings.second_copies and any(other.out for other in earlier):
+        if not settings.second_copies and any(other.in_flight for other in earlier):
             return "an earlier attempt is still in flight"
         cls = settings.classes[call.cls]
         never_ran = NEVER_RAN - {FULL} if settings.full_unproven else NEVER_RAN
@@ -80,13 +81,13 @@
             return ""
         if cls.effect != KEYED:
             return "an earlier attempt may have run"
-        is_late = now > may_have_run.sent + cls.window_us + TIME_SLACK_US
+        is_late = now > may_have_run.sent_us + cls.window_us + TIME_SLACK_US
         return "the repeat window has expired" if is_late else ""
 
     def _report_violation(self, rule: Rule, reason: str, attempt: Attempt) -> None:
-        self._count(rule, reason, request=attempt.call.id, copy=attempt.copy, endpoint=attempt.endpoint)
+        self._count(rule, reason, request=attempt.call.id, copy=attempt.index, endpoint=attempt.endpoint)
 
     def _count(self, rule: Rule, reason: str, **fields: int) -> None:
         self.counts[rule] += 1
-        self.metrics.violated(rule)
+        self.metrics.invariant_violated(rule)
         LOG.error("invariant violated", extra={"rule": rule, "why": reason, **fields})
--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -10,7 +10,7 @@
 
 from woadyard.interface import MOOT, NO_CONNECT
 from woadyard.net.endpoint_connection import ConnectionPool, EndpointConnection
-from woadyard.net.message import READ_SIZE, Answer, Attempt
+from woadyard.net.message import READ_SIZE, Attempt, Response
 
 # Fraction of an endpoint's idle timeout for which a connection is kept. The rest is a
 # margin against sending a request while the endpoint closes the connection.
@@ -18,7 +18,7 @@
 # Used where the settings give no timeouts.
 DEFAULT_IDLE_TIMEOUT_US, DEFAULT_CONNECT_TIMEOUT_US = 10_000_000, 1_000_000
 
-OutcomeCallback = Callable[[Attempt, int, Answer | None, bytes], None]
+OutcomeCallback = Callable[[Attempt, int, Response | None, bytes], None]
 
 
 class Upstream:
@@ -46,7 +46,7 @@
         # Shared by all connections: only one reads at a time.
         self.read_buffer = memoryview(bytearray(READ_SIZE))
         self.on_outcome: OutcomeCallback = lambda *_: None
-        self.begin_relay: Callable[[Attempt, Answer, int | None], bool] = lambda *_: False
+        self.begin_relay: Callable[[Attempt, Response, int | None], bool] = lambda *_: False
         self.may_start: Callable[[Attempt, int], bool] = lambda *_: True
         self.on_written: Callable[[Attempt, int], None] = lambda *_: None
 
@@ -83,7 +83,7 @@
             connection = pool.idle.pop()
             # On a loaded machine the sweep of expired connections may run late.
             if self.loop.time() - connection.idle_since_s < self.idle_timeout_s and connection.is_reusable():
-                connection.attempt, attempt.link = attempt, connection
+                connection.attempt, attempt.connection = attempt, connection
                 connection.write_request()
                 return
             connection.close()
@@ -99,7 +99,7 @@
         if len(self.connections) + self.count_client_connections() >= self.max_sockets:
             self.on_outcome(attempt, MOOT, None, b"")  # out of sockets: not a failure of the endpoint
             return
-        connection = attempt.link = EndpointConnection(self, pool, attempt)
+        connection = attempt.connection = EndpointConnection(self, pool, attempt)
         self.connections.add(connection)
         connection.connect()
 
@@ -116,9 +116,9 @@
 
         Returns whether the endpoint can't have received the whole request, now or later.
         """
-        connection, attempt.link = attempt.link, None
+        connection, attempt.connection = attempt.connection, None
         if not isinstance(connection, EndpointConnection) or connection.attempt is not attempt:
-            return not attempt.wrote
+            return not attempt.was_written
         connection.attempt = None
         connection.detach_upload()
         connection.close()
--- a/woadyard/net/weight_factors.py
+++ b/woadyard/net/weight_factors.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from woadyard.net.state import endpoint_number
-from woadyard.ops.metrics import Quiet
+from woadyard.ops.metrics import NullMetrics
 from woadyard.shared.affinity import Affinity
 from woadyard.shared.store import Entry
 from woadyard.shared.verdicts import TRUST_ONE, trusts
@@ -27,13 +27,13 @@
         # Sends this sidecar's limits to the balancer again.
         self.announce_limits: Callable[[], None] = lambda: None
 
-    def update_factors(self, ready: set[int], metrics: Quiet) -> dict[int, float]:
+    def update_factors(self, ready: set[int], metrics: NullMetrics) -> dict[int, float]:
         """Recompute the factors below 1 from the other sidecars' verdicts, by endpoint number."""
         entries = [entry for entry in self.verdict_entries if entry.name not in self.ignored_sidecars]
         factors = trusts(entries, self.name, ready, self.eject_share)
         if factors != self.factors:
             self.factors = factors
-            metrics.lowered(len(factors))
+            metrics.set_lowered_endpoints(len(factors))
             LOG.info("others' verdicts", extra={"lowered": len(factors), "of": len(ready)})
         # The verdict of one sidecar leaves a key at its home endpoint; those of two move it,
         # on all sidecars alike.
@@ -44,7 +44,7 @@
 class WeightFactors:
     """Combines all factors into one for each endpoint."""
 
-    def __init__(self, shared: SharedState | None, metrics: Quiet) -> None:
+    def __init__(self, shared: SharedState | None, metrics: NullMetrics) -> None:
         self.shared, self.metrics = shared, metrics
         self.planned_factors: dict[int, float] = {}  # below 1, by endpoint number
 
