--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -284,7 +284,7 @@
                 for endpoint in balancer.endpoints.values()
                 if endpoint.inflight or endpoint.transferring
             ),
-            *(upstream.connections - idle_connections),
+            *(upstream.endpoint_connections - idle_connections),
         ]
 
     try:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -162,13 +162,13 @@
         reader, writer = await one.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(http_request())
-        await wait_until(lambda: bool(one.upstream.connections))
-        (link,) = one.upstream.connections
+        await wait_until(lambda: bool(one.upstream.endpoint_connections))
+        (link,) = one.upstream.endpoint_connections
         await wait_until(lambda: link.transport is not None and not link.transport.is_reading())
         (caller,) = one.server.connections
         assert caller.transport is not None
         assert caller.transport.get_write_buffer_size() <= 4 * READ_SIZE
-        await wait_until(lambda: not one.server.connections and not one.upstream.connections)
+        await wait_until(lambda: not one.server.connections and not one.upstream.endpoint_connections)
         assert not one.driver.calls, "in the end it is cut off"
 
 
@@ -215,8 +215,8 @@
     endpoint = Slow()
     async with run_sidecar(endpoint) as one:
         asked = asyncio.create_task(one.send(http_request("pay", LARGE_BODY * 16)))
-        await wait_until(lambda: any(link.upload for link in one.upstream.connections))
-        (caller,), (link,) = one.server.connections, one.upstream.connections
+        await wait_until(lambda: any(link.upload for link in one.upstream.endpoint_connections))
+        (caller,), (link,) = one.server.connections, one.upstream.endpoint_connections
         assert link.transport is not None
         await wait_until(lambda: caller.reading_paused)
         assert link.transport.get_write_buffer_size() <= 4 * READ_SIZE
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -116,7 +116,7 @@
             outcomes = record_outcomes(sidecar)
             response = await sidecar.send(http_request("pay"))
         assert [event.outcome for event in outcomes] == [NO_CONNECT]
-        assert response.start_line.split()[1] == "503" and not sidecar.upstream.connections
+        assert response.start_line.split()[1] == "503" and not sidecar.upstream.endpoint_connections
 
 
 @on_loop
@@ -133,7 +133,7 @@
         async with run_sidecar(endpoint, ceilings={"max-attempts": 1}) as sidecar:
             sidecar.set_list(endpoint.entry("s-0", hostPort=address(listener)))
             outcomes = record_outcomes(sidecar)
-            open_connections = sidecar.upstream.connections
+            open_connections = sidecar.upstream.endpoint_connections
             task = asyncio.create_task(sidecar.send(http_request("pay", b"x")))
             peer, _ = await loop.sock_accept(listener)
             await loop.sock_recv(peer, 4096)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -144,7 +144,7 @@
         reader, writer = await one.connect()
         raw = http_request("pay", LARGE_BODY)
         writer.write(raw[:70_000])
-        await wait_until(lambda: bool(one.upstream.connections))
+        await wait_until(lambda: bool(one.upstream.endpoint_connections))
         (caller,) = one.server.connections
         for at in range(70_000, 70_000 + 5 * 40_000, 40_000):
             before = caller.request_timer
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -94,7 +94,7 @@
         _, asker = await one.connect()
         while len(one.server.connections) < 2:
             await asyncio.sleep(0)
-        one.upstream.max_sockets = len(one.upstream.connections) + len(one.server.connections)
+        one.upstream.max_sockets = len(one.upstream.endpoint_connections) + len(one.server.connections)
         asker.write(http_request(rid="r2"))
         await second.request_arrived.acquire()
         assert await resting.read() == b""
@@ -176,7 +176,7 @@
             kinds = (Call, Attempt, ClientConnection, EndpointConnection)
             left = Counter(type(one).__name__ for one in gc.get_objects() if isinstance(one, kinds))
             assert set(left) <= {"EndpointConnection"} and left["EndpointConnection"] <= len(
-                one.upstream.connections
+                one.upstream.endpoint_connections
             )
     finally:
         gc.enable()
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -180,7 +180,7 @@
         writer.write(http_request())
         assert (await read_message(reader)).body == b"ok"
         await registry.watches.get()
-        (link,) = one.upstream.connections
+        (link,) = one.upstream.endpoint_connections
         assert one.driver.discovery is not None and one.driver.discovery.stream is not None
         for each in (caller.transport, link.transport, one.driver.discovery.stream.transport):
             assert each is not None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -56,7 +56,7 @@
         await wait_until(lambda: not one.server.connections)
         for _ in range(8):
             await asyncio.sleep(0)
-        assert not one.upstream.connections
+        assert not one.upstream.endpoint_connections
 
 
 @pytest.mark.parametrize("lateness", ["timed out", "called off"])
@@ -99,7 +99,7 @@
         loop.remove_reader(near)
         near.close()
         far.close()
-        await wait_until(lambda: all(link in link.pool.idle for link in one.upstream.connections))
+        await wait_until(lambda: all(link in link.pool.idle for link in one.upstream.endpoint_connections))
 
 
 @contextlib.contextmanager
@@ -193,7 +193,7 @@
             assert [event.outcome for event in told] == [NO_CONNECT]
             assert back.start_line.split()[1] == "503", "its client may try again"
             up.set()
-            await wait_until(lambda: not one.upstream.connections)
+            await wait_until(lambda: not one.upstream.endpoint_connections)
         assert not endpoint.connection_count and not endpoint.received
 
 
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -81,7 +81,7 @@
         await one.send(http_request())
         one.set_list(endpoint.entry("s-0", **change), is_full=False)
         await endpoint.connection_closed.acquire()
-        assert not one.upstream.connections
+        assert not one.upstream.endpoint_connections
 
 
 @on_loop
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -103,7 +103,7 @@
 
     def answered(self, raw: bytes) -> None:
         """As where the answer is read before the client's end."""
-        (link,) = (link for link in self.one.upstream.connections if link.attempt is not None)
+        (link,) = (link for link in self.one.upstream.endpoint_connections if link.attempt is not None)
         link.feed_response(raw)
         self.fire()
 
@@ -127,7 +127,7 @@
         balancer = self.one.driver.balancer
         assert not balancer.requests and not balancer.finished
         assert all(one.inflight == one.transferring == 0 for one in balancer.endpoints.values())
-        assert all(link.attempt is None for link in self.one.upstream.connections)
+        assert all(link.attempt is None for link in self.one.upstream.endpoint_connections)
         assert not self.one.server.paused_clients.clients
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -92,7 +92,7 @@
         pool.idle[0].idle_since_s -= 24.0
         sidecar.upstream._close_expired()
         await endpoint.connection_closed.acquire()
-        assert len(sidecar.upstream.connections) == 1
+        assert len(sidecar.upstream.endpoint_connections) == 1
 
 
 @on_loop
@@ -106,7 +106,7 @@
         outcomes = record_outcomes(sidecar)
         for n in range(3):
             await sidecar.send(http_request("pay", rid=f"r{n}"))
-            while sidecar.upstream.connections:
+            while sidecar.upstream.endpoint_connections:
                 await asyncio.sleep(0)
         assert [event.outcome for event in outcomes] == [OK, OK, OK]
 
@@ -126,7 +126,7 @@
         )
         assert (await sidecar.send(http_request(rid="r2"))).body == b"ok"
         await first.connection_closed.acquire()  # the longest idle connection is closed first
-        assert len(sidecar.upstream.connections) == 1
+        assert len(sidecar.upstream.endpoint_connections) == 1
 
 
 @on_loop
@@ -148,7 +148,7 @@
     endpoint = Endpoint()
     async with run_sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as sidecar:
         await sidecar.send(http_request(rid="r1"))
-        (connection,) = sidecar.upstream.connections
+        (connection,) = sidecar.upstream.endpoint_connections
         await wait_until(lambda: connection in connection.pool.idle)
         if late == "settings":
             connection.idle_since_s -= 5.0
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -146,7 +146,7 @@
             self.abort_connection(last)
 
     def _is_over_limit(self) -> bool:
-        both = len(self.connections) + len(self.driver.upstream.connections)
+        both = len(self.connections) + len(self.driver.upstream.endpoint_connections)
         return both > self.max_sockets or len(self.connections) > max(
             1, CLIENT_SOCKET_SHARE * self.max_sockets
         )
--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -40,7 +40,7 @@
         # Closes a dispensable client connection; false if there is none.
         self.close_client_connection: Callable[[], bool] = lambda: False
         self.pools: dict[int, ConnectionPool] = {}  # by endpoint number
-        self.connections: set[EndpointConnection] = set()
+        self.endpoint_connections: set[EndpointConnection] = set()
         self.sweep_timer: asyncio.TimerHandle | None = None
         self.set_timeouts(0, 0)
         # Shared by all connections: only one reads at a time.
@@ -92,15 +92,15 @@
     def _open_connection(self, pool: ConnectionPool, attempt: Attempt) -> None:
         # An idle client connection is closed first: a client reconnects at less cost than
         # the sidecar opens a connection to an endpoint.
-        if len(self.connections) + self.count_client_connections() >= self.max_sockets:
+        if len(self.endpoint_connections) + self.count_client_connections() >= self.max_sockets:
             self.close_client_connection()
-        if len(self.connections) + self.count_client_connections() >= self.max_sockets:
+        if len(self.endpoint_connections) + self.count_client_connections() >= self.max_sockets:
             self._close_longest_idle()
-        if len(self.connections) + self.count_client_connections() >= self.max_sockets:
+        if len(self.endpoint_connections) + self.count_client_connections() >= self.max_sockets:
             self.on_outcome(attempt, MOOT, None, b"")  # out of sockets: not a failure of the endpoint
             return
         connection = attempt.connection = EndpointConnection(self, pool, attempt)
-        self.connections.add(connection)
+        self.endpoint_connections.add(connection)
         connection.connect()
 
     def _close_longest_idle(self) -> None:
@@ -126,7 +126,7 @@
 
     def on_connection_lost(self, connection: EndpointConnection) -> None:
         """Forget a connection that is closed or about to be."""
-        self.connections.discard(connection)
+        self.endpoint_connections.discard(connection)
 
     # --- Idle connections -----------------------------------------------------------
 
@@ -150,5 +150,5 @@
 
     def close(self) -> None:
         """Close all connections, also those that carry an attempt."""
-        for connection in list(self.connections):
+        for connection in list(self.endpoint_connections):
             connection.close()
