--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -267,9 +267,9 @@
 
 async def assert_nothing_pending(sidecar: Sidecar) -> None:
     """Disconnect all clients; then all attempts must end and all endpoint connections be idle or closed."""
-    for caller in list(sidecar.server.connections):
-        if caller.transport is not None:
-            caller.transport.abort()
+    for client_connection in list(sidecar.server.connections):
+        if client_connection.transport is not None:
+            client_connection.transport.abort()
     balancer, upstream = sidecar.driver.balancer, sidecar.upstream
 
     def pending() -> list[object]:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -216,13 +216,14 @@
         await endpoint.request_arrived.acquire()
         ((_, call),) = sidecar.driver.calls.items()
         (attempt,) = call.attempts
-        place = sidecar.driver.endpoints_by_number[attempt.endpoint]
+        listed_endpoint = sidecar.driver.endpoints_by_number[attempt.endpoint]
         now = sidecar.driver.now()
         assert sidecar.driver.attempts.may_start(attempt, now)
         assert not sidecar.driver.attempts.may_start(attempt, call.expires_us)
-        place.removed_at_us = now - 349_000  # of 500 ms; the last 150 are a margin for a suspended process
+        # Of the 500 ms of grace, the last 150 are a margin for a suspended process.
+        listed_endpoint.removed_at_us = now - 349_000
         assert sidecar.driver.attempts.may_start(attempt, now)
-        place.removed_at_us = now - 350_000
+        listed_endpoint.removed_at_us = now - 350_000
         assert not sidecar.driver.attempts.may_start(attempt, now)
         connection = attempt.connection
         assert isinstance(connection, EndpointConnection)
@@ -235,8 +236,8 @@
 async def test_attempts_beyond_the_limit_are_not_sent() -> None:
     endpoints = [Endpoint(respond_with(503, "X-Not-Run: 1\r\n")) for _ in range(4)]
     async with run_sidecar(*endpoints) as sidecar:
-        in_force = sidecar.driver.in_force
-        in_force.settings = replace(in_force.settings, max_attempts=2)
+        active_settings = sidecar.driver.active_settings
+        active_settings.settings = replace(active_settings.settings, max_attempts=2)
         outcomes = record_outcomes(sidecar)
         await sidecar.send(http_request("pay"))
         assert sum(len(endpoint.received) for endpoint in endpoints) == 2
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -67,9 +67,9 @@
             make_attempt(sidecar, make_call(sidecar, "page"), start_by_us=now), now + TIME_SLACK_US + 1
         )
         assert checker.counts == {Rule.SEND: 1}
-        place = sidecar.driver.endpoints_by_number[attempt.endpoint]
-        place.removed_at_us = now
-        grace = sidecar.driver.in_force.drain_grace_us
+        listed_endpoint = sidecar.driver.endpoints_by_number[attempt.endpoint]
+        listed_endpoint.removed_at_us = now
+        grace = sidecar.driver.active_settings.drain_grace_us
         checker.check_written(attempt, now + grace)
         assert checker.counts == {Rule.SEND: 1}
         checker.check_written(attempt, now + grace + TIME_SLACK_US)
@@ -133,8 +133,8 @@
 async def test_no_attempt_starts_within_the_margin_for_a_suspended_process() -> None:
     async with run_sidecar(Endpoint()) as sidecar:
         listed_endpoints = sidecar.driver.listed_endpoints
-        number, place = next(iter(listed_endpoints.by_number.items()))
-        place.removed_at_us, grace = 0, sidecar.driver.in_force.drain_grace_us
+        number, listed_endpoint = next(iter(listed_endpoints.by_number.items()))
+        listed_endpoint.removed_at_us, grace = 0, sidecar.driver.active_settings.drain_grace_us
         assert listed_endpoints.may_start(number, grace - MAX_STALL_US - 1)
         assert not listed_endpoints.may_start(number, grace - MAX_STALL_US)
         assert listed_endpoints.may_have_started(number, grace - 1) and not listed_endpoints.may_have_started(
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -308,7 +308,9 @@
     async def main() -> None:
         async with tuned(tmp_path, Endpoint()) as now:
             now.read({**GOOD_FILE, "settings": {**SETTINGS, "invariants": {"drain-grace-us": 7}}})
-            assert now.discovery.address == "127.0.0.1:9" and now.one.driver.in_force.drain_grace_us == 7
+            assert (
+                now.discovery.address == "127.0.0.1:9" and now.one.driver.active_settings.drain_grace_us == 7
+            )
             now.read(b"{")
             assert now.discovery.address == "127.0.0.1:9", "the last good file stays in force"
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -167,9 +167,8 @@
             back = await one.send(head % (method, n, length, key))
             assert back.start_line.split()[1] in ("502", "503")
             if effect == "fragile":
-                assert back.start_line.startswith(
-                    "HTTP/1.1 502"
-                )  # a refusal would say that a retry is harmless
+                # A 503 would say that a retry is harmless.
+                assert back.start_line.startswith("HTTP/1.1 502")
         runs = Counter(message.headers["x-request-id"] for each in endpoints for message in each.received)
         for n, effect in enumerate((before, after)):
             assert 1 <= runs[f"r{n}"] <= (1 if effect == "fragile" else 3)
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -22,15 +22,15 @@
         dispatcher: EventDispatcher,
         requests: Requests,
         listed_endpoints: EndpointTable,
-        in_force: ActiveSettings,
+        active_settings: ActiveSettings,
         upstream: Upstream,
     ) -> None:
         self.dispatcher, self.requests, self.listed_endpoints = dispatcher, requests, listed_endpoints
-        self.in_force, self.upstream = in_force, upstream
+        self.active_settings, self.upstream = active_settings, upstream
         requests.stop_attempt = self.stop
         # Called with request and endpoint for each attempt that wrote no byte (for the audit).
         self.on_unsent: Callable[[int, int], None] | None = None
-        self.invariants = InvariantChecker(in_force, listed_endpoints, dispatcher.metrics)
+        self.invariants = InvariantChecker(active_settings, listed_endpoints, dispatcher.metrics)
         upstream.on_outcome, upstream.may_start, upstream.begin_relay = (
             self.record_outcome,
             self.may_start,
@@ -52,17 +52,17 @@
         if call is None:
             return
         wait_us = action.timeout_us or call.expires_us - now
-        until = min(call.expires_us, now + wait_us)
-        attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
+        timeout_at_us = min(call.expires_us, now + wait_us)
+        attempt = Attempt(call, len(call.attempts), action.endpoint, now, timeout_at_us, action.start_by)
         call.attempts.append(attempt)
         self.dispatcher.metrics.attempt_sent(attempt.index)
         if (observer := self.dispatcher.observer) is not None:
             attempt.extra_headers = observer.attempt_started(now, action)
-        if self.in_force.locality is not None:
-            place = self.listed_endpoints.by_number.get(action.endpoint)
-            if place is not None:
-                self.dispatcher.metrics.zone_attempt_sent(place.zone)
-        if attempt.index >= self.in_force.settings.max_attempts or not self.may_start(attempt, now):
+        if self.active_settings.locality is not None:
+            listed_endpoint = self.listed_endpoints.by_number.get(action.endpoint)
+            if listed_endpoint is not None:
+                self.dispatcher.metrics.zone_attempt_sent(listed_endpoint.zone)
+        if attempt.index >= self.active_settings.settings.max_attempts or not self.may_start(attempt, now):
             self.record_outcome(attempt, MOOT, None, b"")
             return
         if attempt.timeout_at_us < call.expires_us:
@@ -83,7 +83,7 @@
             proven = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
             self.record_outcome(attempt, proven, None, b"")
 
-    def begin_relay(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
+    def begin_relay(self, attempt: Attempt, response: Response, length: int | None) -> bool:
         """Start streaming a response that is too large to buffer; false if nobody waits for it.
 
         It is the client's final response, so the timeouts of the attempt and the request end.
@@ -92,18 +92,18 @@
         if not call.is_open or not attempt.in_flight or attempt.connection is None:
             return False
         call.streaming_attempt, attempt.head_us = attempt, now_us() - attempt.sent_us
-        self.requests.record_response(call, answer.status)
+        self.requests.record_response(call, response.status)
         for timer in (call.timer, attempt.timer):
             if timer is not None:
                 timer.cancel()
         call.timer = attempt.timer = None
         event = Outcome(call.id, attempt.index, attempt.endpoint, OK, attempt.head_us)
         self.dispatcher.dispatch(self.dispatcher.balancer.head, event, call=call)
-        call.client.begin_response(answer, length, attempt.connection)
+        call.client.begin_response(response, length, attempt.connection)
         return True
 
     def record_outcome(
-        self, attempt: Attempt, outcome: int, answer: Response | None, load_report: bytes
+        self, attempt: Attempt, outcome: int, response: Response | None, load_report: bytes
     ) -> None:
         """Complete an attempt and report its outcome; any later outcome is ignored."""
         if not attempt.in_flight:
@@ -114,8 +114,8 @@
             attempt.timer = None
         call = attempt.call
         self.dispatcher.metrics.attempt_ended(outcome, now_us() - attempt.sent_us)
-        if outcome == OK and answer is not None and call.is_open:
-            self.requests.send_response(call, answer)
+        if outcome == OK and response is not None and call.is_open:
+            self.requests.send_response(call, response)
         if call.streaming_attempt is attempt and call.is_open:
             self.requests.close(call)
             call.client.end_response(outcome == OK)
@@ -127,7 +127,7 @@
             outcome,
             attempt.head_us or now - attempt.sent_us,
             over,
-            self.in_force.name_index.parse_report(load_report),
+            self.active_settings.name_index.parse_report(load_report),
             call.upload is not None and call.upload.partly_sent,
         )
         if self.on_unsent is not None and not attempt.was_written:
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -69,16 +69,16 @@
         self.loop, self.upstream, self.shared = loop, upstream, shared
         self.metrics = metrics or NullMetrics()
         self.raw_settings = raw_settings
-        self.in_force = ActiveSettings(shared is not None)
-        self._put_in_force(settings, locality)
+        self.active_settings = ActiveSettings(shared is not None)
+        self._activate_settings(settings, locality)
         self.balancer = Balancer(seed, self.settings)
         self.bans = Bans(state, self._on_ban_changed)
-        self.listed_endpoints = EndpointTable(upstream, self.bans, self.in_force)
+        self.listed_endpoints = EndpointTable(upstream, self.bans, self.active_settings)
         self.weight_factors = WeightFactors(shared, self.metrics)
         self.dispatcher = EventDispatcher(loop, self.balancer, self._execute, self._on_fault, self.metrics)
         self.requests = Requests(self.dispatcher, shared)
         self.attempts = AttemptRunner(
-            self.dispatcher, self.requests, self.listed_endpoints, self.in_force, upstream
+            self.dispatcher, self.requests, self.listed_endpoints, self.active_settings, upstream
         )
         self.dispatch = self.dispatcher.dispatch
         # Lower case; requests with the same value of this header go to the same endpoint.
@@ -89,11 +89,11 @@
 
     @property
     def settings(self) -> Settings:
-        return self.in_force.settings
+        return self.active_settings.settings
 
     @property
     def names(self) -> NameIndex:
-        return self.in_force.name_index
+        return self.active_settings.name_index
 
     @property
     def endpoints_by_number(self) -> dict[int, ListedEndpoint]:
@@ -149,12 +149,12 @@
     ) -> None:
         """Replace the settings in force."""
         self.raw_settings = raw
-        self._put_in_force(new_settings, locality)
+        self._activate_settings(new_settings, locality)
         self._notify_settings()
         self.dispatch(self.balancer.retune, self.settings)
 
-    def _put_in_force(self, settings: Settings, locality: Locality | None) -> None:
-        self.in_force.update(self.raw_settings, settings, locality)
+    def _activate_settings(self, settings: Settings, locality: Locality | None) -> None:
+        self.active_settings.update(self.raw_settings, settings, locality)
         self.upstream.set_timeouts(settings.idle_us, settings.connect_timeout_us)
 
     def _notify_settings(self) -> None:
--- a/woadyard/net/endpoint_connection.py
+++ b/woadyard/net/endpoint_connection.py
@@ -40,9 +40,9 @@
     def may_start(self, attempt: Attempt, now: int) -> bool: ...
     @property
     def on_written(self) -> Callable[[Attempt, int], None]: ...
-    def begin_relay(self, attempt: Attempt, answer: Response, length: int | None) -> bool: ...
+    def begin_relay(self, attempt: Attempt, response: Response, length: int | None) -> bool: ...
     def on_outcome(
-        self, attempt: Attempt, outcome: int, answer: Response | None, load_report: bytes
+        self, attempt: Attempt, outcome: int, response: Response | None, load_report: bytes
     ) -> None: ...
     def on_connection_lost(self, connection: EndpointConnection) -> None: ...
     def schedule_sweep(self, idle_since_s: float) -> None: ...
@@ -224,11 +224,11 @@
         self._report_outcome(NO_CONNECT if self.is_request_unwritten and not self.is_relaying else RESET)
         del self.parser  # breaks the reference cycle between parser and connection
 
-    def _report_outcome(self, outcome: int, answer: Response | None = None) -> None:
+    def _report_outcome(self, outcome: int, response: Response | None = None) -> None:
         self.detach_upload()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            self.owner.on_outcome(attempt, outcome, answer, self.load_report)
+            self.owner.on_outcome(attempt, outcome, response, self.load_report)
 
     # --- Responses ----------------------------------------------------------------
 
@@ -309,9 +309,9 @@
     def _begin_relay(self) -> None:
         """Stream a response that is too large to buffer to the client from here on."""
         if self.status == 200 and self.attempt is not None:
-            answer = Response(200, end_to_end_headers(self.headers), b"".join(self.body_parts))
+            response = Response(200, end_to_end_headers(self.headers), b"".join(self.body_parts))
             self.body_parts.clear()
-            self.is_relaying = self.owner.begin_relay(self.attempt, answer, self.content_length)
+            self.is_relaying = self.owner.begin_relay(self.attempt, response, self.content_length)
 
     def set_reading_paused(self, paused: bool) -> None:
         """Pause or resume reading, so that the endpoint is read no faster than the client reads."""
@@ -328,12 +328,12 @@
             self.is_complete, self.allows_keep_alive = True, self.parser.should_keep_alive()
 
     def _finish_response(self) -> None:
-        outcome, answer = ERROR, None
+        outcome, response = ERROR, None
         if self.is_relaying:
             outcome = OK
         elif self.status == 200:
             outcome = OK if self.is_complete else RESET
-            answer = (
+            response = (
                 Response(200, end_to_end_headers(self.headers), b"".join(self.body_parts))
                 if self.is_complete
                 else None
@@ -349,7 +349,7 @@
         else:
             self.close()
         if attempt is not None:
-            self.owner.on_outcome(attempt, outcome, answer, load_report)
+            self.owner.on_outcome(attempt, outcome, response, load_report)
 
 
 def encode_request(attempt: Attempt, now: int) -> bytes:
--- a/woadyard/net/invariants.py
+++ b/woadyard/net/invariants.py
@@ -40,9 +40,9 @@
     """Counts violations by rule."""
 
     def __init__(
-        self, in_force: ActiveSettings, listed_endpoints: EndpointTable, metrics: NullMetrics
+        self, active_settings: ActiveSettings, listed_endpoints: EndpointTable, metrics: NullMetrics
     ) -> None:
-        self.in_force, self.listed_endpoints, self.metrics = in_force, listed_endpoints, metrics
+        self.active_settings, self.listed_endpoints, self.metrics = active_settings, listed_endpoints, metrics
         self.counts: Counter[Rule] = Counter()
 
     def check_written(self, attempt: Attempt, now: int) -> None:
@@ -68,7 +68,7 @@
 
     def _forbidden_repeat_reason(self, attempt: Attempt, now: int) -> str:
         """Why the rules forbid this attempt as a repeat; empty if they don't."""
-        settings, call = self.in_force.settings, attempt.call
+        settings, call = self.active_settings.settings, attempt.call
         earlier = [other for other in call.attempts[: attempt.index] if other.was_written]
         if attempt.index >= settings.max_attempts:
             return "more attempts than allowed"
