--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -165,13 +165,13 @@
         reader, writer = await proxy.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(http_request())
-        await wait_until(lambda: bool(proxy.upstream.connections))
-        (link,) = proxy.upstream.connections
+        await wait_until(lambda: bool(proxy.upstream.endpoint_connections))
+        (link,) = proxy.upstream.endpoint_connections
         await wait_until(lambda: link.transport is not None and not link.transport.is_reading())
         (connection,) = proxy.server.connections
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() <= 4 * READ_SIZE
-        await wait_until(lambda: not proxy.server.connections and not proxy.upstream.connections)
+        await wait_until(lambda: not proxy.server.connections and not proxy.upstream.endpoint_connections)
         assert not proxy.driver.calls, "it is aborted in the end"
 
 
@@ -218,8 +218,8 @@
     endpoint = Slow()
     async with run_sidecar(endpoint) as proxy:
         pending_response = asyncio.create_task(proxy.send(http_request("pay", LARGE_BODY * 16)))
-        await wait_until(lambda: any(link.upload for link in proxy.upstream.connections))
-        (connection,), (link,) = proxy.server.connections, proxy.upstream.connections
+        await wait_until(lambda: any(link.upload for link in proxy.upstream.endpoint_connections))
+        (connection,), (link,) = proxy.server.connections, proxy.upstream.endpoint_connections
         assert link.transport is not None
         await wait_until(lambda: connection.reading_paused)
         assert link.transport.get_write_buffer_size() <= 4 * READ_SIZE
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -94,7 +94,7 @@
         _, requesting_writer = await proxy.connect()
         while len(proxy.server.connections) < 2:
             await asyncio.sleep(0)
-        proxy.upstream.max_sockets = len(proxy.upstream.connections) + len(proxy.server.connections)
+        proxy.upstream.max_sockets = len(proxy.upstream.endpoint_connections) + len(proxy.server.connections)
         requesting_writer.write(http_request(rid="r2"))
         await second.request_arrived.acquire()
         assert await idle_reader.read() == b""
@@ -176,7 +176,7 @@
             kinds = (Call, Attempt, ClientConnection, EndpointConnection)
             alive = Counter(type(each).__name__ for each in gc.get_objects() if isinstance(each, kinds))
             assert set(alive) <= {"EndpointConnection"} and alive["EndpointConnection"] <= len(
-                proxy.upstream.connections
+                proxy.upstream.endpoint_connections
             )
     finally:
         gc.enable()
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -189,7 +189,7 @@
         writer.write(http_request())
         assert (await read_message(reader)).body == b"ok"
         await registry.watches.get()
-        (link,) = proxy.upstream.connections
+        (link,) = proxy.upstream.endpoint_connections
         assert proxy.driver.discovery is not None and proxy.driver.discovery.stream is not None
         for each in (connection.transport, link.transport, proxy.driver.discovery.stream.transport):
             assert each is not None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -56,7 +56,7 @@
         await wait_until(lambda: not proxy.server.connections)
         for _ in range(8):
             await asyncio.sleep(0)
-        assert not proxy.upstream.connections
+        assert not proxy.upstream.endpoint_connections
 
 
 @pytest.mark.parametrize("reason", ["timed out", "cancelled"])
@@ -99,7 +99,7 @@
         loop.remove_reader(near_end)
         near_end.close()
         far_end.close()
-        await wait_until(lambda: all(link in link.pool.idle for link in proxy.upstream.connections))
+        await wait_until(lambda: all(link in link.pool.idle for link in proxy.upstream.endpoint_connections))
 
 
 @contextlib.contextmanager
@@ -196,7 +196,7 @@
             assert [each.outcome for each in attempt_outcomes] == [NO_CONNECT]
             assert response.start_line.split()[1] == "503", "its client may retry"
             may_connect.set()
-            await wait_until(lambda: not proxy.upstream.connections)
+            await wait_until(lambda: not proxy.upstream.endpoint_connections)
         assert not endpoint.connection_count and not endpoint.received
 
 
