--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -30,7 +30,7 @@
 from tests.sockets import Endpoint, FakeDiscovery
 from tests.test_registry import register, service
 from woadyard.audit import AuditSettings, Position, Spans
-from woadyard.audit.ledger import AuditBook
+from woadyard.audit.ledger import AuditState
 from woadyard.audit.questions import out_of_use, version_of, who_acted
 from woadyard.interface import LIST_DELTA, Send
 from woadyard.net import fetch, reporter
@@ -121,7 +121,7 @@
 
 
 def ledger() -> dict[str, Any]:
-    book, at = AuditBook(), 0
+    book, at = AuditState(), 0
     fleet = [Spans(f"n{n}", "run", 0, Position("log", 1, 0, "s", build="b")) for n in range(SIDECARS)]
     began = time.perf_counter()
     for minute in range(MINUTES):
--- a/benchmarks/discovery_watch.py
+++ b/benchmarks/discovery_watch.py
@@ -28,7 +28,7 @@
 from tests.sockets import Reader, Writer
 from tests.test_registry import ask, register, service
 from tests.test_replicas import caught_up, end, replica, until
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 
 WATCHERS, WRITES, QUIET_S, OUTAGE_S, BIN_S = 200, 50, 20.0, 5.0, 0.01
@@ -62,7 +62,7 @@
         self.wrote = 0.0
         self.clients = [
             Discovery(
-                loop, f"127.0.0.1:{port}", PATH, True, self.hears(n),
+                loop, f"127.0.0.1:{port}", INSTANCES_PATH, True, self.hears(n),
                 random.Random(n) if jitter else NoJitter(n),
             )
             for n in range(WATCHERS)
@@ -153,7 +153,7 @@
         await quiet(ports[0])
         for jitter in (False, True):
             await herd(ports[0], jitter)
-        assert (await ask(ports[0], "GET", PATH))[0] == 200
+        assert (await ask(ports[0], "GET", INSTANCES_PATH))[0] == 200
         await end(*processes)
 
 
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -30,7 +30,7 @@
 from benchmarks.scale.points import Point, write
 from tests.lab import Lab, Program, free_port
 from tests.test_registry import ENTRY
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 from woadyard.net.listwriter import ListWriter
 
@@ -71,7 +71,7 @@
         turn = seed % len(ports)
         first = [f"127.0.0.1:{port}" for port in (*ports[turn:], *ports[:turn])]
         loop = asyncio.get_running_loop()
-        self.discovery = Discovery(loop, first[0], PATH, True, self.listen, random.Random(seed))
+        self.discovery = Discovery(loop, first[0], INSTANCES_PATH, True, self.listen, random.Random(seed))
         self.discovery.replicas = first
         self.discovery.set_watch(True)
 
@@ -115,7 +115,7 @@
             await asyncio.sleep(LOOK_S)
 
     async def names(self, one: Program) -> set[str]:
-        told = (await self.lab.call(one.port, "GET", PATH)).json["instances"]
+        told = (await self.lab.call(one.port, "GET", INSTANCES_PATH)).json["instances"]
         return {entry["instanceId"] for entry in told}
 
 
@@ -133,7 +133,9 @@
         return time.perf_counter() - began
 
     async def answered() -> float:
-        while not await client.write("PUT", f"{PATH}/{name}?ttl_ms=3600000", ENTRY, lambda told: None):
+        while not await client.write(
+            "PUT", f"{INSTANCES_PATH}/{name}?ttl_ms=3600000", ENTRY, lambda told: None
+        ):
             await asyncio.sleep(client.backoff.next_delay_s())
         return time.perf_counter() - began
 
@@ -153,9 +155,13 @@
     try:
         await service.start()
         client = ListWriter(",".join(f"127.0.0.1:{port}" for port in service.ports), random.Random(size))
-        while not await client.write("PUT", f"{PATH}/leased?ttl_ms={LEASE_MS}", ENTRY, lambda told: None):
+        while not await client.write(
+            "PUT", f"{INSTANCES_PATH}/leased?ttl_ms={LEASE_MS}", ENTRY, lambda told: None
+        ):
             await asyncio.sleep(client.backoff.next_delay_s())
-        tasks.append(asyncio.create_task(client.keep(0.5, lambda: ("POST", f"{PATH}/leased/renew", {}))))
+        tasks.append(
+            asyncio.create_task(client.keep(0.5, lambda: ("POST", f"{INSTANCES_PATH}/leased/renew", {})))
+        )
         watchers = [Watcher(service.ports, seed) for seed in range(size)]
         while not all("leased" in one.told for one in watchers):
             await asyncio.sleep(LOOK_S)
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -26,11 +26,11 @@
 from benchmarks.scale.points import Point
 from tests.lab import Lab, Program
 from woadyard.audit.ledger import ROWS_MOST
-from woadyard.lists.book import PUT, RENEW
-from woadyard.lists.service import PATH
-from woadyard.registry.book import Record
-from woadyard.registry.host import NO_CHAIN
+from woadyard.lists.service import INSTANCES_PATH
+from woadyard.lists.state import PUT, RENEW
+from woadyard.registry.replicated_state import EMPTY_CHAIN
 from woadyard.registry.service import Registry
+from woadyard.registry.state_machine import LogEntry
 
 OUT = Path("docs/capacity/growth.jsonl")
 SIZES, TURNS = (100, 200, 400, 700, 1_100), 1
@@ -63,16 +63,16 @@
             usage.show(point)
 
 
-def record_cost(registry: Registry, make: Callable[[int], Record]) -> dict[str, float]:
+def record_cost(registry: Registry, make: Callable[[int], LogEntry]) -> dict[str, float]:
     """Of `RECORDS` records, median: bytes in the log, and time from the call until it is on disk."""
     sizes, times = list[int](), list[float]()
     for n in range(RECORDS):
-        record, before = make(n), registry.journal.size
+        record, before = make(n), registry.journal.log_bytes
         began = time.perf_counter()
-        registry.commit(record)
+        registry.append_entry(record)
         took = time.perf_counter() - began
-        if registry.journal.size > before:  # no snapshot came in between
-            sizes.append(registry.journal.size - before)
+        if registry.journal.log_bytes > before:  # no snapshot came in between
+            sizes.append(registry.journal.log_bytes - before)
             times.append(took)
     return {"bytes_per_record": statistics.median(sizes), "commit_p50_s": statistics.median(times)}
 
@@ -82,14 +82,14 @@
     known = [one["instanceId"] for one in listed]
     fleet = [state.spoken(registry, name) for name in known[: max(BATCH, 1)]]
 
-    def renewal(n: int) -> Record:
+    def renewal(n: int) -> LogEntry:
         return {"op": RENEW, "id": known[n % len(known)]}
 
-    def change(n: int) -> Record:
+    def change(n: int) -> LogEntry:
         entry = {**listed[n % len(listed)], "lifecycle": "draining", "weight": 1.0 - n / 1_000}
         return {"op": PUT, "entry": entry, "ttl_us": state.TTL_US}
 
-    def told(n: int, many: int) -> Record:
+    def told(n: int, many: int) -> LogEntry:
         """What each has to tell on an ordinary second: its open span went on."""
         some = []
         for spans in fleet[:many]:
@@ -113,13 +113,15 @@
     times = []
     for _ in range(SNAPSHOTS):
         began = time.perf_counter()
-        registry.journal.snapshot(registry.host)  # as after a write: the loop does nothing else
+        registry.journal.write_snapshot(registry.log_state)  # as after a write: the loop does nothing else
         times.append(time.perf_counter() - began)
-    size = registry.journal.snapshot_size
+    size = registry.journal.snapshot_bytes
     still = {"still_p50_s": statistics.median(times), "still_most_s": max(times), "bytes": size}
     notes.add("snapshot", shape, still)
     began = time.perf_counter()
-    told = msgspec.json.encode(registry.log_after(0, NO_CHAIN, ""))  # as a replica with nothing is answered
+    told = msgspec.json.encode(
+        registry.entries_or_snapshot_after(0, EMPTY_CHAIN, "")
+    )  # as a replica with nothing is answered
     still = {"still_p50_s": time.perf_counter() - began, "bytes": len(told)}
     notes.add("snapshot", f"{shape}_for_a_replica", still)
 
@@ -131,13 +133,13 @@
         if shape == state.SHAPES[0]:
             log(notes, registry)
         snapshot(notes, registry, shape)
-        if registry.timer is not None:
-            registry.timer.cancel()
+        if registry.due_timer is not None:
+            registry.due_timer.cancel()
     registry = state.made(folder, notes.size, shape, notes.rows_most)
     length = state.lengthen(registry, notes.size)
-    if registry.timer is not None:
-        registry.timer.cancel()
-    files = {"log_bytes": length, "snapshot_bytes": registry.journal.snapshot_size}
+    if registry.due_timer is not None:
+        registry.due_timer.cancel()
+    files = {"log_bytes": length, "snapshot_bytes": registry.journal.snapshot_bytes}
     notes.add("recovery", shape, files)
 
 
@@ -163,7 +165,9 @@
     """Bytes on a watch, as they come: first the list whole, then a zone that drains."""
     reader, writer = await asyncio.open_connection("127.0.0.1", service.port, limit=LINE_MOST)
     with closing(writer):
-        writer.write(f"GET {PATH}?watch=1&from=0 HTTP/1.1\r\nHost: list.service.local\r\n\r\n".encode())
+        writer.write(
+            f"GET {INSTANCES_PATH}?watch=1&from=0 HTTP/1.1\r\nHost: list.service.local\r\n\r\n".encode()
+        )
         whole = len(await reader.readuntil(b"\r\n\r\n")) + len(await reader.readline())
         whole += len(await reader.readline())  # behind the chunk's length
         drains = [one for one in listings.entries(notes.size) if one["zone"] == listings.ZONES[0]]
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -27,7 +27,7 @@
 from woadyard.audit import AuditSettings
 from woadyard.errors import PeerError
 from woadyard.interface import LIST_DELTA, Send
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 from woadyard.net.list_stream import LIST_DECODER
 from woadyard.net.reporter import Orders, Reporter, now_us
@@ -96,7 +96,7 @@
 
     def _discovery(self) -> Discovery:
         loop = asyncio.get_running_loop()
-        return Discovery(loop, self.service, PATH, True, self._listen, self.rng)
+        return Discovery(loop, self.service, INSTANCES_PATH, True, self._listen, self.rng)
 
     def _listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         self.version = version
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -16,14 +16,14 @@
 
 from benchmarks.scale import listings
 from woadyard.audit import Position, Spans
-from woadyard.audit.ledger import REPORTS, ROWS_MOST, RUN_ROWS_LEAST, AuditBook
+from woadyard.audit.ledger import REPORTS, ROWS_MOST, RUN_ROWS_LEAST, AuditState
 from woadyard.audit.messages import Report, Row
 from woadyard.limits import HOLD
-from woadyard.lists.book import PUT, RENEW
+from woadyard.lists.state import PUT, RENEW
 from woadyard.net.state import endpoint_number
-from woadyard.registry.book import Record
 from woadyard.registry.log import Journal
-from woadyard.registry.service import LOG_BYTES, Registry
+from woadyard.registry.service import MIN_SNAPSHOT_LOG_BYTES, Registry
+from woadyard.registry.state_machine import LogEntry
 
 SHAPES = ("lists", "whole")
 TTL_US = 24 * 3_600 * 1_000_000  # nothing lapses while it is measured
@@ -40,7 +40,7 @@
 
 
 def position(registry: Registry, generation: int) -> Position:
-    host = registry.host
+    host = registry.log_state
     return Position(host.lineage, host.term, generation, SETTINGS, build=BUILD)
 
 
@@ -59,8 +59,8 @@
     return Spans(name, "c0ffee123456", 0, position(registry, 1))
 
 
-def reports(told: list[Report]) -> Record:
-    return {"book": AuditBook.name, "op": REPORTS, "reports": msgspec.to_builtins(told)}
+def reports(told: list[Report]) -> LogEntry:
+    return {"book": AuditState.name, "op": REPORTS, "reports": msgspec.to_builtins(told)}
 
 
 def hold(at: int, listed: list[str], seq: int = 1) -> dict[str, Any]:
@@ -77,19 +77,19 @@
     fresh and its log empty."""
     registry = Registry(Journal(folder))
     with unsynced():
-        registry.lead()
+        registry.become_leader()
         listed = listings.entries(size)
         for entry in listed:
-            registry.commit({"op": PUT, "entry": entry, "ttl_us": TTL_US})
+            registry.append_entry({"op": PUT, "entry": entry, "ttl_us": TTL_US})
         if shape == "whole":
             known = [one["instanceId"] for one in listed]
             for at in range(size):
-                registry.commit(hold(at, known))
+                registry.append_entry(hold(at, known))
             rows = max(RUN_ROWS_LEAST, rows_most // size)
             for at in range(0, size, REPORTS_AT_ONCE):
                 some = known[at : at + REPORTS_AT_ONCE]
-                registry.commit(reports([report(registry, name, rows) for name in some]))
-        registry.journal.snapshot(registry.host)
+                registry.append_entry(reports([report(registry, name, rows) for name in some]))
+        registry.journal.write_snapshot(registry.log_state)
     return registry
 
 
@@ -98,7 +98,7 @@
     Its bytes."""
     known, journal, at = listings.names(size), registry.journal, 0
     with unsynced():
-        while journal.size < 0.98 * max(LOG_BYTES, journal.snapshot_size):
-            registry.commit({"op": RENEW, "id": known[at % size]})
+        while journal.log_bytes < 0.98 * max(MIN_SNAPSHOT_LOG_BYTES, journal.snapshot_bytes):
+            registry.append_entry({"op": RENEW, "id": known[at % size]})
             at += 1
-    return journal.size
+    return journal.log_bytes
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -25,7 +25,7 @@
 from tests.lab import Lab, Program
 from tests.sockets import SETTINGS
 from woadyard.errors import StateError
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 
 HOLLOW_MOST = 110  # in one process
 REAL, ENDPOINTS, REPLICAS = 3, 3, 2
@@ -217,7 +217,9 @@
         self.changes += 1
         told = names.entry(CHANGED, weight=float(self.changes))
         began = time.monotonic()
-        back = await self.call(self.writer, "PUT", f"{PATH}/{told['instanceId']}?ttl_ms=600000", told)
+        back = await self.call(
+            self.writer, "PUT", f"{INSTANCES_PATH}/{told['instanceId']}?ttl_ms=600000", told
+        )
         return (int(json.loads(back)["generation"]) if back else 0), began
 
     async def metrics(self, of: Program) -> dict[str, float]:
@@ -234,7 +236,7 @@
 
     async def listed(self, of: Program) -> set[str]:
         """The ids of the hollow sidecars' endpoints that are in its list."""
-        back = await self.call(of, "GET", PATH)
+        back = await self.call(of, "GET", INSTANCES_PATH)
         found = {one["instanceId"] for one in json.loads(back)["instances"]} if back else set()
         return found & self.ids
 
--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -19,7 +19,7 @@
 from tests.process import Process
 from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_request, http_response, read_message
 from tests.test_registry import ask
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.standins import CUT, DELAY, DROP, HERE, PASS, RESET, FaultProxy
 
 RULES = {"behind-ms": 1500, "shut-out-ms": 6000, "bring-ups": 100}
@@ -85,7 +85,7 @@
         await self.serve(0)
         await self.serve(1, "--follow", f"127.0.0.1:{self.ports[0]}")
         for n, one in enumerate(self.endpoints):
-            await self.write("PUT", f"{PATH}/s-{n}?ttl_ms=600000", one.entry(f"s-{n}"))
+            await self.write("PUT", f"{INSTANCES_PATH}/s-{n}?ttl_ms=600000", one.entry(f"s-{n}"))
         for n in range(self.size):
             links = {kind: [await self._link(port) for port in self.ports] for kind in ("watch", "report")}
             listener = socket.create_server(("127.0.0.1", 0), backlog=256)
@@ -201,7 +201,7 @@
         """A new generation of the list: an endpoint that gets nothing changes its weight."""
         self.changes += 1
         entry = {**self.endpoints[0].entry("s-9"), "lifecycle": "draining", "weight": float(self.changes)}
-        return await self.write("PUT", f"{PATH}/s-9?ttl_ms=600000", entry, which)
+        return await self.write("PUT", f"{INSTANCES_PATH}/s-9?ttl_ms=600000", entry, which)
 
     async def disturb(self, seconds: float, kinds: tuple[str, ...] = ("watch", "report")) -> None:
         """Faults on links by chance, each for a second or so, and a change of the list each second;
--- a/tests/test_audit_ledger.py
+++ b/tests/test_audit_ledger.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from woadyard.audit import Position, Report, Spans
-from woadyard.audit.ledger import AuditBook
+from woadyard.audit.ledger import AuditState
 from woadyard.audit.position import parse
 from woadyard.audit.questions import at, gaps, out_of_use, version_of, who_acted
 from woadyard.audit.run import Run
@@ -46,7 +46,7 @@
         self.truth: dict[str, list[int]] = {}
         self.out: list[tuple[int, str]] = []
         self.due: list[dict[str, Any]] = []  # on the way to the messy ledger
-        self.messy, self.orderly = AuditBook(), AuditBook()
+        self.messy, self.orderly = AuditState(), AuditState()
 
     def _count(self, of: int, position: str) -> None:
         self.truth.setdefault(position, [0, 0, 0])[of] += 1
@@ -107,7 +107,7 @@
 
     @rule()
     def restart(self) -> None:
-        book = AuditBook()
+        book = AuditState()
         book.load(json.loads(json.dumps(self.messy.dump())))
         self.messy = book
 
@@ -139,15 +139,15 @@
 TestReports.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def ledger_of(spans: Spans, *at_ms: int) -> AuditBook:
-    book = AuditBook()
+def ledger_of(spans: Spans, *at_ms: int) -> AuditState:
+    book = AuditState()
     for now in at_ms:
         book.apply(record(spans.report(now * 1000), at_ms=now + 100_000))
     return book
 
 
 def test_a_killed_run_leaves_a_gap_until_the_next_and_what_ended_well_leaves_none() -> None:
-    book = AuditBook()
+    book = AuditState()
     for run, began, last, final in (("a", 0, 900, False), ("b", 2000, 2900, True), ("c", 5000, 5500, False)):
         spans = Spans("n1", run, began * 1000, FIRST)
         spans.attempt((began + 10) * 1000, 1, 1)
@@ -176,7 +176,7 @@
 
 
 def test_a_ledger_keeps_to_its_size_and_says_what_it_summed_up() -> None:
-    book, spans = AuditBook(rows_most=64), Spans("n1", "a", 0, FIRST)
+    book, spans = AuditState(rows_most=64), Spans("n1", "a", 0, FIRST)
     for turn in range(1, 500):
         now = turn * 1_000_000
         spans.attempt(now, turn, 1)
--- a/tests/test_audit_service.py
+++ b/tests/test_audit_service.py
@@ -22,8 +22,8 @@
 
 def test_bad_old_and_repeated_reports_count_nothing_twice_whatever_the_clock_says(tmp_path: Path) -> None:
     async def main() -> None:
-        registry = Registry(Journal(tmp_path), clock=lambda: time.time_ns() // 1000 - 5_000_000)
-        registry.lead()
+        registry = Registry(Journal(tmp_path), clock_us=lambda: time.time_ns() // 1000 - 5_000_000)
+        registry.become_leader()
         listening: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         task = asyncio.create_task(serve(registry, "127.0.0.1", 0, listening.set_result))
         port = await listening
@@ -43,7 +43,7 @@
         for bad in bad_ones:
             status, text = await post(bad)
             assert status == 400 and "remedy" in text, (bad[:60], text)
-        assert registry.host.applied == 1, "nothing of them is in the log"
+        assert registry.log_state.applied_index == 1, "nothing of them is in the log"
         for n in (3, 1, 0, 3, 2, 1, 2):  # the old incarnation's come late, and all of them twice
             status, answer = await post(msgspec.json.encode(reports[n]))
             assert status == 200 and reports[n].n in answer["acks"]
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -40,7 +40,7 @@
         if self.calls:
             _, lease, name, asked, seq, keeps = self.calls.pop(at % len(self.calls))
             try:
-                granted = self.ledger.hold(self.now, name, seq, TTL, LIMIT, ["e"], keeps)
+                granted = self.ledger.grant_shares(self.now, name, seq, TTL, LIMIT, ["e"], keeps)
             except LogEntryError:
                 return
             if not lost:
@@ -71,13 +71,13 @@
     @rule()
     def the_ledger_restarts(self) -> None:
         self.ledger = Ledger.load(self.ledger.dump())
-        self.ledger.extend(self.now)
+        self.ledger.extend_all(self.now)
 
     @invariant()
     def never_more_than_the_limit(self) -> None:
         used = sum(one.usable(self.clock(who)).get("e", 0) for who, one in enumerate(self.leases))
         assert used <= LIMIT
-        assert sum(one.units.get("e", 0) for one in self.ledger.holdings.values()) <= LIMIT
+        assert sum(one.units.get("e", 0) for one in self.ledger.holder_leases.values()) <= LIMIT
 
 
 TestHolders = Holders.TestCase
@@ -86,7 +86,7 @@
 
 def renew(ledger: Ledger, lease: Lease, name: str, now: int) -> int:
     seq, keeps = lease.ask(now, {})
-    lease.granted(now, TTL, ledger.hold(now, name, seq, TTL, LIMIT, ["e"], keeps))
+    lease.granted(now, TTL, ledger.grant_shares(now, name, seq, TTL, LIMIT, ["e"], keeps))
     return lease.usable(now).get("e", 0)
 
 
@@ -104,19 +104,19 @@
 
 def test_what_is_in_flight_counts_as_kept_and_the_end_leaves_time_for_it() -> None:
     ledger, lease = Ledger(), Lease(margin_us=400)
-    lease.granted(0, TTL, ledger.hold(0, "n1", 1, TTL, LIMIT, ["e"], {}))
+    lease.granted(0, TTL, ledger.grant_shares(0, "n1", 1, TTL, LIMIT, ["e"], {}))
     assert lease.usable(599) == {"e": LIMIT} and lease.usable(600) == {}
     lease.seq = 1
     assert lease.ask(700, {"e": 3}) == (2, {"e": 3})
-    ledger.hold(700, "n1", 2, TTL, LIMIT, [], {"e": 3})
-    assert ledger.hold(701, "n2", 1, TTL, LIMIT, ["e"], {}) == {"e": LIMIT - 5}
+    ledger.grant_shares(700, "n1", 2, TTL, LIMIT, [], {"e": 3})
+    assert ledger.grant_shares(701, "n2", 1, TTL, LIMIT, ["e"], {}) == {"e": LIMIT - 5}
 
 
 @pytest.mark.parametrize("seq", [1, 2])
 def test_a_call_that_was_overtaken_is_turned_down(seq: int) -> None:
     ledger = Ledger()
-    ledger.hold(0, "n1", 2, TTL, LIMIT, ["e"], {})
+    ledger.grant_shares(0, "n1", 2, TTL, LIMIT, ["e"], {})
     before = ledger.dump()
     with pytest.raises(LogEntryError):
-        ledger.hold(1, "n1", seq, TTL, LIMIT, [], {})
+        ledger.grant_shares(1, "n1", seq, TTL, LIMIT, [], {})
     assert ledger.dump() == before
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -13,7 +13,7 @@
 from tests.test_registry import Watcher, ask, register, service
 from tests.test_replicas import end
 from tests.test_terms import instance_ids, next_log_event
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.standins import CUT, DELAY, DROP, PASS, Fault, FaultProxy
 
 TERM_PATH = "/registry/term"
@@ -41,7 +41,7 @@
 
     async def look(self) -> list[dict[str, Any]]:
         """The lists of all by now; each is the only one of its name."""
-        found = [(await ask(self.ports[who], "GET", PATH))[1] for who in self.processes]
+        found = [(await ask(self.ports[who], "GET", INSTANCES_PATH))[1] for who in self.processes]
         for one in found:
             key = one["term"], one["generation"]
             assert self.told.setdefault(key, one["instances"]) == one["instances"], "one name, two lists"
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -9,7 +9,7 @@
 
 from tests.lab import LOOK_S, Lab, Program, Reply, free_port
 from tests.test_registry import ENTRY, Watcher
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.listwriter import ListWriter
 from woadyard.standins import CUT, PASS, FaultProxy
 
@@ -71,7 +71,8 @@
 
     async def names(self, one: Program) -> set[str]:
         return {
-            entry["instanceId"] for entry in (await self.lab.call(one.port, "GET", PATH)).json["instances"]
+            entry["instanceId"]
+            for entry in (await self.lab.call(one.port, "GET", INSTANCES_PATH)).json["instances"]
         }
 
     async def shows(self, one: Program, names: set[str]) -> None:
@@ -113,7 +114,7 @@
 def renewing(members: Members, name: str) -> asyncio.Task[None]:
     """A lease kept as an endpoint keeps it: renewed at whoever writes."""
     writer = ListWriter(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
-    return asyncio.create_task(writer.keep(0.5, lambda: ("POST", f"{PATH}/{name}/renew", {})))
+    return asyncio.create_task(writer.keep(0.5, lambda: ("POST", f"{INSTANCES_PATH}/{name}/renew", {})))
 
 
 async def test_a_killed_writer_is_replaced_and_nothing_answered_nor_leased_is_lost(lab: Lab) -> None:
--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -13,8 +13,8 @@
 
 from tests.lab import call, free_port
 from tests.test_registry import ENTRY
-from woadyard.lists import ListBook
-from woadyard.lists.service import PATH
+from woadyard.lists import EndpointListState
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.registry.election import LEADER, MEMBER, NEW, Timing
 from woadyard.registry.elector import Elector
 from woadyard.registry.http import serve
@@ -52,7 +52,7 @@
         await self.start()
 
     async def put(self, name: str, ttl_ms: int = 60_000) -> int:
-        return (await call(self.port, "PUT", f"{PATH}/{name}?ttl_ms={ttl_ms}", ENTRY)).status
+        return (await call(self.port, "PUT", f"{INSTANCES_PATH}/{name}?ttl_ms={ttl_ms}", ENTRY)).status
 
     async def stands(self, standing: str) -> None:
         await until(lambda: self.elector.kept.standing == standing)
@@ -62,7 +62,7 @@
 
     @property
     def names(self) -> set[str]:
-        return set(self.registry.book(ListBook).entries)
+        return set(self.registry.state_machine(EndpointListState).entries)
 
 
 @contextlib.asynccontextmanager
@@ -94,7 +94,9 @@
 
     def found() -> Here | None:
         running = (one for one in members if one.tasks)
-        return next((one for one in running if one.registry.leads and one.registry.held() > 0), None)
+        return next(
+            (one for one in running if one.registry.is_leader and one.registry.replicated_index() > 0), None
+        )
 
     led: Here = await until(found)
     return led
@@ -116,7 +118,7 @@
         met = await until(lambda: [one.standing for one in other.elector.election.met.values()])
         assert met == [NEW] and not wiped.elector.election.voter
         await until(lambda: other.elector.election.asking)  # it stands, and the other has no vote
-        assert not other.registry.leads and not wiped.registry.leads
+        assert not other.registry.is_leader and not wiped.registry.is_leader
         await first.start()
         led = await leader(members)
         await wiped.stands(MEMBER)
@@ -127,10 +129,12 @@
 async def test_a_log_that_was_led_by_hand_goes_on_as_its_members_elect(tmp_path: Path) -> None:
     def by_hand(members: list[Here]) -> None:
         registry = Registry(Journal(members[1].folder))
-        registry.lead()
-        registry.write({"op": "put", "entry": {**ENTRY, "instanceId": "s-0"}, "ttl_us": 60_000_000})
-        assert registry.timer is not None
-        registry.timer.cancel()
+        registry.become_leader()
+        registry.append_for_response(
+            {"op": "put", "entry": {**ENTRY, "instanceId": "s-0"}, "ttl_us": 60_000_000}
+        )
+        assert registry.due_timer is not None
+        registry.due_timer.cancel()
 
     async with three(tmp_path, by_hand) as members:
         led = await leader(members)
@@ -153,16 +157,19 @@
         )
         assert put == planned.status == 503
         assert planned.headers["Retry-After"] and planned.json["remedy"]
-        await until(lambda: not led.registry.leads)
+        await until(lambda: not led.registry.is_leader)
         assert led.elector.election.role != LEADER
-        ends = led.registry.book(ListBook).leases["s-0"]
-        await until(lambda: led.registry.clock() > ends)
+        ends = led.registry.state_machine(EndpointListState).lease_expiries_us["s-0"]
+        await until(lambda: led.registry.clock_us() > ends)
         assert "s-0" in led.names
         for one in members:
             if one is not led:
                 await one.start()
         again = await leader(members)
-        assert "s-0" in again.names and again.registry.book(ListBook).leases["s-0"] > ends
+        assert (
+            "s-0" in again.names
+            and again.registry.state_machine(EndpointListState).lease_expiries_us["s-0"] > ends
+        )
         await until(lambda: "s-0" not in again.names)  # nobody renews it, and somebody leads
 
 
@@ -171,13 +178,13 @@
     async with three(tmp_path) as members:
         led = await leader(members)
         assert await led.put("s-0") == 200
-        registry, before = led.registry, led.registry.host.applied
+        registry, before = led.registry, led.registry.log_state.applied_index
         for one in members:
             if one is not led:
                 await one.stop()
-        registry.lead_elected(led.elector.election.term + 1)
-        assert registry.held() == -1
-        registry.copies.proven("x", before, time.monotonic())
-        assert registry.held() == -1
-        registry.copies.proven("x", before + 1, time.monotonic())
-        assert registry.held() == before + 1
+        registry.become_elected_leader(led.elector.election.term + 1)
+        assert registry.replicated_index() == -1
+        registry.replica_progress.proven("x", before, time.monotonic())
+        assert registry.replicated_index() == -1
+        registry.replica_progress.proven("x", before + 1, time.monotonic())
+        assert registry.replicated_index() == before + 1
--- a/tests/test_experiment_book.py
+++ b/tests/test_experiment_book.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from woadyard.errors import LogEntryError
-from woadyard.experiment.book import ExperimentsBook
+from woadyard.experiment.book import ExperimentsState
 from woadyard.experiment.messages import Directive, read_directive
 from woadyard.experiment.plan import Plan
 from woadyard.experiment.rules import Decision, State
@@ -19,20 +19,20 @@
 END = msgspec.to_builtins(Decision(State.WINNER, "b", (0.01, 0.1), "better", 1.0))
 
 
-def put(book: ExperimentsBook, op: str, at_s: float = 0.0, **fields: Any) -> None:
+def put(book: ExperimentsState, op: str, at_s: float = 0.0, **fields: Any) -> None:
     record = {"op": op, "name": "one", "at": int(at_s * 1e6), **fields}
     book.check(record)
     book.apply(record)
 
 
-def running() -> ExperimentsBook:
-    book = ExperimentsBook()
+def running() -> ExperimentsState:
+    book = ExperimentsState()
     put(book, "draft", draft=DRAFT)
     put(book, "start")
     return book
 
 
-def sums(book: ExperimentsBook) -> dict[str, int]:
+def sums(book: ExperimentsState) -> dict[str, int]:
     active = book.active
     assert active is not None and active.evidence is not None
     return active.evidence.tried()
@@ -50,7 +50,7 @@
     directive = book.directive()
     assert directive is not None and (directive.revision, directive.serve) == (2, "b")
     assert [arm.share for arm in directive.arms] == [0.0, 1.0]
-    other = ExperimentsBook()
+    other = ExperimentsState()
     other.load(msgspec.json.decode(msgspec.json.encode(book.dump())))
     assert other.dump() == book.dump() and other.directive() == directive
     put(other, "applied", 7.5)
--- a/tests/test_experiment_conductor.py
+++ b/tests/test_experiment_conductor.py
@@ -6,7 +6,7 @@
 import numpy as np
 import pytest
 
-from woadyard.experiment.book import ExperimentsBook
+from woadyard.experiment.book import ExperimentsState
 from woadyard.experiment.conductor import Conductor
 from woadyard.experiment.rules import State
 from woadyard.experiment.trial import Trial
@@ -26,18 +26,18 @@
 
     def __init__(self, folder: Path, now: list[int]) -> None:
         self.now = now
-        self.registry = Registry(Journal(folder), clock=lambda: now[0])
-        self.registry.lead()
+        self.registry = Registry(Journal(folder), clock_us=lambda: now[0])
+        self.registry.become_leader()
         self.behind: list[str] = []
         self.missing = 0.0
         self.conductor = Conductor(self.registry, lambda: self.missing, lambda revision: self.behind)
 
     @property
     def trial(self) -> Trial:
-        return self.registry.book(ExperimentsBook).trials["one"]
+        return self.registry.state_machine(ExperimentsState).trials["one"]
 
     def put(self, op: str, **fields: Any) -> None:
-        self.registry.commit({"book": "experiments", "op": op, "name": "one", **fields})
+        self.registry.append_entry({"book": "experiments", "op": op, "name": "one", **fields})
 
     def count(self, seconds: int, good_b: float, first: int = 1) -> None:
         rng = np.random.default_rng(1)
@@ -65,13 +65,13 @@
     second = Writer(tmp_path, now)
     assert second.trial.state is State.RUNNING
     assert second.step() is State.WINNER
-    made, directive = second.trial.decision, second.registry.book(ExperimentsBook).directive()
+    made, directive = second.trial.decision, second.registry.state_machine(ExperimentsState).directive()
     # Killed right after: the next one has the decision, whatever evidence comes late.
     third = Writer(tmp_path, now)
     third.count(40, 0.1, first=81)
     assert third.step() is State.APPLIED
     assert third.trial.decision == made and made is not None and made.winner == "b"
-    assert third.registry.book(ExperimentsBook).directive() == directive
+    assert third.registry.state_machine(ExperimentsState).directive() == directive
 
 
 @pytest.mark.asyncio
@@ -100,13 +100,13 @@
     one.put("start")
     one.count(10, 0.0)
     assert one.step() is State.HARMFUL
-    directive = one.registry.book(ExperimentsBook).directive()
+    directive = one.registry.state_machine(ExperimentsState).directive()
     assert directive is not None and directive.serve == "a"
     one.step()
     one.put("close")
-    one.registry.commit({"book": "experiments", "op": "draft", "name": "two", "draft": DRAFT})
-    one.registry.commit({"book": "experiments", "op": "start", "name": "two"})
+    one.registry.append_entry({"book": "experiments", "op": "draft", "name": "two", "draft": DRAFT})
+    one.registry.append_entry({"book": "experiments", "op": "start", "name": "two"})
     now[0] += 700 * S
-    two = one.registry.book(ExperimentsBook).trials["two"]
+    two = one.registry.state_machine(ExperimentsState).trials["two"]
     one.conductor.step(two)
     assert two.state is State.EXPIRED
--- a/tests/test_log_divergence.py
+++ b/tests/test_log_divergence.py
@@ -15,13 +15,13 @@
 
 from tests.test_registry import ENTRY
 from woadyard.errors import LogEntryError
-from woadyard.lists import ListBook
+from woadyard.lists import EndpointListState
 from woadyard.net.list_version import TAKE, CurrentVersion, ListMessage, ListVersion
-from woadyard.registry.follow import Follower
-from woadyard.registry.host import next_term
+from woadyard.registry.follower import Follower
 from woadyard.registry.log import Journal
+from woadyard.registry.log_tail import LogTail
+from woadyard.registry.replicated_state import next_term
 from woadyard.registry.service import DeposedError, Registry
-from woadyard.registry.tail import Tail
 
 MEMBER_INDEXES = strategies.integers(0, 2)
 INSTANCE_IDS = strategies.sampled_from(["s-1", "s-2", "s-3"])
@@ -30,7 +30,7 @@
 class RegistryWithoutLoop(Registry):
     """A registry without an event loop: no timer fires."""
 
-    def arm(self) -> None:
+    def schedule_due_entry(self) -> None:
         pass
 
 
@@ -45,10 +45,13 @@
         self.current, self.entries = CurrentVersion(), dict[str, Any]()
 
     def fetch_list(self, registry: Registry) -> None:
-        version, endpoint_list = self.current.version, registry.book(ListBook)
-        registry.hear(version.lineage, version.term, "a client")
-        term = version.term if version.lineage == registry.host.lineage else -1
-        response = {**endpoint_list.changes_since(term, version.generation), "lineage": registry.host.lineage}
+        version, endpoint_list = self.current.version, registry.state_machine(EndpointListState)
+        registry.observe_term(version.lineage, version.term, "a client")
+        term = version.term if version.lineage == registry.log_state.lineage else -1
+        response = {
+            **endpoint_list.changes_since(term, version.generation),
+            "lineage": registry.log_state.lineage,
+        }
         received = msgspec.convert(response, ListMessage).version
         if response["lineage"] and self.current.evaluate(received, response["reset"], 0.0) == TAKE:
             self.current.replace(received, 0.0)
@@ -68,7 +71,7 @@
         self.folder, self.served = Path(tempfile.mkdtemp()), dict[ListVersion, Any]()
         self.client = Client()
         self.members = [self.open(0), self.open(1, "whom"), self.open(2, "whom")]
-        self.members[0].lead()
+        self.members[0].become_leader()
         for n in (1, 2):
             self.follow_leader(n, 0)
 
@@ -77,8 +80,8 @@
 
     def open(self, index: int, writer: str | None = None) -> Registry:
         journal = Journal(self.folder / str(index))
-        journal.tail = Tail(6)  # short, so that whole snapshots are transferred as well
-        return RegistryWithoutLoop(journal, clock=lambda: 0, writer=writer)
+        journal.tail = LogTail(6)  # short, so that whole snapshots are transferred as well
+        return RegistryWithoutLoop(journal, clock_us=lambda: 0, leader_address=writer)
 
     @rule(
         index=MEMBER_INDEXES,
@@ -87,46 +90,48 @@
         drop=strategies.booleans(),
     )
     def write(self, index: int, name: str, zone: str, drop: bool) -> None:
-        if self.members[index].leads:
-            self.members[index].commit({"op": "drop", "id": name} if drop else put(name, zone))
+        if self.members[index].is_leader:
+            self.members[index].append_entry({"op": "drop", "id": name} if drop else put(name, zone))
         else:
             with pytest.raises(DeposedError):
-                self.members[index].commit(put(name, zone))
+                self.members[index].append_entry(put(name, zone))
 
     @rule(index=MEMBER_INDEXES)
     def promote(self, index: int) -> None:
         self.members[index] = self.open(index)
-        self.members[index].lead(take_over=True)
+        self.members[index].become_leader(take_over=True)
 
     @rule(index=MEMBER_INDEXES)
     def kill_and_restart(self, index: int) -> None:
         """Start it again in its last role, even a leader that was replaced meanwhile."""
-        restarted = self.members[index] = self.open(index, self.members[index].writer)
-        if restarted.writer is None:
-            restarted.lead()
+        restarted = self.members[index] = self.open(index, self.members[index].leader_address)
+        if restarted.leader_address is None:
+            restarted.become_leader()
 
     @rule(index=MEMBER_INDEXES, leader_index=MEMBER_INDEXES)
     def follow_leader(self, index: int, leader_index: int) -> None:
         follower, leader = self.members[index], self.members[leader_index]
-        if index == leader_index or not leader.leads:
+        if index == leader_index or not leader.is_leader:
             return
-        if follower.leads:
-            leader.hear(follower.host.lineage, follower.seen, "a peer")
-            follower.hear(leader.host.lineage, leader.seen, "a peer")
-            assert not (follower.leads and leader.leads), "one of two leaders steps down"
+        if follower.is_leader:
+            leader.observe_term(follower.log_state.lineage, follower.highest_term, "a peer")
+            follower.observe_term(leader.log_state.lineage, leader.highest_term, "a peer")
+            assert not (follower.is_leader and leader.is_leader), "one of two leaders steps down"
             return
-        follower.follow("whom")
-        host, seen = follower.host, follower.seen
-        leader.hear(host.lineage, seen, "a replica")
-        response = leader.log_after(host.applied, host.chain, host.lineage)
+        follower.start_following("whom")
+        host, seen = follower.log_state, follower.highest_term
+        leader.observe_term(host.lineage, seen, "a replica")
+        response = leader.entries_or_snapshot_after(host.applied_index, host.chain, host.lineage)
         try:
-            Follower(follower, Random(1), 1.0).take(response)
+            Follower(follower, Random(1), 1.0).apply_log_response(response)
         except LogEntryError:
-            assert seen > leader.host.term, "only a leader of an older term is refused"
-            assert not leader.leads, "and it stepped down"
+            assert seen > leader.log_state.term, "only a leader of an older term is refused"
+            assert not leader.is_leader, "and it stepped down"
         else:
-            assert follower.host.dump() == leader.host.dump()
-            assert follower.host.chain == follower.journal.tail.chain_at(follower.host.applied)
+            assert follower.log_state.dump() == leader.log_state.dump()
+            assert follower.log_state.chain == follower.journal.tail.chain_at(
+                follower.log_state.applied_index
+            )
 
     @rule(index=MEMBER_INDEXES)
     def client_fetches_list(self, index: int) -> None:
@@ -140,8 +145,8 @@
     @invariant()
     def no_version_has_two_lists(self) -> None:
         for member in getattr(self, "members", []):
-            endpoint_list = member.book(ListBook)
-            list_version = ListVersion(member.host.lineage, endpoint_list.term, endpoint_list.version)
+            endpoint_list = member.state_machine(EndpointListState)
+            list_version = ListVersion(member.log_state.lineage, endpoint_list.term, endpoint_list.version)
             assert self.served.setdefault(list_version, dict(endpoint_list.entries)) == endpoint_list.entries
 
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -14,7 +14,7 @@
 
 from tests.process import Process, free_port
 from tests.sockets import FakeDiscovery, push_list, read_message, run_test
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 
 WATCHERS = 50
@@ -49,7 +49,7 @@
 
 
 async def register(port: int, name: str, ttl_ms: int = 60_000) -> tuple[int, Any]:
-    return await ask(port, "PUT", f"{PATH}/{name}?ttl_ms={ttl_ms}", json.dumps(ENTRY).encode())
+    return await ask(port, "PUT", f"{INSTANCES_PATH}/{name}?ttl_ms={ttl_ms}", json.dumps(ENTRY).encode())
 
 
 class Watcher:
@@ -60,7 +60,9 @@
         self.names: set[str] = set()
         self.wanted, self.reached = wanted, asyncio.Event()
         loop = asyncio.get_running_loop()
-        self.discovery = Discovery(loop, f"127.0.0.1:{port}", PATH, True, self.listen, random.Random(seed))
+        self.discovery = Discovery(
+            loop, f"127.0.0.1:{port}", INSTANCES_PATH, True, self.listen, random.Random(seed)
+        )
         self.discovery.set_watch(True)
 
     def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
@@ -84,7 +86,7 @@
         process.send_signal(signal.SIGKILL)
         await process.wait()
         process = await service(tmp_path, port)
-        assert (await ask(port, "GET", PATH))[1]["generation"] == 3, "the version outlives kill -9"
+        assert (await ask(port, "GET", INSTANCES_PATH))[1]["generation"] == 3, "the version outlives kill -9"
         assert (await register(port, "s-3"))[0] == 200
         for one in watchers:
             one.wanted, one.reached = 4, asyncio.Event()
@@ -109,11 +111,13 @@
         process = await service(tmp_path, port)
         await register(port, "kept")
         await register(port, "left", ttl_ms=300)
-        _, listing = await ask(port, "GET", f"{PATH}?index=2&wait=10")  # returns when "left" expires
+        _, listing = await ask(
+            port, "GET", f"{INSTANCES_PATH}?index=2&wait=10"
+        )  # returns when "left" expires
         assert listing["generation"] == 3
         assert [one["instanceId"] for one in listing["instances"]] == ["kept"]
-        assert (await ask(port, "POST", f"{PATH}/kept/renew"))[0] == 200
-        assert (await ask(port, "POST", f"{PATH}/left/renew"))[0] == 400
+        assert (await ask(port, "POST", f"{INSTANCES_PATH}/kept/renew"))[0] == 200
+        assert (await ask(port, "POST", f"{INSTANCES_PATH}/left/renew"))[0] == 400
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
@@ -131,7 +135,7 @@
         log.symlink_to(FULL)  # a disk with no room left: writes fail with ENOSPC
         status, text = await register(port, "s-1")
         assert status == 507 and json.loads(text)["error"].startswith("can't write")
-        status, listing = await ask(port, "GET", PATH)
+        status, listing = await ask(port, "GET", INSTANCES_PATH)
         assert status == 200 and [one["instanceId"] for one in listing["instances"]] == ["s-0"]
         process.send_signal(signal.SIGTERM)
         await process.wait()
--- a/tests/test_registry_log.py
+++ b/tests/test_registry_log.py
@@ -16,10 +16,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from woadyard.errors import LogEntryError
-from woadyard.lists import EXPIRE, PUT, RENEW, ListBook
-from woadyard.registry.books import books
-from woadyard.registry.host import Host
+from woadyard.lists import EXPIRE, PUT, RENEW, EndpointListState
 from woadyard.registry.log import Journal
+from woadyard.registry.replicated_state import ReplicatedState
+from woadyard.registry.state_machines import create_state_machines
 
 NAMES = strategies.sampled_from(["s-1", "s-2", "s-3"])
 
@@ -32,20 +32,20 @@
 OLD = Path(__file__).parent / "data" / "log-before-books"
 
 
-def opened(folder: Path) -> tuple[Journal, Host]:
-    journal, host = Journal(folder), Host(books())
+def opened(folder: Path) -> tuple[Journal, ReplicatedState]:
+    journal, host = Journal(folder), ReplicatedState(create_state_machines())
     journal.recover(host)
     return journal, host
 
 
-def of(host: Host) -> ListBook:
-    found = host.books["list"]
-    assert isinstance(found, ListBook)
+def of(host: ReplicatedState) -> EndpointListState:
+    found = host.state_machines["list"]
+    assert isinstance(found, EndpointListState)
     return found
 
 
-def copy(host: Host) -> Host:
-    made = Host(books())
+def copy(host: ReplicatedState) -> ReplicatedState:
+    made = ReplicatedState(create_state_machines())
     made.load(json.loads(json.dumps(host.dump())))
     return made
 
@@ -58,7 +58,10 @@
         super().__init__()
         self.folder = Path(tempfile.mkdtemp())
         self.journal, self.host = opened(self.folder)
-        self.model, self.at_snapshot = Host(books()), Host(books())
+        self.model, self.at_snapshot = (
+            ReplicatedState(create_state_machines()),
+            ReplicatedState(create_state_machines()),
+        )
         self.since: list[dict[str, Any]] = []  # written whole since the snapshot
         self.now = 0
 
@@ -90,7 +93,7 @@
 
     @rule()
     def snapshot(self) -> None:
-        self.journal.snapshot(self.host)
+        self.journal.write_snapshot(self.host)
         self.at_snapshot, self.since = copy(self.model), []
 
     @rule()
@@ -168,14 +171,17 @@
     shutil.copytree(OLD, tmp_path, dirs_exist_ok=True)
     journal, host = opened(tmp_path)
     book = of(host)
-    assert (host.applied, host.lineage, host.term, book.version) == (9, "0badc0de0badc0de", 0, 4)
-    assert book.entries.keys() == {"s-0", "s-2"} and book.leases == {"s-0": 61004000, "s-2": 61003000}
-    assert host.books["limits"].dump() == {
+    assert (host.applied_index, host.lineage, host.term, book.version) == (9, "0badc0de0badc0de", 0, 4)
+    assert book.entries.keys() == {"s-0", "s-2"} and book.lease_expiries_us == {
+        "s-0": 61004000,
+        "s-2": 61003000,
+    }
+    assert host.state_machines["limits"].dump() == {
         "n2": [61004000, 60000000, 1, {"7": 0}], "n1": [61004000, 60000000, 2, {"7": 5}],
     }  # fmt: skip
     journal.append(host, {"op": "lead", "lineage": host.lineage, "term": 7, "at": 0})
     journal.append(host, {**put("s-3", 0), "term": 7})
-    journal.snapshot(host)
+    journal.write_snapshot(host)
     assert opened(tmp_path)[1].dump() == copy(host).dump()
 
 
@@ -195,7 +201,7 @@
 
 @pytest.mark.parametrize("term", [6, 8, "7", -1, True])
 def test_a_record_of_another_term_is_refused(term: Any) -> None:
-    host = Host(books())
+    host = ReplicatedState(create_state_machines())
     host.apply({"op": "lead", "lineage": "ab", "term": 7, "at": 0})
     before = host.dump()
     with pytest.raises(LogEntryError):
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -15,10 +15,10 @@
 from tests.sockets import run_test
 from tests.test_registry import ENTRY, Watcher, ask, service
 from woadyard.errors import LogEntryError
-from woadyard.lists import ListBook
-from woadyard.lists.service import PATH
-from woadyard.registry.host import NO_CHAIN
+from woadyard.lists import EndpointListState
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.registry.log import Journal
+from woadyard.registry.replicated_state import EMPTY_CHAIN
 from woadyard.registry.service import Registry
 from woadyard.standins import CUT, DROP, PASS
 
@@ -38,7 +38,7 @@
 async def until(port: int, true: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
     """The list there, once `true` of it."""
     while True:
-        _, listing = await ask(port, "GET", PATH)
+        _, listing = await ask(port, "GET", INSTANCES_PATH)
         if true(listing):
             return dict(listing)
         await asyncio.sleep(0.02)
@@ -87,7 +87,7 @@
     await sidecar.shows("woadyard_list_version 1.0")
     to_writer.fault(DROP)  # the first replica lags from now on
     assert (await lab.register(writer, "s-1", new)).status == 200
-    assert (await lab.call(writer.port, "DELETE", f"{PATH}/s-0")).status == 200
+    assert (await lab.call(writer.port, "DELETE", f"{INSTANCES_PATH}/s-0")).status == 200
     await sidecar.shows("woadyard_list_version 3.0")
     to_replicas[1].fault(CUT)  # and only the one that lags is left
     taken = to_replicas[0].taken
@@ -108,7 +108,7 @@
         await lab.register(writer, f"t-{n}", ENTRY)
     second = await follows(lab, "1", writer)
     await writer.said("call refused")
-    told = (await lab.call(second.port, "GET", PATH)).json
+    told = (await lab.call(second.port, "GET", INSTANCES_PATH)).json
     assert told["following"] is False
     assert [one["instanceId"] for one in told["instances"]] == ["s-0"]
 
@@ -135,37 +135,40 @@
     clock = [0]
 
     def opened() -> Registry:
-        return Registry(Journal(tmp_path), clock=lambda: clock[0])
+        return Registry(Journal(tmp_path), clock_us=lambda: clock[0])
 
     async def main() -> None:
         registry = opened()
-        registry.lead()
+        registry.become_leader()
         put = {"op": "put", "entry": {**ENTRY, "instanceId": "s-0"}, "ttl_us": 1_000_000}
-        assert registry.write(put)[0] == 200
+        assert registry.append_for_response(put)[0] == 200
         clock[0] = 60_000_000  # a minute's outage
         again = opened()
-        again.lead()
-        again.write({"op": "expire"})
-        assert list(again.book(ListBook).entries) == ["s-0"]
+        again.become_leader()
+        again.append_for_response({"op": "expire"})
+        assert list(again.state_machine(EndpointListState).entries) == ["s-0"]
         clock[0] += 1_000_000
-        again.write({"op": "expire"})
-        assert not again.book(ListBook).entries, "and run out as before"
+        again.append_for_response({"op": "expire"})
+        assert not again.state_machine(EndpointListState).entries, "and run out as before"
 
     run_test(main())
 
 
 def test_a_replica_too_far_behind_gets_the_state_whole(tmp_path: Path) -> None:
     async def main() -> None:
-        writer = Registry(Journal(tmp_path / "w"), clock=lambda: 0)
-        writer.lead()
+        writer = Registry(Journal(tmp_path / "w"), clock_us=lambda: 0)
+        writer.become_leader()
         put = {"op": "put", "entry": {**ENTRY, "instanceId": "s-0"}, "ttl_us": 1_000_000}
-        writer.write(put)
-        assert [one["op"] for one in writer.log_after(0, NO_CHAIN, "")["records"]] == ["lead", "put"]
-        writer.journal.snapshot(writer.host)
-        again = Registry(Journal(tmp_path / "w"), clock=lambda: 0)
-        told = again.log_after(0, NO_CHAIN, "")
+        writer.append_for_response(put)
+        assert [one["op"] for one in writer.entries_or_snapshot_after(0, EMPTY_CHAIN, "")["records"]] == [
+            "lead",
+            "put",
+        ]
+        writer.journal.write_snapshot(writer.log_state)
+        again = Registry(Journal(tmp_path / "w"), clock_us=lambda: 0)
+        told = again.entries_or_snapshot_after(0, EMPTY_CHAIN, "")
         assert "records" not in told and told["snapshot"]["books"]["list"]["entries"].keys() == {"s-0"}
         with pytest.raises(LogEntryError):
-            again.log_after(0, NO_CHAIN, "another")
+            again.entries_or_snapshot_after(0, EMPTY_CHAIN, "another")
 
     run_test(main())
--- a/tests/test_scale_page.py
+++ b/tests/test_scale_page.py
@@ -100,7 +100,7 @@
         ("1<!-- = sidecar -->", "nothing is named 'sidecar'"),
         ("1,100<!-- = sidecars | .3x -->", "no form"),
         ("1,100<!-- sidecars = sidecars -->", "named twice"),
-        ("`woadyard/lists/book.py`", ""),
+        ("`woadyard/lists/state.py`", ""),
         ("`woadyard/lists/bock.py`", "no such file"),
     ],
 )
@@ -216,8 +216,8 @@
         ("lost + 1", "no line"),
         ("sidecars <= 1100", "holds"),
         ("sidecars < 1100", "broken"),
-        ('code("woadyard/lists/book.py", "HISTORY")', 256.0),
-        ('code("woadyard/registry/tail.py", "BYTES_KEPT")', 4.0 * 1024 * 1024),
+        ('code("woadyard/lists/state.py", "MAX_RECENT_CHANGES")', 256.0),
+        ('code("woadyard/registry/log_tail.py", "MAX_BYTES")', 4.0 * 1024 * 1024),
     ],
 )  # fmt: skip
 def test_formulas_say(formula: str, value: float | str) -> None:
@@ -233,8 +233,8 @@
         "not 1", "1 < 2 < 3", "True", "1j", "'a'", "'a' * 9", "1 // 2", "1 % 2", "1 << 9", "9 ** 999",
         "10 ** 128 * 10.0 ** 300",
         "1 / 0", "max()", "ceil(1, 2)", "slope('a')", "slope(*'abc')", "slope('a', 'b', 'c', **sidecars)",
-        "value('1')", "_of(1)", "slope('a', 'b', 'c', d='e')", "code('woadyard/lists/book.py', 'NONE')",
-        "code('woadyard/lists/book.py', 'PUT')", "code('../x.py', 'A')", "code('README.md', 'A')", "x := 1",
+        "value('1')", "_of(1)", "slope('a', 'b', 'c', d='e')", "code('woadyard/lists/state.py', 'NONE')",
+        "code('woadyard/lists/state.py', 'PUT')", "code('../x.py', 'A')", "code('README.md', 'A')", "x := 1",
         "+" * 700, "(" * 300, "1 + " * 140 + "1 +" * 20,
     ],
 )  # fmt: skip
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -14,7 +14,7 @@
 from tests.test_registry import ask, service
 from tests.test_replicas import end
 from woadyard.errors import PeerError
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.membership.shrink import LOSS_WINDOW_S, ShrinkGuard
 
 
@@ -99,7 +99,9 @@
             async def renew_leases(ttl_ms: int) -> None:
                 for n in range(3):
                     body = json.dumps(endpoint.entry(f"s-{n}")).encode()
-                    assert (await ask(registry_port, "PUT", f"{PATH}/s-{n}?ttl_ms={ttl_ms}", body))[0] == 200
+                    assert (await ask(registry_port, "PUT", f"{INSTANCES_PATH}/s-{n}?ttl_ms={ttl_ms}", body))[
+                        0
+                    ] == 200
 
             await renew_leases(60_000)
             port, admin_port = free_port(), free_port()
@@ -123,7 +125,7 @@
 
             await wait_for_metric("woadyard_list_version 3.0")
             await renew_leases(1)
-            while (listing := (await ask(registry_port, "GET", PATH))[1])["instances"]:
+            while (listing := (await ask(registry_port, "GET", INSTANCES_PATH))[1])["instances"]:
                 await asyncio.sleep(0.02)
             await wait_for_metric(f"woadyard_list_version {listing['generation']}.0")
             assert await status("r1") == "200"
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -14,7 +14,7 @@
 from tests.sockets import run_test
 from tests.test_registry import ENTRY, Watcher, ask, register, service
 from tests.test_replicas import caught_up, end, replica, until
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 from woadyard.net.list_version import (
     KEEP,
@@ -75,7 +75,9 @@
         lost = await next_log_event(first, "records thrown away, the writer's state taken whole")
         assert (lost["records"], lost["lost"], lost["new_term"]) == (1, ["x-2"], y_2["term"])
         told = await until(ports[0], caught_up(2))
-        assert instance_ids(told) == ["x-1", "y-2"] and told == (await ask(ports[1], "GET", PATH))[1]
+        assert (
+            instance_ids(told) == ["x-1", "y-2"] and told == (await ask(ports[1], "GET", INSTANCES_PATH))[1]
+        )
         await end(first, second)
 
     run_test(main())
@@ -91,7 +93,9 @@
         status, text = await register(ports[0], "x-2")
         assert status == 307 and json.loads(text)["writer"] == f"127.0.0.1:{ports[1]}"
         caller, told = ListWriter(f"127.0.0.1:{ports[0]}", Random(1)), list[Any]()
-        assert await caller.write("PUT", f"{PATH}/y-2?ttl_ms=60000", ENTRY, told.append), "in one call"
+        assert await caller.write("PUT", f"{INSTANCES_PATH}/y-2?ttl_ms=60000", ENTRY, told.append), (
+            "in one call"
+        )
         assert caller.sent_on == ("127.0.0.1", ports[1]) and caller.term is not None
         assert instance_ids(await until(ports[0], caught_up(2))) == ["x-1", "y-2"]
         older = {"lineage": caller.term[0], "term": caller.term[1] - 1}
@@ -112,17 +116,17 @@
         process = await service(tmp_path, port)
         _, told = await register(port, "s-0")
         greater = f"{told['lineage']}:{told['term'] + (1 << 24)}"
-        status, _ = await ask(port, "GET", PATH, headers=f"X-Term: {greater}\r\n")
+        status, _ = await ask(port, "GET", INSTANCES_PATH, headers=f"X-Term: {greater}\r\n")
         assert status == 200 and (await register(port, "s-1"))[0] == 503
         await end(process)
         process = await service(tmp_path, port)
         assert (await register(port, "s-1"))[0] == 503
-        assert (await ask(port, "GET", PATH))[1]["following"] is False, "reads go on, and say so"
+        assert (await ask(port, "GET", INSTANCES_PATH))[1]["following"] is False, "reads go on, and say so"
         await end(process)
         process = await service(tmp_path, port, "--take-over")
         assert (await register(port, "s-1"))[0] == 200
         for lie in (f"{'0' * 16}:{1 << 50}", f"{told['lineage']}:{(1 << 52) - 1}", "x"):
-            await ask(port, "GET", PATH, headers=f"X-Term: {lie}\r\n")
+            await ask(port, "GET", INSTANCES_PATH, headers=f"X-Term: {lie}\r\n")
         assert (await register(port, "s-2"))[0] == 200, "another log's term, or a lie, deposes nobody"
         await end(process)
 
@@ -138,7 +142,7 @@
         answered = [n for n in range(20) if (await register(ports[0], f"s-{n}"))[0] == 200]
         await end(writer, second)
         second = await service(tmp_path / "b", ports[1])
-        kept = instance_ids((await ask(ports[1], "GET", PATH))[1])
+        kept = instance_ids((await ask(ports[1], "GET", INSTANCES_PATH))[1])
         assert len(answered) > 15 and {f"s-{n}" for n in answered} <= set(kept)
         await end(second)
 
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -14,7 +14,7 @@
 from woadyard.interface import LIST_DELTA, LIST_FULL
 from woadyard.net.weights import Weights
 from woadyard.whatif.measure import measure
-from woadyard.whatif.plans import Plans, plan_digest
+from woadyard.whatif.plans import PlansState, plan_digest
 from woadyard.whatif.rollout import Measured, members, step
 from woadyard.whatif.settings import Rules
 from woadyard.whatif.trace import Weighed, read
@@ -40,7 +40,7 @@
     return {"op": "begin", "revision": 1, "at": SECOND, "list": "l", "cut": 1 << 51, **changes}
 
 
-def write(book: Plans, *records: dict[str, Any]) -> Plans:
+def write(book: PlansState, *records: dict[str, Any]) -> PlansState:
     for record in records:
         book.check(record)
         book.apply(json.loads(json.dumps(record)))
@@ -63,7 +63,7 @@
     ],
 )
 def test_the_gate_lets_nothing_out_that_it_must_not(records: list[dict[str, Any]], why: str) -> None:
-    book = write(Plans(), propose(), *records[:-1])
+    book = write(PlansState(), propose(), *records[:-1])
     before = book.dump()
     with pytest.raises(LogEntryError, match=why) as refused:
         book.check(records[-1])
@@ -72,12 +72,12 @@
 
 def test_a_forced_plan_goes_out_and_keeps_its_reason() -> None:
     forced = {"op": "force", "revision": 1, "reason": "rack 4 burns"}
-    book = write(Plans(), propose(), verdict(state="worse"), forced, begin(at=999 * SECOND))
+    book = write(PlansState(), propose(), verdict(state="worse"), forced, begin(at=999 * SECOND))
     assert book.active is not None and (book.active.state, book.active.forced) == ("rolling", "rack 4 burns")
 
 
 def test_a_halt_brings_the_old_weights_back_under_a_newer_revision() -> None:
-    book = write(Plans(), propose(), verdict(), begin())
+    book = write(PlansState(), propose(), verdict(), begin())
     told = {one: book.directive(one)["revision"] for one in FLEET}
     assert set(told.values()) == {0, 1}
     halt = {"op": "halt", "revision": 1, "reason": "p99", "errors": {"p99": 3e4}, "wrong": True}
@@ -97,7 +97,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(OPS, max_size=12))
 def test_any_records_leave_one_plan_revisions_that_grow_and_a_dump_that_loads(ops: list[Any]) -> None:
-    book, last = Plans(), {one: 0 for one in FLEET}
+    book, last = PlansState(), {one: 0 for one in FLEET}
     for record in ops:
         record = {**record, "revision": book.next - 1} if "revision" in record else record
         try:
@@ -108,13 +108,13 @@
         told = {one: book.directive(one)["revision"] for one in FLEET}
         assert len(set(told.values())) <= 2 and all(told[one] >= last[one] for one in FLEET)
         last = told
-    again = Plans()
+    again = PlansState()
     again.load(json.loads(json.dumps(book.dump())))
     assert again.dump() == book.dump()
 
 
-def rolling() -> Plans:
-    return write(Plans(), propose(), verdict(), begin())
+def rolling() -> PlansState:
+    return write(PlansState(), propose(), verdict(), begin())
 
 
 def inside(**changes: tuple[float, float, float]) -> Measured:
--- a/woadyard/audit/ledger.py
+++ b/woadyard/audit/ledger.py
@@ -17,7 +17,7 @@
 from woadyard.audit.run import Run
 from woadyard.audit.straggler import SHUT_OUT, STATES
 from woadyard.errors import LogEntryError, PeerError
-from woadyard.registry.book import Record
+from woadyard.registry.state_machine import LogEntry
 
 ROWS_MOST = 65_536  # of all runs together; a sidecar's part of it is what is left by the others
 RUN_ROWS_LEAST = 32
@@ -25,7 +25,7 @@
 REPORTS, STATE, OVER = "reports", "state", "over"
 
 
-class AuditBook:
+class AuditState:
     """`compacted` counts the rows that became part of a sum, `forgotten` the runs that went whole."""
 
     name = "audit"
@@ -38,10 +38,10 @@
 
     # --- The book ---------------------------------------------------------------------
 
-    def check(self, record: Record) -> None:
+    def check(self, record: LogEntry) -> None:
         self._read(record)
 
-    def _read(self, record: Record) -> list[Report]:
+    def _read(self, record: LogEntry) -> list[Report]:
         op, at = record.get("op"), record.get("at", 0)
         if type(at) is not int or at < 0:
             raise LogEntryError("a record's time is no number")
@@ -63,7 +63,7 @@
             raise LogEntryError(f"no such state: {record.get('state')!r}")
         return []
 
-    def apply(self, record: Record) -> bool:
+    def apply(self, record: LogEntry) -> bool:
         reports, at = self._read(record), int(record.get("at", 0)) // 1000
         if record["op"] == STATE:
             self.runs[record["key"]].state = record["state"]
--- a/woadyard/audit/questions.py
+++ b/woadyard/audit/questions.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from woadyard.audit.ledger import AuditBook
+from woadyard.audit.ledger import AuditState
 from woadyard.audit.messages import Row
 from woadyard.audit.position import Position, parse
 from woadyard.audit.run import Run
@@ -37,7 +37,7 @@
     return lambda position: all(getattr(position, name) == value for name, value in wanted.items())
 
 
-def who_acted(book: AuditBook, meant: Callable[[Position], bool]) -> dict[str, Any]:
+def who_acted(book: AuditState, meant: Callable[[Position], bool]) -> dict[str, Any]:
     """Spans under a version in which anything was decided, and their sums by sidecar."""
     texts: dict[str, bool] = {"": False}
     found: list[dict[str, Any]] = []
@@ -72,7 +72,7 @@
     }  # fmt: skip
 
 
-def gaps(book: AuditBook, name: str) -> list[tuple[int, int | None]]:
+def gaps(book: AuditState, name: str) -> list[tuple[int, int | None]]:
     """When a sidecar may have acted and nobody heard, bounds of each, in order."""
     runs = sorted(book.names.get(name, ()), key=lambda one: one.base)
     return [
@@ -90,7 +90,7 @@
     return min((one.base for one in runs if one.base > run.base + run.heard), default=None)
 
 
-def at(book: AuditBook, name: str, when: int) -> dict[str, Any]:
+def at(book: AuditState, name: str, when: int) -> dict[str, Any]:
     """What sidecar `name` acted on at `when`."""
     runs = sorted(book.names.get(name, ()), key=lambda one: one.base)
     gap: dict[str, Any] = {"state": "not running", "name": name}
@@ -108,7 +108,7 @@
     return gap
 
 
-def live(book: AuditBook) -> list[Run]:
+def live(book: AuditState) -> list[Run]:
     """Runs that may act now: neither ended, nor silent since the next one of the name began."""
     return [
         run for runs in book.names.values() for run in runs
@@ -116,7 +116,7 @@
     ]  # fmt: skip
 
 
-def behind(book: AuditBook, heads: Heads, now: int) -> list[dict[str, Any]]:
+def behind(book: AuditState, heads: Heads, now: int) -> list[dict[str, Any]]:
     """Those not at the head by their last word: by how much, and how old that word is."""
     found = []
     for run in live(book):
@@ -130,7 +130,7 @@
     return sorted(found, key=lambda one: -one["behind_ms"])
 
 
-def out_of_use(book: AuditBook, version: Position) -> dict[str, Any]:
+def out_of_use(book: AuditState, version: Position) -> dict[str, Any]:
     """Whether no sidecar can act any more on this list or an older one: neither by its position,
     nor by attempts begun on it that are under way. A sidecar that was never heard of is not known
     here; one that fell silent counts as using what it last had, until it is heard, restarted or
@@ -146,6 +146,6 @@
     return {"out_of_use": not by, "version": msgspec.to_builtins(version), "used_by": by}
 
 
-def not_yet(book: AuditBook, field: str, revision: int) -> list[str]:
+def not_yet(book: AuditState, field: str, revision: int) -> list[str]:
     """Names of live sidecars that do not act on this revision of a `plan` or an `experiment` yet."""
     return sorted({run.name for run in live(book) if getattr(parse(run.position), field) != revision})
--- a/woadyard/audit/service.py
+++ b/woadyard/audit/service.py
@@ -23,7 +23,7 @@
 from aiohttp import web
 
 from woadyard.audit import questions
-from woadyard.audit.ledger import OVER, AuditBook
+from woadyard.audit.ledger import OVER, AuditState
 from woadyard.audit.messages import Report, read
 from woadyard.audit.position import REPORT_PATH, Position, parse
 from woadyard.audit.watchman import Watchman
@@ -31,7 +31,7 @@
 from woadyard.errors import PeerError
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
-from woadyard.registry.answers import answer, at_writer, query, refusal
+from woadyard.registry.responses import error_response, json_response, leader_only, read_query
 from woadyard.registry.service import Registry
 
 PATH = "/registry/audit"
@@ -60,26 +60,26 @@
         self.watchman = Watchman(registry)
 
     @property
-    def book(self) -> AuditBook:
-        return self.registry.book(AuditBook)
+    def book(self) -> AuditState:
+        return self.registry.state_machine(AuditState)
 
     async def report(self, request: web.Request) -> web.StreamResponse:
         raw = await request.read()
-        if self.registry.writer is not None:
+        if self.registry.leader_address is not None:
             return await self._send_on(request, raw)
         report = read(raw, Report)
         position = parse(report.position)
         for row in report.rows:
             if row.position:
                 parse(row.position)
-        self.registry.hear(position.lineage, position.term, f"a report of {report.name}")
+        self.registry.observe_term(position.lineage, position.term, f"a report of {report.name}")
         await self.batches.write(report)
         told = self.watchman.judge(report, position)
         told.acks = self.batches.acks(report)
-        return answer(told)
+        return json_response(told)
 
     async def _send_on(self, request: web.Request, raw: bytes) -> web.StreamResponse:
-        writer = self.registry.writer
+        writer = self.registry.leader_address
         assert writer is not None
         try:
             if "sent-on" in request.query:
@@ -88,22 +88,22 @@
             status, back = await fetch(parse_address(writer), "POST", target, raw, timeout_s=FORWARD_S)
         except FetchError as error:
             remedy = "report to another replica; see whether the writer runs"
-            return refusal(HTTPStatus.BAD_GATEWAY, f"the writer is not reached: {error}", remedy)
+            return error_response(HTTPStatus.BAD_GATEWAY, f"the writer is not reached: {error}", remedy)
         return web.Response(status=status, body=back, content_type="application/json")
 
     async def acted(self, request: web.Request) -> web.StreamResponse:
-        return answer(questions.who_acted(self.book, questions.version_of(dict(request.query))))
+        return json_response(questions.who_acted(self.book, questions.version_of(dict(request.query))))
 
     async def at(self, request: web.Request) -> web.StreamResponse:
-        asked = query(request, At)
-        when = self.registry.clock() // 1000 if asked.time is None else asked.time
-        return answer(questions.at(self.book, asked.name, when))
+        asked = read_query(request, At)
+        when = self.registry.clock_us() // 1000 if asked.time is None else asked.time
+        return json_response(questions.at(self.book, asked.name, when))
 
     async def gaps(self, request: web.Request) -> web.StreamResponse:
-        return answer({"gaps": questions.gaps(self.book, query(request, Named).name)})
+        return json_response({"gaps": questions.gaps(self.book, read_query(request, Named).name)})
 
     async def behind(self, request: web.Request) -> web.StreamResponse:
-        return answer(self.watchman.behind())
+        return json_response(self.watchman.behind())
 
     async def out_of_use(self, request: web.Request) -> web.StreamResponse:
         head = self.watchman.head()
@@ -117,13 +117,13 @@
             version = Position(told["lineage"], int(told["term"]), int(told["generation"]))
         except ValueError:
             raise PeerError("a term and a generation are numbers", "ask for ?generation=V") from None
-        return answer(questions.out_of_use(self.book, version))
+        return json_response(questions.out_of_use(self.book, version))
 
     async def over(self, request: web.Request) -> web.StreamResponse:
-        key = query(request, Key).key
-        self.registry.commit({"book": AuditBook.name, "op": OVER, "key": key})
+        key = read_query(request, Key).key
+        self.registry.append_entry({"book": AuditState.name, "op": OVER, "key": key})
         self.watchman.fleet.forget(key)
-        return answer({"over": key})
+        return json_response({"over": key})
 
 
 _AUDITS: WeakKeyDictionary[Registry, Audit] = WeakKeyDictionary()
@@ -143,7 +143,7 @@
         web.get(PATH + "/acted", calls.acted),
         web.get(PATH + "/at", calls.at),
         web.get(PATH + "/gaps", calls.gaps),
-        web.get(PATH + "/behind", at_writer(registry, calls.behind)),
+        web.get(PATH + "/behind", leader_only(registry, calls.behind)),
         web.get(PATH + "/out-of-use", calls.out_of_use),
-        web.post(PATH + "/over", at_writer(registry, calls.over)),
+        web.post(PATH + "/over", leader_only(registry, calls.over)),
     ]
--- a/woadyard/audit/watchman.py
+++ b/woadyard/audit/watchman.py
@@ -10,12 +10,12 @@
 from prometheus_client import Counter, Gauge
 
 from woadyard.audit import questions
-from woadyard.audit.ledger import STATE, AuditBook
+from woadyard.audit.ledger import STATE, AuditState
 from woadyard.audit.messages import Answer, Report
 from woadyard.audit.position import Position
 from woadyard.audit.straggler import CURRENT, SHUT_OUT, Fleet, Heads, Rules, Straggler
 from woadyard.errors import WoadyardError
-from woadyard.lists.book import ListBook
+from woadyard.lists.state import EndpointListState
 from woadyard.registry.service import Registry
 
 # A whole directive `{"revision": R, ...}` for the sidecar of this name; None: there is none.
@@ -30,14 +30,14 @@
     takes over only who is shut out."""
 
     def __init__(self, registry: Registry, rules: Rules | None = None) -> None:
-        self.registry, self.rules = registry, rules or registry.rules
+        self.registry, self.rules = registry, rules or registry.straggler_rules
         self.directives: dict[str, Directive] = {}
         self.term = -1
         self.fleet, self.heads = Fleet(self.rules), Heads()
         self.due: dict[tuple[str, str], tuple[int, int]] = {}  # by run and kind: revision, since
         self.watch: asyncio.Task[None] | None = None
         self.was_held = False
-        counts = registry.counts.registry
+        counts = registry.metrics.collector_registry
         self.held = Gauge("registry_audit_held", "1 while too many are behind to shut out", registry=counts)
         self.states = Gauge("registry_audit_sidecars", "Sidecars by state", ["state"], registry=counts)
         self.moves = Counter("registry_audit_moves", "Changes of state", ["to"], registry=counts)
@@ -46,14 +46,14 @@
         self.states.labels("live").set_function(lambda: len(questions.live(self.book)))
 
     @property
-    def book(self) -> AuditBook:
-        return self.registry.book(AuditBook)
+    def book(self) -> AuditState:
+        return self.registry.state_machine(AuditState)
 
     def now(self) -> int:
-        return self.registry.clock() // 1000
+        return self.registry.clock_us() // 1000
 
     def head(self) -> Position:
-        host, book = self.registry.host, self.registry.book(ListBook)
+        host, book = self.registry.log_state, self.registry.state_machine(EndpointListState)
         return Position(host.lineage, book.term, book.version)
 
     def judge(self, report: Report, position: Position) -> Answer:
@@ -84,7 +84,10 @@
         return told
 
     def listing(self) -> dict[str, Any]:
-        return {**self.registry.book(ListBook).listing(), "lineage": self.registry.host.lineage}
+        return {
+            **self.registry.state_machine(EndpointListState).listing(),
+            "lineage": self.registry.log_state.lineage,
+        }
 
     def _lag(
         self, key: str, kind: str, directive: dict[str, Any] | None, position: Position, now: int
@@ -101,8 +104,8 @@
 
     def _begin(self, now: int) -> None:
         """The head as it is by now; all anew where a term has begun here."""
-        if self.term != self.registry.host.term:
-            self.term = self.registry.host.term
+        if self.term != self.registry.log_state.term:
+            self.term = self.registry.log_state.term
             self.fleet, self.heads = Fleet(self.rules), Heads()
             self.due.clear()
             for run in questions.live(self.book):
@@ -114,9 +117,9 @@
 
     async def _follow(self) -> None:
         """Take down when each list became the head: reports come too seldom for that."""
-        while self.registry.leads and self.term == self.registry.host.term:
+        while self.registry.is_leader and self.term == self.registry.log_state.term:
             self.heads.move(self.head(), self.now())
-            await self.registry.waiters.woken(ListBook.name, 60.0)
+            await self.registry.waiters.wait_for_notification(EndpointListState.name, 60.0)
 
     def _note(self, key: str, now: int) -> None:
         """Log what changed, and keep who is shut out: over a change of writer, too."""
@@ -140,7 +143,7 @@
 
     def _keep(self, key: str, state: str, behind_ms: int) -> None:
         try:
-            self.registry.commit({"book": AuditBook.name, "op": STATE, "key": key, "state": state})
+            self.registry.append_entry({"book": AuditState.name, "op": STATE, "key": key, "state": state})
         except WoadyardError as error:
             LOG.error("a state can't be kept", extra=error.fields())
             return
--- a/woadyard/audit/writing.py
+++ b/woadyard/audit/writing.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from woadyard.audit.ledger import REPORTS, AuditBook
+from woadyard.audit.ledger import REPORTS, AuditState
 from woadyard.audit.messages import Report
 from woadyard.errors import WoadyardError
-from woadyard.registry.book import Record
 from woadyard.registry.service import Registry
+from woadyard.registry.state_machine import LogEntry
 
 WITHIN_S = 0.01
 BATCH_MOST = 256
 RECENT = 64  # numbers of a run whose index is remembered; older ones are replicated for long
 
-Sink = Callable[[Sequence[Report]], Sequence[Record]]
+Sink = Callable[[Sequence[Report]], Sequence[LogEntry]]
 
 
 class Batches:
@@ -52,10 +52,10 @@
         try:
             for sink in self.sinks:
                 for record in sink(batch):
-                    self.registry.commit(record)
+                    self.registry.append_entry(record)
             told = [msgspec.structs.replace(one, evidence=None) for one in batch]
             reports = msgspec.to_builtins(told)
-            index = self.registry.commit({"book": AuditBook.name, "op": REPORTS, "reports": reports})
+            index = self.registry.append_entry({"book": AuditState.name, "op": REPORTS, "reports": reports})
         except WoadyardError as error:
             done.set_exception(error)
             done.exception()  # its callers may be gone
@@ -73,6 +73,6 @@
         """The reporter's numbers that a crash of one process can't lose any more. What is not
         remembered here was written before this process led: its log came from the last one's."""
         key = f"{report.name}@{report.run}"
-        safe, kept = self.registry.held(), self.index.get(key, {})
-        run = self.registry.book(AuditBook).runs.get(key)
+        safe, kept = self.registry.replicated_index(), self.index.get(key, {})
+        run = self.registry.state_machine(AuditState).runs.get(key)
         return sorted(n for n in (run.taken if run is not None else ()) if kept.get(n, 0) <= safe)
--- a/woadyard/experiment/book.py
+++ b/woadyard/experiment/book.py
@@ -28,7 +28,7 @@
 _BAD = (KeyError, TypeError, ValueError, AttributeError, PlanError, PeerError, msgspec.ValidationError)
 
 
-class ExperimentsBook:
+class ExperimentsState:
     """`forgotten` counts closed experiments that went for room."""
 
     name = "experiments"
--- a/woadyard/experiment/conductor.py
+++ b/woadyard/experiment/conductor.py
@@ -17,7 +17,7 @@
 from prometheus_client import Counter
 
 from woadyard.errors import LogEntryError, StateError
-from woadyard.experiment.book import APPLIED, DECIDE, ExperimentsBook
+from woadyard.experiment.book import APPLIED, DECIDE, ExperimentsState
 from woadyard.experiment.cells import SUMS, Key
 from woadyard.experiment.rules import ENDS, Decision, State
 from woadyard.experiment.trial import Trial
@@ -84,12 +84,12 @@
             "registry_experiments_decided",
             "Ends of experiments",
             ["state"],
-            registry=registry.counts.registry,
+            registry=registry.metrics.collector_registry,
         )
 
     @property
-    def book(self) -> ExperimentsBook:
-        return self.registry.book(ExperimentsBook)
+    def book(self) -> ExperimentsState:
+        return self.registry.state_machine(ExperimentsState)
 
     def wake(self) -> None:
         """There may be an experiment to see to; with none, nothing runs here."""
@@ -110,7 +110,7 @@
 
     def _sees_to(self) -> Trial | None:
         trial = self.book.active
-        done = trial is None or trial.state is State.APPLIED or not self.registry.leads
+        done = trial is None or trial.state is State.APPLIED or not self.registry.is_leader
         return None if done else trial
 
     def step(self, trial: Trial) -> None:
@@ -126,20 +126,20 @@
     def _look(self, trial: Trial) -> None:
         if self.look is None or self.look.trial is not trial:
             self.look = Look(trial)
-        told = self.look.at(self.registry.clock() // 1000, self.missing())
+        told = self.look.at(self.registry.clock_us() // 1000, self.missing())
         self.latest = told
         if told.final:
             self.decide(trial, told)
 
     def decide(self, trial: Trial, told: Decision) -> None:
         """On the log, then in effect: directives are read from the book."""
-        record = {"book": ExperimentsBook.name, "op": DECIDE, "name": trial.name}
-        self.registry.commit({**record, "decision": msgspec.to_builtins(told)})
+        record = {"book": ExperimentsState.name, "op": DECIDE, "name": trial.name}
+        self.registry.append_entry({**record, "decision": msgspec.to_builtins(told)})
         self.decided.labels(told.state.value).inc()
         fields = {"experiment": trial.name, "state": told.state, "winner": told.winner, "reason": told.reason}
         LOG.warning("experiment decided", extra=fields)
 
     def _applied(self, trial: Trial) -> None:
-        self.registry.commit({"book": ExperimentsBook.name, "op": APPLIED, "name": trial.name})
+        self.registry.append_entry({"book": ExperimentsState.name, "op": APPLIED, "name": trial.name})
         took = (trial.applied or 0) - trial.decided
         LOG.warning("experiment applied", extra={"experiment": trial.name, "after_ms": took})
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -19,19 +19,19 @@
 from aiohttp import web
 
 from woadyard.audit import questions
-from woadyard.audit.ledger import AuditBook
+from woadyard.audit.ledger import AuditState
 from woadyard.audit.messages import Report
 from woadyard.audit.position import parse
 from woadyard.audit.service import audit_of
 from woadyard.errors import PeerError, PlanError
-from woadyard.experiment.book import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsBook
+from woadyard.experiment.book import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsState
 from woadyard.experiment.conductor import Conductor
 from woadyard.experiment.messages import read_evidence
 from woadyard.experiment.rules import Decision, State
 from woadyard.experiment.trial import Draft, Trial
-from woadyard.registry.answers import answer, at_writer, body, query
-from woadyard.registry.book import Record
+from woadyard.registry.responses import json_response, leader_only, read_body, read_query
 from woadyard.registry.service import Registry
+from woadyard.registry.state_machine import LogEntry
 
 PATH = "/registry/experiments"
 SILENT_MS = 5_000  # a sidecar not heard for so long: its evidence is missing
@@ -53,18 +53,18 @@
         audit.watchman.directives["experiment"] = self.directive
 
     @property
-    def book(self) -> ExperimentsBook:
-        return self.registry.book(ExperimentsBook)
+    def book(self) -> ExperimentsState:
+        return self.registry.state_machine(ExperimentsState)
 
     # --- Through the audit ------------------------------------------------------------
 
-    def sink(self, batch: Sequence[Report]) -> list[Record]:
+    def sink(self, batch: Sequence[Report]) -> list[LogEntry]:
         """The evidence in a batch of reports as one record; none where nothing is to be counted."""
         self.conductor.wake()
         active = self.book.active
         if active is None or active.state is not State.RUNNING:
             return []
-        told, book = [], self.registry.book(AuditBook)
+        told, book = [], self.registry.state_machine(AuditState)
         for report in batch:
             if report.evidence is None:
                 continue
@@ -75,7 +75,7 @@
                 continue
             source = f"{report.name}@{report.run}"
             told.append([source, report.evidence, book.shut_out(report.name)])
-        return [{"book": ExperimentsBook.name, "op": EVIDENCE, "reports": told}] if told else []
+        return [{"book": ExperimentsState.name, "op": EVIDENCE, "reports": told}] if told else []
 
     def directive(self, name: str) -> dict[str, Any] | None:
         told = self.book.directive()
@@ -83,14 +83,14 @@
 
     def missing(self) -> float:
         """The share of the sidecars that run whose evidence is not there."""
-        book, now = self.registry.book(AuditBook), self.registry.clock() // 1000
+        book, now = self.registry.state_machine(AuditState), self.registry.clock_us() // 1000
         live = questions.live(book)
         gone = [one for one in live if now - one.heard_at > SILENT_MS or book.shut_out(one.name)]
         return len(gone) / len(live) if live else 1.0
 
     def older(self, revision: int) -> list[str]:
         """Sidecars that serve and don't act on this revision yet."""
-        book = self.registry.book(AuditBook)
+        book = self.registry.state_machine(AuditState)
         live = [one for one in questions.live(book) if not book.shut_out(one.name)]
         return [one.name for one in live if parse(one.position).experiment < revision]
 
@@ -98,17 +98,19 @@
 
     async def all(self, request: web.Request) -> web.StreamResponse:
         told = [one.told() for one in self.book.trials.values()]
-        return answer({"revision": self.book.revision, "experiments": told, "forgotten": self.book.forgotten})
+        return json_response(
+            {"revision": self.book.revision, "experiments": told, "forgotten": self.book.forgotten}
+        )
 
     async def one(self, request: web.Request) -> web.StreamResponse:
         trial = self._trial(request)
         active = trial is self.book.active
         look = self.conductor.latest if active else None
         older = self.older(self.book.revision) if active else []
-        return answer({**trial.told(), "look": look, "revision": self.book.revision, "not_yet": older})
+        return json_response({**trial.told(), "look": look, "revision": self.book.revision, "not_yet": older})
 
     async def draft(self, request: web.Request) -> web.StreamResponse:
-        told = await body(request, Draft)
+        told = await read_body(request, Draft)
         return self._write(request, {"op": DRAFT, "draft": msgspec.to_builtins(told)})
 
     async def start(self, request: web.Request) -> web.StreamResponse:
@@ -118,15 +120,15 @@
         return self._write(request, {"op": CLOSE})
 
     async def shares(self, request: web.Request) -> web.StreamResponse:
-        return self._write(request, {"op": RESHARE, "shares": await body(request, list[float])})
+        return self._write(request, {"op": RESHARE, "shares": await read_body(request, list[float])})
 
     async def stop(self, request: web.Request) -> web.StreamResponse:
-        why, trial = query(request, Why).why, self._trial(request)
-        now_s = self.registry.clock() / 1e6
+        why, trial = read_query(request, Why).why, self._trial(request)
+        now_s = self.registry.clock_us() / 1e6
         latest = self.conductor.latest
         interval = latest.interval if latest is not None else (-1.0, 1.0)
         self.conductor.decide(trial, Decision(State.STOPPED, None, interval, why, now_s))
-        return answer(trial.told())
+        return json_response(trial.told())
 
     def _trial(self, request: web.Request) -> Trial:
         name = request.match_info["name"]
@@ -136,9 +138,9 @@
 
     def _write(self, request: web.Request, record: dict[str, Any]) -> web.StreamResponse:
         name = request.match_info["name"]
-        self.registry.commit({"book": ExperimentsBook.name, "name": name, **record})
+        self.registry.append_entry({"book": ExperimentsState.name, "name": name, **record})
         self.conductor.wake()
-        return answer(self.book.trials[name].told())
+        return json_response(self.book.trials[name].told())
 
 
 _ALL: WeakKeyDictionary[Registry, Experiments] = WeakKeyDictionary()
@@ -153,5 +155,5 @@
     return [
         web.get(PATH, calls.all),
         web.get(one, calls.one),
-        *(web.post(one + path, at_writer(registry, handler)) for path, handler in writes.items()),
+        *(web.post(one + path, leader_only(registry, handler)) for path, handler in writes.items()),
     ]
--- a/woadyard/limits/__init__.py
+++ b/woadyard/limits/__init__.py
@@ -4,7 +4,7 @@
 has the call for the list service. A sidecar's own side is `woadyard.shared.budget.Lease`.
 """
 
-from woadyard.limits.book import HOLD, LimitsBook
 from woadyard.limits.ledger import Ledger
+from woadyard.limits.state import HOLD, LimitsState
 
-__all__ = ["HOLD", "Ledger", "LimitsBook"]
+__all__ = ["HOLD", "Ledger", "LimitsState"]
--- a/woadyard/limits/ledger.py
+++ b/woadyard/limits/ledger.py
@@ -21,10 +21,10 @@
 
 
 @dataclass
-class Holding:
+class HolderLease:
     """What one holder may use until `ends`, by resource, as the ledger counts it."""
 
-    ends: int
+    expires_at_us: int
     ttl_us: int
     seq: int
     units: dict[str, int]
@@ -35,23 +35,23 @@
 class Ledger:
     """The sum of `units` of a resource over all holdings is at most its limit."""
 
-    holdings: dict[str, Holding] = field(default_factory=dict)
+    holder_leases: dict[str, HolderLease] = field(default_factory=dict)
 
-    def lapse(self, at: int) -> None:
-        self.holdings = {name: one for name, one in self.holdings.items() if one.ends > at}
+    def remove_expired(self, at: int) -> None:
+        self.holder_leases = {name: one for name, one in self.holder_leases.items() if one.expires_at_us > at}
 
-    def check(self, at: int, name: str, seq: int) -> None:
+    def check_sequence(self, at: int, name: str, seq: int) -> None:
         """LogEntryError on a call older than the last: it may tell of less than is used."""
-        before = self.holdings.get(name)
-        if before is not None and before.ends > at and seq <= before.seq:
+        before = self.holder_leases.get(name)
+        if before is not None and before.expires_at_us > at and seq <= before.seq:
             raise LogEntryError(f"call {seq} of {name!r} comes after {before.seq}")
 
-    def extend(self, at: int) -> None:
+    def extend_all(self, at: int) -> None:
         """The ledger has a new keeper: every lease runs anew."""
-        for one in self.holdings.values():
-            one.ends = max(one.ends, at + one.ttl_us)
+        for one in self.holder_leases.values():
+            one.expires_at_us = max(one.expires_at_us, at + one.ttl_us)
 
-    def hold(
+    def grant_shares(
         self,
         at: int,
         name: str,
@@ -64,9 +64,9 @@
         """Grant `name` its shares of the resources `of`, each of `limit` in all; `keeps`
         is what it may still use at most from when it asked. Returns the grants.
         LogEntryError as `check`, before anything is changed."""
-        self.check(at, name, seq)
-        self.lapse(at)
-        before = self.holdings.pop(name, None)
+        self.check_sequence(at, name, seq)
+        self.remove_expired(at)
+        before = self.holder_leases.pop(name, None)
         had = before.units if before is not None else {}
         # No more than it was granted: a larger figure would take from the others.
         units = {key: min(count, had[key]) for key, count in keeps.items() if had.get(key)}
@@ -74,21 +74,24 @@
         for key in of:
             granted[key] = self._share(key, limit)
             units[key] = max(units.get(key, 0), granted[key])
-        self.holdings[name] = Holding(at + ttl_us, ttl_us, seq, units, granted)
+        self.holder_leases[name] = HolderLease(at + ttl_us, ttl_us, seq, units, granted)
         return granted
 
     def _share(self, key: str, limit: int) -> int:
         """An equal part, with what is left over; less while others still use more."""
-        rivals = [one.units[key] for one in self.holdings.values() if key in one.units]
+        rivals = [one.units[key] for one in self.holder_leases.values() if key in one.units]
         fair = limit // (len(rivals) + 1)
         return max(0, limit - sum(max(units, fair) for units in rivals))
 
     def dump(self) -> dict[str, Any]:
-        return {name: [one.ends, one.ttl_us, one.seq, one.units] for name, one in self.holdings.items()}
+        return {
+            name: [one.expires_at_us, one.ttl_us, one.seq, one.units]
+            for name, one in self.holder_leases.items()
+        }
 
     @classmethod
     def load(cls, raw: Mapping[str, Any]) -> Ledger:
         holdings = {}
         for name, (ends, ttl_us, seq, units) in raw.items():
-            holdings[name] = Holding(int(ends), int(ttl_us), int(seq), dict(units))
+            holdings[name] = HolderLease(int(ends), int(ttl_us), int(seq), dict(units))
         return cls(holdings)
--- a/woadyard/limits/service.py
+++ b/woadyard/limits/service.py
@@ -9,9 +9,9 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.audit.ledger import AuditBook
-from woadyard.limits.book import HOLD, LimitsBook
-from woadyard.registry.answers import answer, at_writer, body, query, refusal
+from woadyard.audit.ledger import AuditState
+from woadyard.limits.state import HOLD, LimitsState
+from woadyard.registry.responses import error_response, json_response, leader_only, read_body, read_query
 from woadyard.registry.service import Registry
 
 SHARES_PATH = "/registry/shares/"
@@ -21,7 +21,7 @@
     ttl_ms: int
 
 
-class Hold(msgspec.Struct):
+class HoldRequest(msgspec.Struct):
     """A holder's call: its number, the limit, the resources, and what it keeps of them."""
 
     seq: int
@@ -30,7 +30,7 @@
     keeps: dict[str, int]
 
 
-class Granted(msgspec.Struct):
+class HoldResponse(msgspec.Struct):
     grants: dict[str, int]
     lineage: str
     term: int
@@ -38,18 +38,20 @@
 
 def routes(registry: Registry) -> list[web.RouteDef]:
     async def hold(request: web.Request) -> web.StreamResponse:
-        if registry.book(AuditBook).holder_out(request.match_info["name"]):
+        if registry.state_machine(AuditState).holder_out(request.match_info["name"]):
             # What it holds lapses with its lease, never earlier.
             remedy = "it gets shares again once it acts on the list of by now"
-            return refusal(409, "shut out by the audit", remedy)
-        name, ttl_us = request.match_info["name"], query(request, HoldQuery).ttl_ms * 1000
-        asked = await body(request, Hold)
+            return error_response(409, "shut out by the audit", remedy)
+        name, ttl_us = request.match_info["name"], read_query(request, HoldQuery).ttl_ms * 1000
+        asked = await read_body(request, HoldRequest)
         call = {"seq_of": asked.seq, "limit": asked.limit, "of": asked.of, "keeps": asked.keeps}
-        index = registry.commit({"op": HOLD, "id": name, "ttl_us": ttl_us, **call})
-        grants = registry.book(LimitsBook).grants(name)
+        index = registry.append_entry({"op": HOLD, "id": name, "ttl_us": ttl_us, **call})
+        grants = registry.state_machine(LimitsState).grants(name)
         # With copies asked for, what is granted is known to whoever takes the writer's place.
-        await registry.settle(index)
-        return answer(Granted(grants, registry.host.lineage, registry.host.term))
+        await registry.wait_replicated(index)
+        return json_response(HoldResponse(grants, registry.log_state.lineage, registry.log_state.term))
 
-    registry.counts.holders.set_function(lambda: registry.book(LimitsBook).holders(registry.clock()))
-    return [web.post(SHARES_PATH + "{name}", at_writer(registry, hold, settles=True))]
+    registry.metrics.holders.set_function(
+        lambda: registry.state_machine(LimitsState).count_holders(registry.clock_us())
+    )
+    return [web.post(SHARES_PATH + "{name}", leader_only(registry, hold, waits_for_replication=True))]
--- a/woadyard/limits/book.py
+++ b/woadyard/limits/state.py
@@ -6,12 +6,12 @@
 
 from woadyard.errors import LogEntryError
 from woadyard.limits.ledger import Ledger
-from woadyard.registry.book import Record
+from woadyard.registry.state_machine import LogEntry
 
 HOLD = "hold"
 
 
-class LimitsBook:
+class LimitsState:
     """Its size is bounded by the holders whose leases run: what lapsed is dropped at each hold."""
 
     name = "limits"
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.ledger = Ledger()
 
-    def check(self, record: Record) -> None:
+    def check(self, record: LogEntry) -> None:
         if record.get("op") != HOLD:
             raise LogEntryError(f"the limits have no such op: {record.get('op')!r}")
         numbers = [record.get(key) for key in ("seq_of", "ttl_us", "limit")]
@@ -32,22 +32,22 @@
             raise LogEntryError("a hold's resources are no list of names")
         if not all(type(count) is int and count >= 0 for count in keeps.values()):
             raise LogEntryError("a hold keeps what is no number")
-        self.ledger.check(int(record["at"]), record["id"], record["seq_of"])
+        self.ledger.check_sequence(int(record["at"]), record["id"], record["seq_of"])
 
-    def apply(self, record: Record) -> bool:
+    def apply(self, record: LogEntry) -> bool:
         call = record["id"], record["seq_of"], record["ttl_us"], record["limit"]
-        self.ledger.hold(int(record["at"]), *call, record["of"], record["keeps"])
+        self.ledger.grant_shares(int(record["at"]), *call, record["of"], record["keeps"])
         return False
 
-    def lead(self, term: int, at: int) -> None:
-        self.ledger.extend(at)
+    def begin_term(self, term: int, at: int) -> None:
+        self.ledger.extend_all(at)
 
     def grants(self, name: str) -> dict[str, int]:
         """The answer to the holder's last call."""
-        return self.ledger.holdings[name].grants
+        return self.ledger.holder_leases[name].grants
 
-    def holders(self, at: int) -> int:
-        return sum(one.ends > at for one in self.ledger.holdings.values())
+    def count_holders(self, at: int) -> int:
+        return sum(one.expires_at_us > at for one in self.ledger.holder_leases.values())
 
     def dump(self) -> dict[str, Any]:
         return self.ledger.dump()
--- a/woadyard/lists/__init__.py
+++ b/woadyard/lists/__init__.py
@@ -3,6 +3,6 @@
 `ListBook` is pure; `woadyard.lists.service` has its calls, for the list service alone.
 """
 
-from woadyard.lists.book import DROP, EXPIRE, PUT, RENEW, ListBook
+from woadyard.lists.state import DROP, EXPIRE, PUT, RENEW, EndpointListState
 
-__all__ = ["DROP", "EXPIRE", "PUT", "RENEW", "ListBook"]
+__all__ = ["DROP", "EXPIRE", "PUT", "RENEW", "EndpointListState"]
--- a/woadyard/lists/service.py
+++ b/woadyard/lists/service.py
@@ -25,13 +25,13 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.lists.book import DROP, PUT, RENEW, ListBook
-from woadyard.registry.answers import answer, at_writer, body, query
-from woadyard.registry.book import Record
+from woadyard.lists.state import DROP, PUT, RENEW, EndpointListState
+from woadyard.registry.responses import json_response, leader_only, read_body, read_query
 from woadyard.registry.service import Registry
+from woadyard.registry.state_machine import LogEntry
 
-PATH = "/registry/instances"
-BEAT_S, WAIT_MOST_S = 2.0, 60.0
+INSTANCES_PATH = "/registry/instances"
+HEARTBEAT_S, MAX_WAIT_S = 2.0, 60.0
 
 
 class ListQuery(msgspec.Struct, rename={"since": "from"}):
@@ -53,42 +53,42 @@
     lineage: str
 
 
-class Lists:
+class EndpointListHandlers:
     """The handlers of the calls, on one registry."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
         self.last: tuple[object, bytes] = None, b""  # what was told last, and to whom: most hold the same
-        registry.counts.version.set_function(lambda: self.book.version)
+        registry.metrics.version.set_function(lambda: self.book.version)
 
     @property
-    def book(self) -> ListBook:
-        return self.registry.book(ListBook)
+    def book(self) -> EndpointListState:
+        return self.registry.state_machine(EndpointListState)
 
     def _told(self, found: dict[str, Any]) -> dict[str, Any]:
         """With the log's lineage, and `following` where it may be old."""
-        found = {**found, "lineage": self.registry.host.lineage}
-        return {**found, "following": False} if self.registry.behind else found
+        found = {**found, "lineage": self.registry.log_state.lineage}
+        return {**found, "following": False} if self.registry.may_be_outdated else found
 
     async def read(self, request: web.Request) -> web.StreamResponse:
-        asked, counts = query(request, ListQuery), self.registry.counts
+        asked, counts = read_query(request, ListQuery), self.registry.metrics
         kind = "watch" if asked.watch else "list" if asked.index is None else "poll"
         counts.reads.labels(kind).inc()
         if kind == "list":
-            return answer(self._told(self.book.listing()))
+            return json_response(self._told(self.book.listing()))
         with counts.watches.track_inprogress():
             if kind == "watch":
                 return await self.watch(request, asked)
             await self._changed_past(asked.term, asked.index or 0, asked.wait)
-        return answer(self._told(self.book.listing()))
+        return json_response(self._told(self.book.listing()))
 
     async def _changed_past(self, term: int, version: int, wait_s: float) -> None:
-        wait_s, behind = min(WAIT_MOST_S, max(0.0, wait_s)), self.registry.behind
-        await self.registry.waiters.until(
-            ListBook.name,
+        wait_s, behind = min(MAX_WAIT_S, max(0.0, wait_s)), self.registry.may_be_outdated
+        await self.registry.waiters.wait_until(
+            EndpointListState.name,
             lambda: (
                 self.book.version > version
-                or self.registry.behind != behind
+                or self.registry.may_be_outdated != behind
                 or term not in (0, self.book.term)
             ),
             wait_s,
@@ -98,9 +98,13 @@
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
         response.enable_chunked_encoding()
         await response.prepare(request)
-        at = (asked.term, asked.since) if asked.lineage == self.registry.host.lineage else (-1, asked.since)
+        at = (
+            (asked.term, asked.since)
+            if asked.lineage == self.registry.log_state.lineage
+            else (-1, asked.since)
+        )
         while True:
-            book, behind = self.book, self.registry.behind
+            book, behind = self.book, self.registry.may_be_outdated
             line = self._line(*at)
             at = book.term, book.version
             # Waits where the peer does not read: it is then told the sum of what changed,
@@ -108,12 +112,12 @@
             await response.write(line)
             if behind:
                 return response
-            if (self.book.term, self.book.version) == at and not self.registry.behind:
-                await self.registry.waiters.woken(ListBook.name, BEAT_S)
+            if (self.book.term, self.book.version) == at and not self.registry.may_be_outdated:
+                await self.registry.waiters.wait_for_notification(EndpointListState.name, HEARTBEAT_S)
 
     def _line(self, term: int, version: int) -> bytes:
         """For a watch at (term, version): what changed since, or an empty line."""
-        book, behind = self.book, self.registry.behind
+        book, behind = self.book, self.registry.may_be_outdated
         key = (term, version, book, book.term, book.version, behind)
         if self.last[0] != key:
             told, line = book.changes_since(term, version), b"\n"
@@ -123,8 +127,8 @@
         return self.last[1]
 
     async def put(self, request: web.Request) -> web.StreamResponse:
-        ttl_ms = query(request, PutQuery).ttl_ms
-        entry = await body(request, dict[str, Any])
+        ttl_ms = read_query(request, PutQuery).ttl_ms
+        entry = await read_body(request, dict[str, Any])
         name = request.match_info["name"]
         return await self._write({"op": PUT, "entry": {**entry, "instanceId": name}, "ttl_us": ttl_ms * 1000})
 
@@ -134,17 +138,17 @@
     async def drop(self, request: web.Request) -> web.StreamResponse:
         return await self._write({"op": DROP, "id": request.match_info["name"]})
 
-    async def _write(self, record: Record) -> web.StreamResponse:
-        await self.registry.settle(self.registry.commit(record))
-        return answer(Written(self.book.version, self.book.term, self.registry.host.lineage))
+    async def _write(self, record: LogEntry) -> web.StreamResponse:
+        await self.registry.wait_replicated(self.registry.append_entry(record))
+        return json_response(Written(self.book.version, self.book.term, self.registry.log_state.lineage))
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    calls = Lists(registry)
-    one = PATH + "/{name}"
+    calls = EndpointListHandlers(registry)
+    one = INSTANCES_PATH + "/{name}"
     return [
-        web.get(PATH, calls.read),
-        web.put(one, at_writer(registry, calls.put, settles=True)),
-        web.post(one + "/renew", at_writer(registry, calls.renew, settles=True)),
-        web.delete(one, at_writer(registry, calls.drop, settles=True)),
+        web.get(INSTANCES_PATH, calls.read),
+        web.put(one, leader_only(registry, calls.put, waits_for_replication=True)),
+        web.post(one + "/renew", leader_only(registry, calls.renew, waits_for_replication=True)),
+        web.delete(one, leader_only(registry, calls.drop, waits_for_replication=True)),
     ]
--- a/woadyard/lists/book.py
+++ b/woadyard/lists/state.py
@@ -16,17 +16,17 @@
 from typing import Any
 
 from woadyard.errors import LogEntryError
-from woadyard.registry.book import Record
+from woadyard.registry.state_machine import LogEntry
 
 # The kinds of record; each is a JSON object with "op" and its fields.
 PUT, RENEW, DROP, EXPIRE = "put", "renew", "drop", "expire"
-HISTORY = 256  # the changes kept for watches that resume
-TERMS_MOST = 512  # of which it is known where they began; older readers are told all
+MAX_RECENT_CHANGES = 256  # the changes kept for watches that resume
+MAX_TERM_STARTS = 512  # of which it is known where they began; older readers are told all
 
 Instance = dict[str, Any]
 
 
-class ListBook:
+class EndpointListState:
     """Entries in the list format of discovery, by `instanceId`, each with the time its
     lease runs out; `version` counts the changes ever applied (the list's generation)."""
 
@@ -35,16 +35,16 @@
     def __init__(self) -> None:
         self.version = 0
         self.entries: dict[str, Instance] = {}
-        self.leases: dict[str, int] = {}  # id: expiry, µs
-        self.ttls: dict[str, int] = {}  # id: lease length, µs
-        self.terms: list[tuple[int, int]] = [(0, 0)]  # each term, and the version it began at
-        self.history: deque[tuple[int, list[Instance]]] = deque(maxlen=HISTORY)
+        self.lease_expiries_us: dict[str, int] = {}  # id: expiry, µs
+        self.ttls_us: dict[str, int] = {}  # id: lease length, µs
+        self.term_starts: list[tuple[int, int]] = [(0, 0)]  # each term, and the version it began at
+        self.recent_changes: deque[tuple[int, list[Instance]]] = deque(maxlen=MAX_RECENT_CHANGES)
 
     @property
     def term(self) -> int:
-        return self.terms[-1][0]
+        return self.term_starts[-1][0]
 
-    def check(self, record: Record) -> None:
+    def check(self, record: LogEntry) -> None:
         op = record.get("op")
         if op == PUT:
             entry, ttl_us = record.get("entry"), record.get("ttl_us")
@@ -60,33 +60,35 @@
         elif op != EXPIRE:
             raise LogEntryError(f"the list has no such op: {op!r}")
 
-    def apply(self, record: Record) -> bool:
+    def apply(self, record: LogEntry) -> bool:
         """True if the list changed (and the version rose). A renewal moves a lease on
         without a new version: watchers are told of changes to the list, not of heartbeats."""
         op, at = record["op"], int(record.get("at", 0))
         if op == PUT:
             return self._put(dict(record["entry"]), int(record["ttl_us"]), at)
         if op == RENEW:
-            self.leases[record["id"]] = at + self.ttls[record["id"]]
+            self.lease_expiries_us[record["id"]] = at + self.ttls_us[record["id"]]
             return False
         if op == DROP:
             return self._drop([record["id"]])
-        return self._drop(sorted(one for one, ends in self.leases.items() if ends <= at))
+        return self._drop(sorted(one for one, ends in self.lease_expiries_us.items() if ends <= at))
 
-    def lead(self, term: int, at: int) -> None:
+    def begin_term(self, term: int, at: int) -> None:
         """Nobody could renew while nobody wrote: each lease runs anew, as etcd's do
         under a new leader, or a service back from an outage would empty the list."""
-        self.leases = {name: max(ends, at + self.ttls[name]) for name, ends in self.leases.items()}
+        self.lease_expiries_us = {
+            name: max(ends, at + self.ttls_us[name]) for name, ends in self.lease_expiries_us.items()
+        }
         if term > self.term:
-            self.terms = [*self.terms[1 - TERMS_MOST :], (term, self.version)]
+            self.term_starts = [*self.term_starts[1 - MAX_TERM_STARTS :], (term, self.version)]
 
-    def due(self) -> tuple[int, Record] | None:
-        first = min(self.leases.values(), default=None)
+    def next_due(self) -> tuple[int, LogEntry] | None:
+        first = min(self.lease_expiries_us.values(), default=None)
         return None if first is None else (first, {"op": EXPIRE})
 
     def _put(self, entry: Instance, ttl_us: int, at: int) -> bool:
         name = entry["instanceId"]
-        self.leases[name], self.ttls[name] = at + ttl_us, ttl_us
+        self.lease_expiries_us[name], self.ttls_us[name] = at + ttl_us, ttl_us
         if self.entries.get(name) == entry:
             return False
         self.entries[name] = entry
@@ -96,14 +98,14 @@
     def _drop(self, names: list[str]) -> bool:
         gone = [entry for name in names if (entry := self.entries.pop(name, None)) is not None]
         for entry in gone:
-            del self.leases[entry["instanceId"]], self.ttls[entry["instanceId"]]
+            del self.lease_expiries_us[entry["instanceId"]], self.ttls_us[entry["instanceId"]]
         if gone:
             self._changed([{**entry, "lifecycle": "gone"} for entry in gone])
         return bool(gone)
 
     def _changed(self, delta: list[Instance]) -> None:
         self.version += 1
-        self.history.append((self.version, delta))
+        self.recent_changes.append((self.version, delta))
 
     # --- For readers ------------------------------------------------------------------
 
@@ -118,7 +120,7 @@
         if not self._holds(term, version):
             return self.listing()
         merged: dict[str, Instance] = {}
-        for at, delta in self.history:
+        for at, delta in self.recent_changes:
             if at > version:
                 merged.update((one["instanceId"], one) for one in delta)
         told = list(merged.values())
@@ -128,23 +130,23 @@
         """Whether (term, version) was ever the state of this list, and what followed is kept."""
         if (term, version) == (self.term, self.version):
             return True
-        for at, (one, began) in enumerate(self.terms):
+        for at, (one, began) in enumerate(self.term_starts):
             if one == term:
-                ended = self.terms[at + 1][1] if at + 1 < len(self.terms) else self.version
+                ended = self.term_starts[at + 1][1] if at + 1 < len(self.term_starts) else self.version
                 if began <= version <= ended:
                     break
         else:
             return False
         if version == self.version:
             return True
-        return bool(self.history) and version > 0 and self.history[0][0] - 1 <= version
+        return bool(self.recent_changes) and version > 0 and self.recent_changes[0][0] - 1 <= version
 
     # --- Snapshots --------------------------------------------------------------------
 
     def dump(self) -> dict[str, Any]:
         return {
-            "version": self.version, "entries": self.entries, "leases": self.leases,
-            "ttls": self.ttls, "terms": self.terms,
+            "version": self.version, "entries": self.entries, "leases": self.lease_expiries_us,
+            "ttls": self.ttls_us, "terms": self.term_starts,
         }  # fmt: skip
 
     def load(self, raw: Any) -> None:
@@ -156,6 +158,6 @@
             raise LogEntryError(f"no dump of the list: {error!r}") from None
         if not terms or leases.keys() != entries.keys() or ttls.keys() != entries.keys():
             raise LogEntryError("a dump of the list has parts that do not fit")
-        self.version, self.entries, self.leases, self.ttls = version, entries, leases, ttls
-        self.terms = terms
-        self.history.clear()
+        self.version, self.entries, self.lease_expiries_us, self.ttls_us = version, entries, leases, ttls
+        self.term_starts = terms
+        self.recent_changes.clear()
--- a/woadyard/net/listwriter.py
+++ b/woadyard/net/listwriter.py
@@ -13,7 +13,7 @@
 from woadyard.net.backoff import Backoff
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
-from woadyard.registry.refusal import read_refusal
+from woadyard.registry.error_body import read_error_body
 
 CALL_S = 2.0
 RETRY_S, RETRY_MOST_S = 0.2, 2.0
@@ -71,7 +71,7 @@
             return 0, b""
 
     def _send_on(self, back: bytes) -> bool:
-        writer = read_refusal(back).writer
+        writer = read_error_body(back).writer
         try:
             self.sent_on = parse_address(writer) if writer else None
         except ConfigError:
--- a/woadyard/registry/ballots.py
+++ b/woadyard/registry/ballots.py
@@ -10,7 +10,7 @@
 
 from woadyard.errors import StateError
 from woadyard.registry.election import Ballot
-from woadyard.registry.log import replace
+from woadyard.registry.log import replace_file
 
 HEAD = struct.Struct(">II")  # length and CRC-32 of the JSON behind it, as of a log's records
 
@@ -46,4 +46,4 @@
     def write(self, ballot: Ballot) -> None:
         """On disk when it returns; OSError where the disk refuses it."""
         payload = msgspec.json.encode(ballot)
-        replace(self.path, HEAD.pack(len(payload), zlib.crc32(payload)) + payload)
+        replace_file(self.path, HEAD.pack(len(payload), zlib.crc32(payload)) + payload)
--- a/woadyard/registry/command.py
+++ b/woadyard/registry/command.py
@@ -18,7 +18,7 @@
 from woadyard.ops import logs
 from woadyard.registry import add_arguments
 from woadyard.registry.elector import Elector, members
-from woadyard.registry.follow import Follower
+from woadyard.registry.follower import Follower
 from woadyard.registry.http import serve
 from woadyard.registry.log import Journal
 from woadyard.registry.peers import Peers
@@ -29,7 +29,7 @@
 LOG = logging.getLogger("woadyard")
 
 
-def parser() -> argparse.ArgumentParser:
+def create_parser() -> argparse.ArgumentParser:
     made = argparse.ArgumentParser(prog="woadyard.registry", description=__doc__)
     add_arguments(made)
     return made
@@ -45,10 +45,10 @@
     loop.add_signal_handler(signal.SIGINT, task.cancel)
 
     def listening(bound: int) -> None:
-        if registry.writer is None and elector is None:
-            registry.lead(arguments.take_over)
-        fields = {"index": registry.host.applied, "term": registry.host.term}
-        writer = "to be elected" if elector is not None else registry.writer or "this"
+        if registry.leader_address is None and elector is None:
+            registry.become_leader(arguments.take_over)
+        fields = {"index": registry.log_state.applied_index, "term": registry.log_state.term}
+        writer = "to be elected" if elector is not None else registry.leader_address or "this"
         LOG.info("listening", extra={"port": bound, **fields, "writer": writer})
         if elector is not None:
             tasks.append(loop.create_task(elector.run()))
@@ -68,13 +68,13 @@
         more = elector.routes() if elector is not None else ()
         await serve(registry, *parse_address(arguments.listen), listening, more)
     except asyncio.CancelledError:
-        LOG.info("stopped", extra={"index": registry.host.applied})
+        LOG.info("stopped", extra={"index": registry.log_state.applied_index})
     finally:
         for one in tasks:
             one.cancel()
 
 
-def read_rules(path: Path) -> Rules:
+def read_audit_rules(path: Path) -> Rules:
     """The audit's; ConfigError where the file holds none."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Rules)
@@ -82,7 +82,7 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def elector_of(registry: Registry, arguments: argparse.Namespace) -> Elector:
+def create_elector(registry: Registry, arguments: argparse.Namespace) -> Elector:
     """ConfigError where the arguments name a writer, or too few members."""
     if arguments.follow is not None or arguments.take_over or arguments.copies:
         raise ConfigError(
@@ -102,10 +102,12 @@
         if arguments.peers:
             parse_addresses(arguments.peers)
         plans = read_plans(arguments.plans) if arguments.plans is not None else None
-        registry = Registry(Journal(arguments.data), writer=arguments.follow, copies=arguments.copies)
+        registry = Registry(
+            Journal(arguments.data), leader_address=arguments.follow, required_replicas=arguments.copies
+        )
         if arguments.audit_rules is not None:
-            registry.rules = read_rules(arguments.audit_rules)
-        elector = elector_of(registry, arguments) if arguments.elect else None
+            registry.straggler_rules = read_audit_rules(arguments.audit_rules)
+        elector = create_elector(registry, arguments) if arguments.elect else None
         uvloop.run(run(registry, arguments, plans, elector))
     except WoadyardError as error:
         LOG.error("can't start", extra=error.fields())
@@ -117,4 +119,4 @@
 
 
 def main() -> int:
-    return start(parser().parse_args())
+    return start(create_parser().parse_args())
--- a/woadyard/registry/election.py
+++ b/woadyard/registry/election.py
@@ -35,7 +35,7 @@
 import msgspec
 
 from woadyard.errors import PeerError
-from woadyard.registry.host import SALT_BITS, next_term
+from woadyard.registry.replicated_state import SALT_BITS, next_term
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
 NEW, FOUNDING, MEMBER = "new", "founding", "member"
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -24,11 +24,11 @@
 from woadyard.errors import ConfigError, PeerError, StateError
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
-from woadyard.registry.answers import answer, body
 from woadyard.registry.ballots import Ballots
 from woadyard.registry.election import LEADER, Ask, Beat, Call, Election, Log, Message, Reply, Timing
-from woadyard.registry.follow import Follower
-from woadyard.registry.refusal import read_refusal
+from woadyard.registry.error_body import read_error_body
+from woadyard.registry.follower import Follower
+from woadyard.registry.responses import json_response, read_body
 from woadyard.registry.service import Registry
 
 VOTE_PATH, BEAT_PATH = "/registry/election/vote", "/registry/election/beat"
@@ -66,23 +66,27 @@
         self.ballots = Ballots(registry.journal.folder)
         self.kept = self.ballots.read()
         now = time.monotonic()
-        self.election = Election(registry.name, list(peers), self.kept, self._log, rng, now, timing)
-        self.election.observe(registry.seen, now)
+        self.election = Election(registry.member_id, list(peers), self.kept, self._log, rng, now, timing)
+        self.election.observe(registry.highest_term, now)
         registry.election = self.election
-        registry.hear(registry.host.lineage, self.kept.term, "the ballot")
-        registry.copies.needed = self.election.needed
-        registry.yield_to(None)
-        self.follower = Follower(registry, rng, stale_s, poll_s=POLL_S)
+        registry.observe_term(registry.log_state.lineage, self.kept.term, "the ballot")
+        registry.replica_progress.needed = self.election.needed
+        registry.follow_elected_leader(None)
+        self.follower = Follower(registry, rng, stale_s, poll_wait_s=POLL_S)
         self.following: asyncio.Task[None] | None = None
         self.calls: dict[str, set[asyncio.Task[None]]] = {peer: set() for peer in self.election.peers}
         self.refused: dict[str, str] = {}  # by peer: its last refusal, which is logged once
-        self.won = Counter("registry_elections_won", "Elections won here", registry=registry.counts.registry)
-        leads = Gauge("registry_leads", "1 while this member writes", registry=registry.counts.registry)
-        leads.set_function(lambda: float(registry.leads))
+        self.won = Counter(
+            "registry_elections_won", "Elections won here", registry=registry.metrics.collector_registry
+        )
+        leads = Gauge(
+            "registry_leads", "1 while this member writes", registry=registry.metrics.collector_registry
+        )
+        leads.set_function(lambda: float(registry.is_leader))
 
     def _log(self) -> Log:
-        host = self.registry.host
-        return Log(host.lineage, (host.term, host.applied))
+        host = self.registry.log_state
+        return Log(host.lineage, (host.term, host.applied_index))
 
     async def run(self) -> None:
         """Until cancelled."""
@@ -91,8 +95,8 @@
             while True:
                 self._hear()
                 self._act(self.election.tick(time.monotonic()))
-                if self.registry.leaderless:
-                    self.follower.look("no writer is elected")
+                if self.registry.is_leaderless:
+                    self.follower.check_staleness("no writer is elected")
                 await asyncio.sleep(TICK_S)
         finally:
             for task in [*(one for tasks in self.calls.values() for one in tasks), self.following]:
@@ -101,7 +105,7 @@
 
     def _hear(self) -> None:
         """Clients and replicas may have told of a greater term."""
-        self.election.observe(self.registry.seen, time.monotonic())
+        self.election.observe(self.registry.highest_term, time.monotonic())
 
     def _act(self, calls: Iterable[Call]) -> None:
         """What a turn of the election comes to; nothing is sent where the ballot is not kept."""
@@ -128,23 +132,23 @@
         if ballot.standing != self.kept.standing:
             LOG.info("standing among the members", extra={"standing": ballot.standing})
         self.kept = ballot
-        self.registry.hear(self.registry.host.lineage, ballot.term, "the election")
+        self.registry.observe_term(self.registry.log_state.lineage, ballot.term, "the election")
 
     def _take_role(self) -> None:
         election, registry = self.election, self.registry
         if election.role == LEADER:
-            if not registry.leads or registry.host.term != election.term:
+            if not registry.is_leader or registry.log_state.term != election.term:
                 self._lead()
             return
         writer = election.peer(election.leader)
-        if registry.leads or registry.writer != writer:
+        if registry.is_leader or registry.leader_address != writer:
             self._follow(writer)
 
     def _lead(self) -> None:
         election, registry = self.election, self.registry
         self._stop_following()
         try:
-            registry.lead_elected(election.term)
+            registry.become_elected_leader(election.term)
         except StateError as error:
             LOG.error("elected, and can't write", extra=error.fields())
             election.step_down(time.monotonic())
@@ -154,10 +158,10 @@
 
     def _follow(self, writer: str | None) -> None:
         self._stop_following()
-        if self.registry.leads:
+        if self.registry.is_leader:
             LOG.warning("this process writes no more", extra=self._fields())
-            self.follower.heard = time.monotonic()
-        self.registry.yield_to(writer)
+            self.follower.last_contact_s = time.monotonic()
+        self.registry.follow_elected_leader(writer)
         LOG.info("follows" if writer else "no writer is known", extra={**self._fields(), "writer": writer})
         if writer is not None:
             self.follower.backoff.reset()
@@ -169,8 +173,8 @@
             self.following = None
 
     def _fields(self) -> dict[str, int]:
-        host = self.registry.host
-        return {"term": self.election.term, "log_term": host.term, "index": host.applied}
+        host = self.registry.log_state
+        return {"term": self.election.term, "log_term": host.term, "index": host.applied_index}
 
     # --- Calls ------------------------------------------------------------------------
 
@@ -185,14 +189,14 @@
             reply: Reply = msgspec.json.decode(back, type=Reply)
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
             return
-        if not self.registry.plausible(reply.term, peer):
+        if not self.registry.is_plausible_term(reply.term, peer):
             return
         self._hear()
         self._act(self.election.replied(peer, message, reply, time.monotonic()))
         self.refused.pop(peer, None)
 
     def _refused(self, peer: str, status: int, back: bytes) -> None:
-        found = read_refusal(back)
+        found = read_error_body(back)
         if self.refused.get(peer) != found.error:
             self.refused[peer] = found.error
             fields = {"peer": peer, "status": status, "error": found.error, "remedy": found.remedy}
@@ -207,8 +211,8 @@
         return self._answer(self.election.beaten(beat, time.monotonic()))
 
     async def _read(self, request: web.Request, kind: type[M]) -> M:
-        message = await body(request, kind)
-        if not self.registry.plausible(message.term, f"{message.name} at {request.remote}"):
+        message = await read_body(request, kind)
+        if not self.registry.is_plausible_term(message.term, f"{message.name} at {request.remote}"):
             raise PeerError(f"term {message.term} can't be", "see that the member's folder is of this log")
         self._hear()
         return message
@@ -216,7 +220,7 @@
     def _answer(self, reply: Reply) -> web.StreamResponse:
         self._keep()  # StateError, and the vote is not told
         self._take_role()
-        return answer(reply)
+        return json_response(reply)
 
     def routes(self) -> list[web.RouteDef]:
         return [web.post(VOTE_PATH, self.vote), web.post(BEAT_PATH, self.beat)]
--- a/woadyard/registry/refusal.py
+++ b/woadyard/registry/error_body.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Refusal(msgspec.Struct, omit_defaults=True):
+class ErrorBody(msgspec.Struct, omit_defaults=True):
     """`writer` (HOST:PORT) is told where another process writes: the call belongs there."""
 
     error: str
@@ -13,9 +13,9 @@
     writer: str | None = None
 
 
-def read_refusal(body: bytes) -> Refusal:
+def read_error_body(body: bytes) -> ErrorBody:
     """Of any answer that is not 200; one that is no refusal is quoted."""
     try:
-        return msgspec.json.decode(body, type=Refusal)
+        return msgspec.json.decode(body, type=ErrorBody)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return Refusal(body[:200].decode(errors="replace").strip())
+        return ErrorBody(body[:200].decode(errors="replace").strip())
--- a/woadyard/registry/http.py
+++ b/woadyard/registry/http.py
@@ -17,17 +17,17 @@
 from prometheus_client import generate_latest
 
 from woadyard.errors import PeerError, WoadyardError
-from woadyard.registry.answers import Handler, hear, refusal, refused
+from woadyard.registry.responses import Handler, error_response, observe_request_term, response_for_error
 from woadyard.registry.routes import routes
 from woadyard.registry.service import Registry
 
 LOG = logging.getLogger(__name__)
-VISIT_S = 3.0  # a connection brings its call whole within this
-BODY_MAX = 1024 * 1024
-CLIENTS_MOST = 4096
+REQUEST_TIMEOUT_S = 3.0  # a connection brings its call whole within this
+MAX_BODY_BYTES = 1024 * 1024
+MAX_CONNECTIONS = 4096
 
 
-class Visit(web.RequestHandler):
+class RegistryConnection(web.RequestHandler):
     """One connection. What breaks HTTP itself is refused as any bad call is."""
 
     __slots__ = ()
@@ -41,12 +41,12 @@
     ) -> web.StreamResponse:
         if isinstance(exc, HttpProcessingError):
             LOG.warning("malformed call", extra={"error": exc.message, "peer": request.remote})
-            return refusal(400, f"malformed: {exc.message}", PeerError.remedy)
+            return error_response(400, f"malformed: {exc.message}", PeerError.remedy)
         LOG.error("call failed", exc_info=exc, extra={"call": f"{request.method} {request.path}"})
-        return refusal(500, "the call failed here", WoadyardError.remedy)
+        return error_response(500, "the call failed here", WoadyardError.remedy)
 
 
-class Turned(asyncio.Protocol):
+class RejectedConnection(asyncio.Protocol):
     """A connection past those that there is room for."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -54,29 +54,31 @@
         transport.abort()
 
 
-def application(registry: Registry, more: Sequence[web.RouteDef] = ()) -> web.Application:
+def create_application(registry: Registry, extra_routes: Sequence[web.RouteDef] = ()) -> web.Application:
     @web.middleware
     async def common(request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
-            hear(registry, request)
-            async with asyncio.timeout(VISIT_S):
+            observe_request_term(registry, request)
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await request.read()
             return await handler(request)
         except TimeoutError:
-            return refusal(408, "the call did not come whole in time", "see to the network in between")
+            return error_response(408, "the call did not come whole in time", "see to the network in between")
         except web.HTTPRequestEntityTooLarge:
-            return refusal(413, "too large", f"a body has at most {BODY_MAX} bytes")
+            return error_response(413, "too large", f"a body has at most {MAX_BODY_BYTES} bytes")
         except web.HTTPException as error:
-            return refusal(error.status, error.reason.lower(), "see the calls in docs/on-call.md")
+            return error_response(error.status, error.reason.lower(), "see the calls in docs/on-call.md")
         except WoadyardError as error:
             LOG.warning("call refused", extra={**error.fields(), "call": f"{request.method} {request.path}"})
-            return refused(error)
+            return response_for_error(error)
 
-    async def metrics(request: web.Request) -> web.StreamResponse:
-        return web.Response(body=generate_latest(registry.counts.registry), content_type="text/plain")
+    async def serve_metrics(request: web.Request) -> web.StreamResponse:
+        return web.Response(
+            body=generate_latest(registry.metrics.collector_registry), content_type="text/plain"
+        )
 
-    app = web.Application(middlewares=[common], client_max_size=BODY_MAX)
-    app.add_routes([web.get("/_metrics", metrics), *routes(registry), *more])
+    app = web.Application(middlewares=[common], client_max_size=MAX_BODY_BYTES)
+    app.add_routes([web.get("/_metrics", serve_metrics), *routes(registry), *extra_routes])
     return app
 
 
@@ -85,22 +87,24 @@
     host: str,
     port: int,
     ready: Callable[[int], None],
-    more: Sequence[web.RouteDef] = (),
+    extra_routes: Sequence[web.RouteDef] = (),
 ) -> None:
     """Listen until cancelled; `ready` hears the port once it listens. `more` are calls beside
     those in `routes`."""
     loop = asyncio.get_running_loop()
-    runner = web.AppRunner(application(registry, more), handler_cancellation=True, shutdown_timeout=0.1)
+    runner = web.AppRunner(
+        create_application(registry, extra_routes), handler_cancellation=True, shutdown_timeout=0.1
+    )
     await runner.setup()
     manager = runner.server
     assert manager is not None
-    registry.counts.clients.set_function(lambda: len(manager.connections))
+    registry.metrics.clients.set_function(lambda: len(manager.connections))
 
     def visit() -> asyncio.Protocol:
-        if len(manager.connections) >= CLIENTS_MOST:
-            return Turned()
-        options: dict[str, Any] = {"keepalive_timeout": VISIT_S, "access_log": None, "logger": LOG}
-        return Visit(manager, loop=loop, lingering_time=0.0, **options)
+        if len(manager.connections) >= MAX_CONNECTIONS:
+            return RejectedConnection()
+        options: dict[str, Any] = {"keepalive_timeout": REQUEST_TIMEOUT_S, "access_log": None, "logger": LOG}
+        return RegistryConnection(manager, loop=loop, lingering_time=0.0, **options)
 
     server = await loop.create_server(visit, host, port, backlog=1024)
     ready(int(server.sockets[0].getsockname()[1]))
--- a/woadyard/registry/log.py
+++ b/woadyard/registry/log.py
@@ -22,11 +22,11 @@
 from typing import Any
 
 from woadyard.errors import StateError
-from woadyard.registry.host import Host
-from woadyard.registry.tail import Tail
+from woadyard.registry.log_tail import LogTail
+from woadyard.registry.replicated_state import ReplicatedState
 
 FRAME = struct.Struct(">II")
-RECORD_MOST = 16 * 1024 * 1024
+MAX_ENTRY_BYTES = 16 * 1024 * 1024
 LOG = logging.getLogger(__name__)
 
 
@@ -37,88 +37,88 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.log_path, self.snapshot_path = folder / "log", folder / "snapshot.json"
-        self.seen_path = folder / "seen"
-        self.size = 0  # bytes of the log that count; what a failed write left is past them
-        self.snapshot_size = 0  # bytes
-        self.tail = Tail()
+        self.highest_term_path = folder / "seen"
+        self.log_bytes = 0  # bytes of the log that count; what a failed write left is past them
+        self.snapshot_bytes = 0  # bytes
+        self.tail = LogTail()
 
-    def recover(self, host: Host) -> None:
+    def recover(self, host: ReplicatedState) -> None:
         """Bring an empty `host` to what the files hold; a torn tail is cut off the log.
         `LogEntryError` where a whole record can't be applied: the files stay as they are."""
         self.folder.mkdir(parents=True, exist_ok=True)
         if self.snapshot_path.exists():
             host.load(_read_json(self.snapshot_path))
-            self.snapshot_size = self.snapshot_path.stat().st_size
-        self.tail.begin(host.applied, host.chain)
+            self.snapshot_bytes = self.snapshot_path.stat().st_size
+        self.tail.reset(host.applied_index, host.chain)
         good = 0
         data = self.log_path.read_bytes() if self.log_path.exists() else b""
-        for end, record in frames(data):
+        for end, record in decode_frames(data):
             # Behind a state taken whole, what the log still held of an older term counts no more.
-            if int(record["seq"]) > host.applied and record.get("term", 0) >= host.term:
+            if int(record["seq"]) > host.applied_index and record.get("term", 0) >= host.term:
                 host.apply(record)
-                self.tail.add(record, host.chain, end - good)
+                self.tail.add_entry(record, host.chain, end - good)
             good = end
         if good < len(data):
             LOG.warning("torn log record dropped", extra={"offset": good, "bytes": len(data) - good})
             with open(self.log_path, "r+b") as file:
                 file.truncate(good)
                 os.fsync(file.fileno())
-        self.size = good
+        self.log_bytes = good
 
-    def append(self, host: Host, record: dict[str, Any]) -> bool:
+    def append(self, host: ReplicatedState, record: dict[str, Any]) -> bool:
         """Write the record, then apply it; the write comes first, so that
         nothing is served that a restart would not bring back."""
         host.check(record)  # LogEntryError before anything is written
-        record = {**record, "seq": host.applied + 1}
+        record = {**record, "seq": host.applied_index + 1}
         payload = json.dumps(record, separators=(",", ":")).encode()
         self._write(FRAME.pack(len(payload), zlib.crc32(payload)) + payload)
         changed = host.apply(record)
-        self.tail.add(record, host.chain, len(payload))
+        self.tail.add_entry(record, host.chain, len(payload))
         return changed
 
     def _write(self, frame: bytes) -> None:
         with open(self.log_path, "ab") as file:
             # Guards what follows: behind a refused write's remains no record is read.
-            if file.tell() > self.size:
-                file.truncate(self.size)
+            if file.tell() > self.log_bytes:
+                file.truncate(self.log_bytes)
             file.write(frame)
             file.flush()
             os.fsync(file.fileno())
-        self.size += len(frame)
+        self.log_bytes += len(frame)
 
-    def snapshot(self, host: Host) -> None:
+    def write_snapshot(self, host: ReplicatedState) -> None:
         """The host whole beside the last snapshot, renamed over it, and the log emptied."""
         content = json.dumps(host.dump()).encode()
-        replace(self.snapshot_path, content)
-        self.snapshot_size = len(content)
+        replace_file(self.snapshot_path, content)
+        self.snapshot_bytes = len(content)
         with open(self.log_path, "wb") as file:  # its records are all in the snapshot
             os.fsync(file.fileno())
-        self.size = 0
+        self.log_bytes = 0
 
-    def install(self, host: Host) -> None:
+    def install_snapshot(self, host: ReplicatedState) -> None:
         """The state of another log in this one's place."""
-        self.snapshot(host)
-        self.tail.begin(host.applied, host.chain)
+        self.write_snapshot(host)
+        self.tail.reset(host.applied_index, host.chain)
 
-    def see(self, term: int) -> None:
+    def write_highest_term(self, term: int) -> None:
         """Keep the greatest term told of over a restart."""
-        replace(self.seen_path, str(term).encode())
+        replace_file(self.highest_term_path, str(term).encode())
 
-    def identity(self) -> str:
+    def load_member_id(self) -> str:
         """The name of the process with this folder."""
         path = self.folder / "id"
         if not path.exists():
-            replace(path, secrets.token_hex(8).encode())
+            replace_file(path, secrets.token_hex(8).encode())
         return path.read_text()
 
-    def seen(self) -> int:
+    def read_highest_term(self) -> int:
         try:
-            return int(self.seen_path.read_bytes()) if self.seen_path.exists() else 0
+            return int(self.highest_term_path.read_bytes()) if self.highest_term_path.exists() else 0
         except ValueError:
-            raise StateError(f"{self.seen_path} holds no term") from None
+            raise StateError(f"{self.highest_term_path} holds no term") from None
 
 
-def replace(path: Path, content: bytes) -> None:
+def replace_file(path: Path, content: bytes) -> None:
     """Written aside, synced, and renamed over what was there; OSError of the disk."""
     aside = path.with_suffix(".tmp")
     with open(aside, "wb") as file:
@@ -140,13 +140,13 @@
         raise StateError(f"{path} holds no JSON: {error}") from None
 
 
-def frames(data: bytes) -> list[tuple[int, dict[str, Any]]]:
+def decode_frames(data: bytes) -> list[tuple[int, dict[str, Any]]]:
     """The whole frames from the start, each with the offset where it ends."""
     found, at = [], 0
     while at + FRAME.size <= len(data):
         length, crc = FRAME.unpack_from(data, at)
         payload = data[at + FRAME.size : at + FRAME.size + length]
-        if length > RECORD_MOST or len(payload) < length or zlib.crc32(payload) != crc:
+        if length > MAX_ENTRY_BYTES or len(payload) < length or zlib.crc32(payload) != crc:
             break
         try:
             record = json.loads(payload)
--- a/woadyard/registry/counts.py
+++ b/woadyard/registry/metrics.py
@@ -5,9 +5,9 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
-class Counts:
+class RegistryMetrics:
     def __init__(self) -> None:
-        self.registry = registry = CollectorRegistry()
+        self.collector_registry = registry = CollectorRegistry()
         self.watches = Gauge("registry_watches", "Watches and long polls open", registry=registry)
         self.clients = Gauge("registry_clients", "Connections open", registry=registry)
         self.version = Gauge("registry_version", "Version of the list", registry=registry)
--- a/woadyard/registry/peers.py
+++ b/woadyard/registry/peers.py
@@ -14,8 +14,8 @@
 
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
-from woadyard.registry.answers import TERM_HEADER
-from woadyard.registry.replication import TERM_PATH, Standing
+from woadyard.registry.replication import TERM_PATH, MemberStatus
+from woadyard.registry.responses import TERM_HEADER
 from woadyard.registry.service import Registry
 
 EVERY_S, CALL_S = 1.0, 1.0
@@ -39,19 +39,24 @@
 
     async def _ask(self, peer: str) -> None:
         registry = self.registry
-        lineage = registry.host.lineage
-        headers = f"{TERM_HEADER}: {lineage}:{registry.seen}\r\n" if lineage else ""
+        lineage = registry.log_state.lineage
+        headers = f"{TERM_HEADER}: {lineage}:{registry.highest_term}\r\n" if lineage else ""
         try:
             status, body = await fetch(
                 parse_address(peer), "GET", TERM_PATH, timeout_s=CALL_S, headers=headers
             )
-            standing = msgspec.json.decode(body, type=Standing) if status == 200 else None
+            standing = msgspec.json.decode(body, type=MemberStatus) if status == 200 else None
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
             return
         if standing is None or standing.lineage != lineage:
             return
-        registry.hear(standing.lineage, standing.seen, f"peer {peer}")
-        lost = registry.deposed or registry.stale
-        if standing.leads and standing.term >= registry.seen and lost and registry.writer != peer:
+        registry.observe_term(standing.lineage, standing.seen, f"peer {peer}")
+        lost = registry.is_deposed or registry.is_stale
+        if (
+            standing.leads
+            and standing.term >= registry.highest_term
+            and lost
+            and registry.leader_address != peer
+        ):
             LOG.warning("following the peer that leads", extra={"peer": peer, "term": standing.term})
-            registry.follow(peer)
+            registry.start_following(peer)
--- a/woadyard/registry/host.py
+++ b/woadyard/registry/replicated_state.py
@@ -24,12 +24,12 @@
 import xxhash
 
 from woadyard.errors import LogEntryError
-from woadyard.registry.book import Book, Led, Record
+from woadyard.registry.state_machine import LeaderChangeObserver, LogEntry, StateMachine
 
 LEAD = "lead"
 SALT_BITS, ERA_SHIFT = 24, 36
-TERM_MOST = 1 << 52  # JSON readers that know only doubles still tell terms apart
-NO_CHAIN = "0" * 32
+MAX_TERM = 1 << 52  # JSON readers that know only doubles still tell terms apart
+EMPTY_CHAIN = "0" * 32
 
 
 def next_term(seen: int, resumes: bool, salt: int | None = None) -> int:
@@ -39,24 +39,24 @@
     return (seen >> shift) + 1 << shift | (secrets.randbits(SALT_BITS) if salt is None else salt)
 
 
-def link(chain: str, record: Record) -> str:
+def extend_chain(chain: str, record: LogEntry) -> str:
     """The running hash behind `record`, from the one before it."""
     return xxhash.xxh3_128_hexdigest((chain + json.dumps(record, separators=(",", ":"))).encode())
 
 
-class Host:
-    def __init__(self, books: Iterable[Book]) -> None:
-        self.books = {book.name: book for book in books}
-        self.applied = 0  # records, from the log's first: its index
+class ReplicatedState:
+    def __init__(self, books: Iterable[StateMachine]) -> None:
+        self.state_machines = {book.name: book for book in books}
+        self.applied_index = 0  # records, from the log's first: its index
         self.lineage = ""  # which log this is: a replica of another one is no replica
         self.term = 0  # 0: written before there were terms
-        self.leader = ""  # whose term it is
-        self.chain = NO_CHAIN
+        self.leader_id = ""  # whose term it is
+        self.chain = EMPTY_CHAIN
 
-    def check(self, record: Record) -> None:
+    def check(self, record: LogEntry) -> None:
         """Raises `LogEntryError` where `apply` would; changes nothing."""
         term, at = record.get("term", 0), record.get("at", 0)
-        if type(term) is not int or type(at) is not int or not 0 <= term < TERM_MOST:
+        if type(term) is not int or type(at) is not int or not 0 <= term < MAX_TERM:
             raise LogEntryError("a record's term or time is no number")
         if record.get("op") == LEAD:
             self._check_lead(record, term)
@@ -65,44 +65,44 @@
             raise LogEntryError(f"a record of term {term} in term {self.term}")
         self._book(record).check(record)
 
-    def _check_lead(self, record: Record, term: int) -> None:
+    def _check_lead(self, record: LogEntry, term: int) -> None:
         if not isinstance(record.get("lineage"), str) or self.lineage not in ("", record["lineage"]):
             raise LogEntryError("the log is of another lineage")
         if term <= self.term and (term or self.term):
             raise LogEntryError(f"term {term} can't begin in term {self.term}")
 
-    def _book(self, record: Record) -> Book:
+    def _book(self, record: LogEntry) -> StateMachine:
         # Logs from before the books have holds without a name.
         name = record.get("book", "limits" if record.get("op") == "hold" else "list")
-        book = self.books.get(name) if isinstance(name, str) else None
+        book = self.state_machines.get(name) if isinstance(name, str) else None
         if book is None:
             remedy = "run a build that knows the book, here and at every replica"
             raise LogEntryError(f"no such book: {name!r}", remedy)
         return book
 
-    def apply(self, record: Record) -> bool:
+    def apply(self, record: LogEntry) -> bool:
         """Apply one record; True where readers of its book see a change. `LogEntryError`,
         and then nothing of it was applied."""
         self.check(record)
         if record["op"] == LEAD:
             self.lineage, self.term = record["lineage"], record.get("term", 0)
-            self.leader = str(record.get("by", ""))
-            for book in self.books.values():
-                if isinstance(book, Led):
-                    book.lead(self.term, int(record["at"]))
+            self.leader_id = str(record.get("by", ""))
+            for book in self.state_machines.values():
+                if isinstance(book, LeaderChangeObserver):
+                    book.begin_term(self.term, int(record["at"]))
             changed = False
         else:
             changed = self._book(record).apply(record)
-        self.applied += 1
-        self.chain = link(self.chain, record)
+        self.applied_index += 1
+        self.chain = extend_chain(self.chain, record)
         return changed
 
     def dump(self) -> dict[str, Any]:
         """All of it, for a snapshot; `load` takes it back."""
         return {
-            "applied": self.applied, "lineage": self.lineage, "term": self.term,
-            "leader": self.leader, "chain": self.chain,
-            "books": {name: book.dump() for name, book in self.books.items()},
+            "applied": self.applied_index, "lineage": self.lineage, "term": self.term,
+            "leader": self.leader_id, "chain": self.chain,
+            "books": {name: book.dump() for name, book in self.state_machines.items()},
         }  # fmt: skip
 
     def load(self, raw: Any) -> None:
@@ -116,15 +116,15 @@
             leader = str(raw.get("leader", ""))
         except (KeyError, TypeError, ValueError) as error:
             raise LogEntryError(f"no snapshot: {error!r}") from None
-        if strange := sorted(dumps.keys() - self.books.keys()):
+        if strange := sorted(dumps.keys() - self.state_machines.keys()):
             raise LogEntryError(
                 f"the snapshot has a book that this build does not know: {strange[0]!r}",
                 "run the build that wrote it; its files are as they were",
             )
         for name, dump in dumps.items():
-            self.books[name].load(dump)
-        self.applied, self.term, self.lineage, self.chain = applied, term, lineage, chain
-        self.leader = leader
+            self.state_machines[name].load(dump)
+        self.applied_index, self.term, self.lineage, self.chain = applied, term, lineage, chain
+        self.leader_id = leader
 
 
 def _from_before_books(raw: dict[str, Any]) -> dict[str, Any]:
--- a/woadyard/registry/replication.py
+++ b/woadyard/registry/replication.py
@@ -14,25 +14,25 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.registry.answers import answer, at_writer, query
-from woadyard.registry.host import NO_CHAIN
+from woadyard.registry.replicated_state import EMPTY_CHAIN
+from woadyard.registry.responses import json_response, leader_only, read_query
 from woadyard.registry.service import Registry
 from woadyard.registry.waiters import LOG_TOPIC
 
 LOG_PATH, TERM_PATH = "/registry/log", "/registry/term"
-WAIT_MOST_S = 60.0
+MAX_WAIT_S = 60.0
 
 
 class LogQuery(msgspec.Struct):
     after: int
     wait: float = 0.0
-    chain: str = NO_CHAIN
+    chain: str = EMPTY_CHAIN
     lineage: str = ""
     term: int = 0
     who: str = ""
 
 
-class Standing(msgspec.Struct):
+class MemberStatus(msgspec.Struct):
     """Where a process of the log stands."""
 
     lineage: str
@@ -45,23 +45,32 @@
 
 def routes(registry: Registry) -> list[web.RouteDef]:
     async def log(request: web.Request) -> web.StreamResponse:
-        asked = query(request, LogQuery)
-        registry.counts.reads.labels("log").inc()
-        registry.hear(asked.lineage, asked.term, f"a replica at {request.remote}")
+        asked = read_query(request, LogQuery)
+        registry.metrics.reads.labels("log").inc()
+        registry.observe_term(asked.lineage, asked.term, f"a replica at {request.remote}")
         if asked.who and registry.journal.tail.chain_at(asked.after) == asked.chain:
-            registry.proven(asked.who, asked.after)
-        if asked.after == registry.host.applied:
-            wait_s = min(WAIT_MOST_S, max(0.0, asked.wait))
-            await registry.waiters.until(
-                LOG_TOPIC, lambda: registry.host.applied > asked.after or not registry.leads, wait_s
+            registry.record_replica_position(asked.who, asked.after)
+        if asked.after == registry.log_state.applied_index:
+            wait_s = min(MAX_WAIT_S, max(0.0, asked.wait))
+            await registry.waiters.wait_until(
+                LOG_TOPIC,
+                lambda: registry.log_state.applied_index > asked.after or not registry.is_leader,
+                wait_s,
             )
-        return answer(registry.log_after(asked.after, asked.chain, asked.lineage))
+        return json_response(registry.entries_or_snapshot_after(asked.after, asked.chain, asked.lineage))
 
     async def term(request: web.Request) -> web.StreamResponse:
-        host = registry.host
-        told = Standing(host.lineage, host.term, registry.seen, registry.leads, registry.writer, host.applied)
+        host = registry.log_state
+        told = MemberStatus(
+            host.lineage,
+            host.term,
+            registry.highest_term,
+            registry.is_leader,
+            registry.leader_address,
+            host.applied_index,
+        )
         if registry.election is None:
-            return answer(told)
-        return answer({**msgspec.structs.asdict(told), **registry.election.told(time.monotonic())})
+            return json_response(told)
+        return json_response({**msgspec.structs.asdict(told), **registry.election.told(time.monotonic())})
 
-    return [web.get(LOG_PATH, at_writer(registry, log)), web.get(TERM_PATH, term)]
+    return [web.get(LOG_PATH, leader_only(registry, log)), web.get(TERM_PATH, term)]
--- a/woadyard/registry/answers.py
+++ b/woadyard/registry/responses.py
@@ -14,42 +14,42 @@
 from aiohttp import web
 
 from woadyard.errors import LogEntryError, PeerError, PlanError, StateError, TraceError, WoadyardError
-from woadyard.registry.refusal import Refusal
-from woadyard.registry.service import DeposedError, LeaderlessError, Registry, UnsettledError
+from woadyard.registry.error_body import ErrorBody
+from woadyard.registry.service import DeposedError, NoLeaderError, NotReplicatedError, Registry
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 T = TypeVar("T")
 # The status of an error of a call; the first that fits.
-STATUS: tuple[tuple[type[WoadyardError], int], ...] = (
-    (DeposedError, 503), (UnsettledError, 503), (StateError, 507), (LogEntryError, 400), (PeerError, 400),
+ERROR_STATUS: tuple[tuple[type[WoadyardError], int], ...] = (
+    (DeposedError, 503), (NotReplicatedError, 503), (StateError, 507), (LogEntryError, 400), (PeerError, 400),
     (PlanError, 409), (TraceError, 422),
 )  # fmt: skip
 TERM_HEADER = "X-Term"  # LINEAGE:TERM, of the log that the caller acts on
-TERM_VALUE = re.compile(r"([0-9a-f]{1,64}):([0-9]{1,16})")
+TERM_HEADER_PATTERN = re.compile(r"([0-9a-f]{1,64}):([0-9]{1,16})")
 
 
-def refusal(status: int, what: str, remedy: str, writer: str | None = None) -> web.Response:
+def error_response(status: int, what: str, remedy: str, writer: str | None = None) -> web.Response:
     """A refusal as an answer; the connection ends with it."""
-    body = msgspec.json.encode(Refusal(what, remedy, writer)) + b"\n"
+    body = msgspec.json.encode(ErrorBody(what, remedy, writer)) + b"\n"
     answer = web.Response(status=status, body=body, content_type="application/json")
     answer.force_close()
     return answer
 
 
-def refused(error: WoadyardError) -> web.Response:
-    status = next((status for kind, status in STATUS if isinstance(error, kind)), 500)
-    back = refusal(status, str(error), error.remedy)
+def response_for_error(error: WoadyardError) -> web.Response:
+    status = next((status for kind, status in ERROR_STATUS if isinstance(error, kind)), 500)
+    back = error_response(status, str(error), error.remedy)
     if (after_s := getattr(error, "retry_after_s", None)) is not None:
         back.headers["Retry-After"] = str(after_s)
     return back
 
 
-def answer(told: Any) -> web.Response:
+def json_response(told: Any) -> web.Response:
     """Anything that msgspec writes as JSON."""
     return web.Response(body=msgspec.json.encode(told) + b"\n", content_type="application/json")
 
 
-async def body(request: web.Request, kind: type[T]) -> T:
+async def read_body(request: web.Request, kind: type[T]) -> T:
     """The call's body as `kind`, a struct or a type; PeerError where it is none."""
     try:
         return msgspec.json.decode(await request.read(), type=kind)
@@ -57,7 +57,7 @@
         raise PeerError(f"bad body: {error}", "send the JSON that the call's page names") from None
 
 
-def query(request: web.Request, kind: type[T]) -> T:
+def read_query(request: web.Request, kind: type[T]) -> T:
     """The call's query as the struct `kind`; PeerError where it is none."""
     try:
         return msgspec.convert(dict(request.query), kind, strict=False)
@@ -65,34 +65,38 @@
         raise PeerError(f"bad query: {error}", "send the query that the call's page names") from None
 
 
-def at_writer(registry: Registry, handler: Handler, settles: bool = False) -> Handler:
+def leader_only(registry: Registry, handler: Handler, waits_for_replication: bool = False) -> Handler:
     """A call that only the writer answers: a replica sends the caller on. An elected writer
     answers a write once most members hold it; `settles`: the handler sees to that itself."""
 
     async def handle(request: web.Request) -> web.StreamResponse:
-        if registry.writer is not None:
-            back = refusal(307, "a replica does not write", "send the call to the writer", registry.writer)
-            back.headers["Location"] = f"http://{registry.writer}{request.raw_path}"
+        if registry.leader_address is not None:
+            back = error_response(
+                307, "a replica does not write", "send the call to the writer", registry.leader_address
+            )
+            back.headers["Location"] = f"http://{registry.leader_address}{request.raw_path}"
             return back
-        if registry.deposed:
-            raise DeposedError(f"term {registry.seen} has begun elsewhere")
-        if registry.leaderless:
-            raise LeaderlessError(
-                f"no writer is elected that this member knows of, since term {registry.seen}"
+        if registry.is_deposed:
+            raise DeposedError(f"term {registry.highest_term} has begun elsewhere")
+        if registry.is_leaderless:
+            raise NoLeaderError(
+                f"no writer is elected that this member knows of, since term {registry.highest_term}"
             )
-        if registry.election is None or settles or request.method == "GET":
+        if registry.election is None or waits_for_replication or request.method == "GET":
             return await handler(request)
-        term = registry.host.term
+        term = registry.log_state.term
         told = await handler(request)
-        await registry.settle(registry.host.applied, term)
+        await registry.wait_replicated(registry.log_state.applied_index, term)
         return told
 
     return handle
 
 
-def hear(registry: Registry, request: web.Request) -> None:
+def observe_request_term(registry: Registry, request: web.Request) -> None:
     """A caller that says which term it acts on may be the first to know of a new one."""
     if told := request.headers.get(TERM_HEADER):
-        if (found := TERM_VALUE.fullmatch(told)) is None:
+        if (found := TERM_HEADER_PATTERN.fullmatch(told)) is None:
             raise PeerError(f"{TERM_HEADER} is none: {told[:80]!r}")
-        registry.hear(found[1], int(found[2]), f"{request.method} {request.path} from {request.remote}")
+        registry.observe_term(
+            found[1], int(found[2]), f"{request.method} {request.path} from {request.remote}"
+        )
--- a/woadyard/registry/routes.py
+++ b/woadyard/registry/routes.py
@@ -16,7 +16,7 @@
 from woadyard.registry.service import Registry
 from woadyard.whatif import service as plans
 
-PARTS = (
+ROUTE_FACTORIES = (
     lists.routes,
     limits.routes,
     audit.routes,
@@ -27,4 +27,4 @@
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    return [route for part in PARTS for route in part(registry)]
+    return [route for part in ROUTE_FACTORIES for route in part(registry)]
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -20,26 +20,29 @@
 
 from woadyard.audit.straggler import Rules
 from woadyard.errors import LogEntryError, StateError
-from woadyard.registry.book import Book, Record, Timed
-from woadyard.registry.books import books
 from woadyard.registry.copies import Copies
-from woadyard.registry.counts import Counts
 from woadyard.registry.election import Election
-from woadyard.registry.host import ERA_SHIFT, LEAD, TERM_MOST, Host, next_term
 from woadyard.registry.log import Journal
-from woadyard.registry.waiters import COPIES_TOPIC, LOG_TOPIC, Waiters
+from woadyard.registry.metrics import RegistryMetrics
+from woadyard.registry.replicated_state import ERA_SHIFT, LEAD, MAX_TERM, ReplicatedState, next_term
+from woadyard.registry.state_machine import LogEntry, StateMachine, TimerDriven
+from woadyard.registry.state_machines import create_state_machines
+from woadyard.registry.waiters import LOG_TOPIC, REPLICATION_TOPIC, Waiters
 
 # A snapshot comes where the log is longer than the last one, and than this: so a book that
 # has grown is not written whole again and again, and a start reads no more than twice of it.
-LOG_BYTES = 256 * 1024
-RECORDS_MOST = 500  # told to a replica at once
+MIN_SNAPSHOT_LOG_BYTES = 256 * 1024
+MAX_ENTRIES_PER_RESPONSE = 500  # told to a replica at once
 # A term further on than any number of writers explains is a lie, and deposes nobody.
-ERAS_MOST = 1_000
-SETTLE_S = 2.0  # a write waits so long for its copies
-AGAIN_S = 1.0  # a record that was due and could not be written is tried again
-SURE_S, UNSURE_S = 1.0, 0.1  # an elected writer ends leases if a majority polled within; else it looks again
+MAX_ERA_ADVANCE = 1_000
+REPLICATION_TIMEOUT_S = 2.0  # a write waits so long for its copies
+DUE_ENTRY_RETRY_S = 1.0  # a record that was due and could not be written is tried again
+QUORUM_CONTACT_S, QUORUM_RECHECK_S = (
+    1.0,
+    0.1,
+)  # an elected writer ends leases if a majority polled within; else it looks again
 LOG = logging.getLogger(__name__)
-B = TypeVar("B", bound=Book)
+B = TypeVar("B", bound=StateMachine)
 
 
 class DeposedError(StateError):
@@ -51,27 +54,27 @@
     )
 
 
-class LeaderlessError(DeposedError):
+class NoLeaderError(DeposedError):
     """No writer is elected that this process knows of."""
 
     remedy = "make the call again, here or at another member; see that most members run and are reached"
     retry_after_s = 2
 
 
-class UnsettledError(StateError):
+class NotReplicatedError(StateError):
     """A write is on this log and not yet on as many replicas as have to hold it."""
 
     remedy = "make the call again; see whether the replicas run and follow"
 
 
-class MinorityError(UnsettledError):
+class NoMajorityError(NotReplicatedError):
     """A write is not known to be held by most members of the log; it may be yet."""
 
     remedy = "make the call again, here or at another member; see that most members run and are reached"
     retry_after_s = 2
 
 
-def steady() -> Callable[[], int]:
+def monotonic_wall_clock() -> Callable[[], int]:
     """Wall time as it is now, going on by the monotonic clock: a clock that is set
     ends no lease. Over a restart every lease runs anew, so none counts on the first."""
     began = time.time_ns() - time.monotonic_ns()
@@ -85,258 +88,279 @@
     def __init__(
         self,
         journal: Journal,
-        clock: Callable[[], int] | None = None,
-        writer: str | None = None,
-        copies: int = 0,
+        clock_us: Callable[[], int] | None = None,
+        leader_address: str | None = None,
+        required_replicas: int = 0,
     ) -> None:
         self.election: Election | None = None  # of this log's members, where they elect
-        self.led_from = 0  # index of the record by which this process was elected
-        self.leaderless = False  # of members that elect: no writer is known
-        self.journal, self.clock, self.writer = journal, clock or steady(), writer
-        self.host = Host(books())
-        journal.recover(self.host)
-        self.name = journal.identity()
-        self.seen = max(journal.seen(), self.host.term)  # the greatest term told of
-        self.stale = False  # a replica that has not heard of its writer lately
-        self.deposed = False
-        self.copies = Copies(copies)
-        self.rules = Rules()  # of the audit
+        self.elected_index = 0  # index of the record by which this process was elected
+        self.is_leaderless = False  # of members that elect: no writer is known
+        self.journal, self.clock_us, self.leader_address = (
+            journal,
+            clock_us or monotonic_wall_clock(),
+            leader_address,
+        )
+        self.log_state = ReplicatedState(create_state_machines())
+        journal.recover(self.log_state)
+        self.member_id = journal.load_member_id()
+        self.highest_term = max(journal.read_highest_term(), self.log_state.term)  # the greatest term told of
+        self.is_stale = False  # a replica that has not heard of its writer lately
+        self.is_deposed = False
+        self.replica_progress = Copies(required_replicas)
+        self.straggler_rules = Rules()  # of the audit
         self.waiters = Waiters()
-        self.counts = Counts()
+        self.metrics = RegistryMetrics()
         self._count()
-        self.timer: asyncio.TimerHandle | None = None
+        self.due_timer: asyncio.TimerHandle | None = None
 
     @property
-    def books(self) -> dict[str, Book]:
-        return self.host.books
+    def state_machines(self) -> dict[str, StateMachine]:
+        return self.log_state.state_machines
 
-    def book(self, kind: type[B]) -> B:
+    def state_machine(self, kind: type[B]) -> B:
         """The book of this class."""
-        found = self.host.books[kind.name]
+        found = self.log_state.state_machines[kind.name]
         assert isinstance(found, kind)
         return found
 
     @property
-    def leads(self) -> bool:
-        return self.writer is None and not self.deposed and not self.leaderless
+    def is_leader(self) -> bool:
+        return self.leader_address is None and not self.is_deposed and not self.is_leaderless
 
     @property
-    def behind(self) -> bool:
+    def may_be_outdated(self) -> bool:
         """What this process serves may be old: it lost its writer, or its place."""
-        return self.stale or self.deposed
+        return self.is_stale or self.is_deposed
 
     # --- Writing ----------------------------------------------------------------------
 
-    def lead(self, take_over: bool = False) -> None:
+    def become_leader(self, take_over: bool = False) -> None:
         """Begin to write: a new term, and every lease runs anew. Not, unless to take over,
         where a term was heard of that this log has no record of: what was written in it
         would be lost."""
-        if self.seen > self.host.term and not take_over:
-            if not self.deposed:
-                self._depose(self.seen, "what was heard before the start")
+        if self.highest_term > self.log_state.term and not take_over:
+            if not self.is_deposed:
+                self._depose(self.highest_term, "what was heard before the start")
             return
-        lineage = self.host.lineage or secrets.token_hex(8)
-        resumes = self.host.leader == self.name and self.seen == self.host.term
-        term = next_term(self.seen, resumes)
-        self.replay({"op": LEAD, "lineage": lineage, "term": term, "by": self.name, "at": self.clock()})
-        self.seen = term
-        self.arm()
-
-    def lead_elected(self, term: int) -> None:
+        lineage = self.log_state.lineage or secrets.token_hex(8)
+        resumes = self.log_state.leader_id == self.member_id and self.highest_term == self.log_state.term
+        term = next_term(self.highest_term, resumes)
+        self.append_and_apply(
+            {"op": LEAD, "lineage": lineage, "term": term, "by": self.member_id, "at": self.clock_us()}
+        )
+        self.highest_term = term
+        self.schedule_due_entry()
+
+    def become_elected_leader(self, term: int) -> None:
         """Begin to write in a term that most members voted for. StateError of the disk."""
-        lineage = self.host.lineage or secrets.token_hex(8)
-        self.copies = Copies(self.copies.needed)  # what was held in another reign says nothing
-        self.replay({"op": LEAD, "lineage": lineage, "term": term, "by": self.name, "at": self.clock()})
-        self.led_from = self.host.applied
-        self.writer, self.deposed, self.leaderless = None, False, False
+        lineage = self.log_state.lineage or secrets.token_hex(8)
+        self.replica_progress = Copies(
+            self.replica_progress.needed
+        )  # what was held in another reign says nothing
+        self.append_and_apply(
+            {"op": LEAD, "lineage": lineage, "term": term, "by": self.member_id, "at": self.clock_us()}
+        )
+        self.elected_index = self.log_state.applied_index
+        self.leader_address, self.is_deposed, self.is_leaderless = None, False, False
         self.set_stale(False)
-        self.waiters.wake(LOG_TOPIC)
-        self.arm()
+        self.waiters.notify(LOG_TOPIC)
+        self.schedule_due_entry()
 
-    def yield_to(self, writer: str | None) -> None:
+    def follow_elected_leader(self, writer: str | None) -> None:
         """From now on a replica of the elected writer at this address, or of none that is known."""
-        self.writer, self.deposed, self.leaderless = writer, False, writer is None
-        self.waiters.wake(LOG_TOPIC, COPIES_TOPIC)
+        self.leader_address, self.is_deposed, self.is_leaderless = writer, False, writer is None
+        self.waiters.notify(LOG_TOPIC, REPLICATION_TOPIC)
 
-    def commit(self, record: Record) -> int:
+    def append_entry(self, record: LogEntry) -> int:
         """Log and apply a record, at this process's term and time; its index. `LogEntryError`
         where its book turns it down, `DeposedError` where this process leads no more,
         `StateError` where the disk refuses it; nothing of it was then applied."""
         try:
-            if not self.leads:
-                raise self._deposed(f"this process does not write: it is at term {self.host.term}")
-            self.replay({**record, "term": self.host.term, "at": self.clock()})
+            if not self.is_leader:
+                raise self._deposed(f"this process does not write: it is at term {self.log_state.term}")
+            self.append_and_apply({**record, "term": self.log_state.term, "at": self.clock_us()})
         except LogEntryError:
-            self.counts.writes.labels("refused").inc()
+            self.metrics.writes.labels("refused").inc()
             raise
         except StateError:
-            self.counts.writes.labels("failed").inc()
+            self.metrics.writes.labels("failed").inc()
             raise
-        self.counts.writes.labels("done").inc()
-        self.arm()
-        return self.host.applied
+        self.metrics.writes.labels("done").inc()
+        self.schedule_due_entry()
+        return self.log_state.applied_index
 
-    def proven(self, replica: str, index: int) -> None:
+    def record_replica_position(self, replica: str, index: int) -> None:
         """A replica has shown that it holds the log up to `index`. Of members that elect
         the others' copies count alone."""
         now = time.monotonic()
         if self.election is None or self.election.polled(replica, index, now):
-            self.copies.proven(replica, index, now)
-            self.waiters.wake(COPIES_TOPIC)
+            self.replica_progress.proven(replica, index, now)
+            self.waiters.notify(REPLICATION_TOPIC)
 
-    def held(self) -> int:
+    def replicated_index(self) -> int:
         """The index up to which the replicas that have to are known to hold the log: what
         stands there outlives this process and its disk. -1 where an elected writer's own
         first record is not held yet: before that nothing is known (Raft, figure 8)."""
-        reach = self.copies.held(self.host.applied, time.monotonic())
-        return reach if reach >= self.led_from else -1
+        reach = self.replica_progress.held(self.log_state.applied_index, time.monotonic())
+        return reach if reach >= self.elected_index else -1
 
-    async def settle(self, index: int, term: int | None = None) -> None:
+    async def wait_replicated(self, index: int, term: int | None = None) -> None:
         """Returns once record `index`, of this `term` (by default the present one), is held
         by the replicas that have to hold it, at once where that is none; `UnsettledError`
         after `SETTLE_S`."""
-        term = self.host.term if term is None else term
-        if self.copies.needed and not await self.waiters.until(
-            COPIES_TOPIC, lambda: self.held() >= index or not self._leads_in(term), SETTLE_S
+        term = self.log_state.term if term is None else term
+        if self.replica_progress.needed and not await self.waiters.wait_until(
+            REPLICATION_TOPIC,
+            lambda: self.replicated_index() >= index or not self._leads_in(term),
+            REPLICATION_TIMEOUT_S,
         ):
-            kind = UnsettledError if self.election is None else MinorityError
-            raise kind(f"record {index} is not yet at {self.copies.needed} replicas")
+            kind = NotReplicatedError if self.election is None else NoMajorityError
+            raise kind(f"record {index} is not yet at {self.replica_progress.needed} replicas")
         if not self._leads_in(term):
             raise self._deposed(f"record {index} may be lost: another process leads")
 
     def _leads_in(self, term: int) -> bool:
         # The index alone names no record: a writer that was elected again has others there.
-        return self.leads and self.host.term == term
+        return self.is_leader and self.log_state.term == term
 
     def _deposed(self, what: str) -> DeposedError:
-        return DeposedError(what) if self.election is None else LeaderlessError(what)
+        return DeposedError(what) if self.election is None else NoLeaderError(what)
 
-    def write(self, record: Record) -> tuple[int, str]:
+    def append_for_response(self, record: LogEntry) -> tuple[int, str]:
         """`commit`, as an HTTP status and a body in JSON."""
         try:
-            index = self.commit(record)
+            index = self.append_entry(record)
         except LogEntryError as error:
             return 400, json.dumps(error.fields())
         except DeposedError as error:
             return 503, json.dumps(error.fields())
         except StateError as error:
             return 507, json.dumps(error.fields())
-        return 200, json.dumps({"index": index, "term": self.host.term})
+        return 200, json.dumps({"index": index, "term": self.log_state.term})
 
-    def replay(self, record: dict[str, Any]) -> None:
+    def append_and_apply(self, record: dict[str, Any]) -> None:
         """Log and apply one record as it is; LogEntryError, or StateError of the disk."""
         try:
-            changed = self.journal.append(self.host, record)
+            changed = self.journal.append(self.log_state, record)
         except OSError as error:
             LOG.error("write failed", extra={"error": str(error)})
             raise StateError(f"can't write: {error}") from None
-        self.seen = max(self.seen, self.host.term)
+        self.highest_term = max(self.highest_term, self.log_state.term)
         self._count()
-        self.waiters.wake(LOG_TOPIC, *([record.get("book", "list")] if changed else []))
+        self.waiters.notify(LOG_TOPIC, *([record.get("book", "list")] if changed else []))
         self._snapshot_now_and_then()
 
     def _snapshot_now_and_then(self) -> None:
-        if self.journal.size > max(LOG_BYTES, self.journal.snapshot_size):
+        if self.journal.log_bytes > max(MIN_SNAPSHOT_LOG_BYTES, self.journal.snapshot_bytes):
             try:
-                self.journal.snapshot(self.host)
+                self.journal.write_snapshot(self.log_state)
             except OSError as error:
                 LOG.error("snapshot failed", extra={"error": str(error)})
 
-    def arm(self) -> None:
+    def schedule_due_entry(self) -> None:
         """A timer for what comes due next in any book: that is a record too."""
-        if self.timer is not None:
-            self.timer.cancel()
-        timed = (book.due() for book in self.books.values() if isinstance(book, Timed))
+        if self.due_timer is not None:
+            self.due_timer.cancel()
+        timed = (book.next_due() for book in self.state_machines.values() if isinstance(book, TimerDriven))
         if due := min((one for one in timed if one is not None), key=lambda one: one[0], default=None):
-            delay = max(0.0, (due[0] - self.clock()) / 1e6)
-            self.timer = asyncio.get_running_loop().call_later(delay, self._due, due[1])
+            delay = max(0.0, (due[0] - self.clock_us()) / 1e6)
+            self.due_timer = asyncio.get_running_loop().call_later(delay, self._due, due[1])
 
-    def _due(self, record: Record) -> None:
-        if not self.leads:
+    def _due(self, record: LogEntry) -> None:
+        if not self.is_leader:
             return
         if self.election is not None and not self._sure(self.election):
-            self.timer = asyncio.get_running_loop().call_later(UNSURE_S, self.arm)
+            self.due_timer = asyncio.get_running_loop().call_later(QUORUM_RECHECK_S, self.schedule_due_entry)
             return
         try:
-            self.commit(record)
+            self.append_entry(record)
         except (LogEntryError, StateError) as error:
             LOG.error("what came due can't be written", extra=error.fields())
-            self.timer = asyncio.get_running_loop().call_later(AGAIN_S, self.arm)
+            self.due_timer = asyncio.get_running_loop().call_later(DUE_ENTRY_RETRY_S, self.schedule_due_entry)
 
     def _sure(self, election: Election) -> bool:
         """Whether most members followed just now: one cut off from them may be cut off from
         those that renew too, and ends no lease."""
-        return self.held() >= self.led_from and time.monotonic() - election.confirmed_at() < SURE_S
+        return (
+            self.replicated_index() >= self.elected_index
+            and time.monotonic() - election.confirmed_at() < QUORUM_CONTACT_S
+        )
 
     # --- Terms ------------------------------------------------------------------------
 
-    def hear(self, lineage: str, term: int, by: str) -> None:
+    def observe_term(self, lineage: str, term: int, by: str) -> None:
         """Somebody acts on `term`. One above this process's own, of its own log, means
         that another process was given the writer's place: this one writes no more."""
-        if lineage != self.host.lineage or term <= self.seen or not self.plausible(term, by):
+        if (
+            lineage != self.log_state.lineage
+            or term <= self.highest_term
+            or not self.is_plausible_term(term, by)
+        ):
             return
-        self.seen = term
+        self.highest_term = term
         try:
-            self.journal.see(term)
+            self.journal.write_highest_term(term)
         except OSError as error:
             LOG.error("can't keep the term heard of", extra={"error": str(error)})
-        if self.leads:
+        if self.is_leader:
             self._depose(term, by)
 
-    def plausible(self, term: int, by: str) -> bool:
+    def is_plausible_term(self, term: int, by: str) -> bool:
         """Whether writers and elections can have come to this term by now."""
-        if term < TERM_MOST and (term >> ERA_SHIFT) - (self.seen >> ERA_SHIFT) <= ERAS_MOST:
+        if term < MAX_TERM and (term >> ERA_SHIFT) - (self.highest_term >> ERA_SHIFT) <= MAX_ERA_ADVANCE:
             return True
         LOG.warning("a term that can't be", extra={"term": term, "by": by})
         return False
 
     def _depose(self, term: int, by: str) -> None:
         if self.election is not None:
-            LOG.info("a greater term was heard of", extra={"term": self.host.term, "greater": term, "by": by})
-            self.yield_to(None)
+            LOG.info(
+                "a greater term was heard of", extra={"term": self.log_state.term, "greater": term, "by": by}
+            )
+            self.follow_elected_leader(None)
             return
-        self.deposed = True
-        fields = {"term": self.host.term, "greater": term, "by": by, "remedy": DeposedError.remedy}
+        self.is_deposed = True
+        fields = {"term": self.log_state.term, "greater": term, "by": by, "remedy": DeposedError.remedy}
         LOG.error("deposed: another process writes, this one stops", extra=fields)
         self._count()
-        self.waiters.wake()
+        self.waiters.notify()
 
     # --- Following --------------------------------------------------------------------
 
-    def follow(self, writer: str) -> None:
+    def start_following(self, writer: str) -> None:
         """From now on a replica of the process there."""
-        self.writer, self.deposed = writer, False
+        self.leader_address, self.is_deposed = writer, False
         self.set_stale(True)
 
-    def install(self, host: Host) -> None:
+    def install_snapshot(self, host: ReplicatedState) -> None:
         """A replica whose log is no part of the writer's takes the writer's state whole."""
-        self.journal.install(host)
-        self.host = host
-        self.seen = max(self.seen, host.term)
+        self.journal.install_snapshot(host)
+        self.log_state = host
+        self.highest_term = max(self.highest_term, host.term)
         self._count()
-        self.waiters.wake()
+        self.waiters.notify()
 
-    def log_after(self, index: int, chain: str, lineage: str) -> dict[str, Any]:
+    def entries_or_snapshot_after(self, index: int, chain: str, lineage: str) -> dict[str, Any]:
         """What a replica lacks whose log has the running hash `chain` behind record `index`:
         records, or the state whole where that is no part of this log. LogEntryError where it
         is a replica of another log."""
-        host, tail = self.host, self.journal.tail
+        host, tail = self.log_state, self.journal.tail
         if lineage not in ("", host.lineage):
             remedy = "follow the writer of that log, or begin anew in an empty folder"
             raise LogEntryError("the replica's log is of another lineage", remedy)
-        told: dict[str, Any] = {"applied": host.applied, "lineage": host.lineage, "term": host.term}
+        told: dict[str, Any] = {"applied": host.applied_index, "lineage": host.lineage, "term": host.term}
         if tail.chain_at(index) == chain:
-            return {**told, "records": tail.after(index, RECORDS_MOST)}
-        return {**told, "snapshot": host.dump(), "marks": tail.marks()}
+            return {**told, "records": tail.entries_after(index, MAX_ENTRIES_PER_RESPONSE)}
+        return {**told, "snapshot": host.dump(), "marks": tail.chain_marks()}
 
     def set_stale(self, stale: bool) -> None:
-        if stale != self.stale:
-            self.stale = stale
+        if stale != self.is_stale:
+            self.is_stale = stale
             self._count()
-            self.waiters.wake()
+            self.waiters.notify()
 
     def _count(self) -> None:
-        self.counts.term.set(self.host.term)
-        self.counts.applied.set(self.host.applied)
-        self.counts.stale.set(self.stale)
-        self.counts.deposed.set(self.deposed)
+        self.metrics.term.set(self.log_state.term)
+        self.metrics.applied.set(self.log_state.applied_index)
+        self.metrics.stale.set(self.is_stale)
+        self.metrics.deposed.set(self.is_deposed)
--- a/woadyard/registry/book.py
+++ b/woadyard/registry/state_machine.py
@@ -11,18 +11,18 @@
 from collections.abc import Mapping
 from typing import Any, Protocol, runtime_checkable
 
-Record = Mapping[str, Any]
+LogEntry = Mapping[str, Any]
 
 
-class Book(Protocol):
+class StateMachine(Protocol):
     """One state machine of the log. Each bounds its own size and says what it drops."""
 
     name: str
 
-    def check(self, record: Record) -> None:
+    def check(self, record: LogEntry) -> None:
         """Raises `LogEntryError` where `apply` would; changes nothing."""
 
-    def apply(self, record: Record) -> bool:
+    def apply(self, record: LogEntry) -> bool:
         """Apply one record that `check` passed; True where readers see a change."""
 
     def dump(self) -> Any:
@@ -33,16 +33,16 @@
 
 
 @runtime_checkable
-class Led(Protocol):
+class LeaderChangeObserver(Protocol):
     """A book that has to know when another process begins to write, or the same one anew."""
 
-    def lead(self, term: int, at: int) -> None:
+    def begin_term(self, term: int, at: int) -> None:
         """The term `term` begins at `at` µs: leases run anew from here."""
 
 
 @runtime_checkable
-class Timed(Protocol):
+class TimerDriven(Protocol):
     """A book in which something comes due by time alone, such as a lease's end."""
 
-    def due(self) -> tuple[int, Record] | None:
+    def next_due(self) -> tuple[int, LogEntry] | None:
         """When (µs) the writer is to write which record next; None while nothing is due."""
--- a/woadyard/whatif/planner.py
+++ b/woadyard/whatif/planner.py
@@ -17,15 +17,15 @@
 
 import msgspec
 
-from woadyard.audit.ledger import AuditBook
+from woadyard.audit.ledger import AuditState
 from woadyard.audit.position import parse
 from woadyard.audit.questions import live
 from woadyard.errors import LogEntryError, StateError, TraceError, WoadyardError
-from woadyard.lists import ListBook
+from woadyard.lists import EndpointListState
 from woadyard.registry.service import Registry
 from woadyard.whatif.doors import Door, pull_all
 from woadyard.whatif.measure import measure
-from woadyard.whatif.plans import PROPOSED, ROLLING, Plan, Plans, plan_digest
+from woadyard.whatif.plans import PROPOSED, ROLLING, Plan, PlansState, plan_digest
 from woadyard.whatif.rollout import Measured, Step, members, step
 from woadyard.whatif.settings import PlansSettings, Rules
 
@@ -45,7 +45,7 @@
 
 def list_digest(registry: Registry) -> str:
     """Of the endpoints that the list names: who, where and of what kind."""
-    entries = registry.book(ListBook).entries.values()
+    entries = registry.state_machine(EndpointListState).entries.values()
     fields = ("instanceId", "lifecycle", "machineType", "zone", "cell", "weight")
     told = sorted([str(one.get(field, "")) for field in fields] for one in entries)
     return blake2b(msgspec.json.encode(told), digest_size=16).hexdigest()
@@ -53,9 +53,9 @@
 
 def acting(registry: Registry) -> dict[str, int]:
     """The plan revision that each live sidecar acts on, by the audit's ledger."""
-    if AuditBook.name not in registry.books:
+    if AuditState.name not in registry.state_machines:
         return {}
-    runs = sorted(live(registry.book(AuditBook)), key=lambda run: run.heard_at)
+    runs = sorted(live(registry.state_machine(AuditState)), key=lambda run: run.heard_at)
     return {run.name: parse(run.position).plan for run in runs if run.position}
 
 
@@ -67,14 +67,14 @@
         self.why = ""  # what the rollout waits for, for the operator
 
     @property
-    def book(self) -> Plans:
-        return self.registry.book(Plans)
+    def book(self) -> PlansState:
+        return self.registry.state_machine(PlansState)
 
     async def run(self) -> None:
         while True:
             await asyncio.sleep(self.settings.every_ms / 1000)
             plan = self.book.active
-            if not self.registry.leads or plan is None:
+            if not self.registry.is_leader or plan is None:
                 continue
             try:
                 if plan.state == PROPOSED:
@@ -102,7 +102,7 @@
         figures = told.forecast.get("figures", {})
         verdict = {
             "plan": plan_digest(plan.weights), "trace": told.trace, "list": digest,
-            "at": self.registry.clock(), "age_us": int(rules.age_s * 1e6),
+            "at": self.registry.clock_us(), "age_us": int(rules.age_s * 1e6),
             "figures": {
                 name: [figures[name][one] for one in ("value", "low", "high", "recorded")]
                 for name in SHOWN if name in figures
@@ -142,7 +142,7 @@
 
     async def _roll(self, plan: Plan) -> None:
         told, rules, measured = acting(self.registry), self.settings.rules, Measured()
-        if self.registry.clock() - plan.since >= rules.window_s * 1e6:  # before that there is too little
+        if self.registry.clock_us() - plan.since >= rules.window_s * 1e6:  # before that there is too little
             known = [name for name in members(plan, told) if name in self.doors]
             doors = {name: self.doors[name] for name in known[:MEASURED_MOST]}
             traces = await pull_all(doors, self.rng)
@@ -153,7 +153,7 @@
                 )
         if self.book.active is not plan or plan.state != ROLLING:
             return  # an operator was quicker
-        self._take(plan, step(self.registry.clock(), plan, told, measured, rules))
+        self._take(plan, step(self.registry.clock_us(), plan, told, measured, rules))
 
     def _take(self, plan: Plan, made: Step) -> None:
         if made.why != self.why:
@@ -164,4 +164,4 @@
             LOG.info("rollout goes on", extra={"revision": plan.revision, "op": made.record["op"]})
 
     def _write(self, record: dict[str, Any]) -> None:
-        self.registry.commit({"book": Plans.name, **record})
+        self.registry.append_entry({"book": PlansState.name, **record})
--- a/woadyard/whatif/plans.py
+++ b/woadyard/whatif/plans.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from woadyard.errors import LogEntryError, PlanError
-from woadyard.registry.book import Record
+from woadyard.registry.state_machine import LogEntry
 from woadyard.whatif.weights import check_weights
 
 PROPOSED, JUDGED, ROLLING = "proposed", "judged", "rolling"
@@ -73,7 +73,7 @@
     dropped: int
 
 
-class Plans:
+class PlansState:
     name = "plans"
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
 
     # --- The log --------------------------------------------------------------------
 
-    def check(self, record: Record) -> None:
+    def check(self, record: LogEntry) -> None:
         op = record.get("op")
         if op == "propose":
             self._check_proposal(record)
@@ -136,7 +136,7 @@
         if plan.state not in states:
             raise LogEntryError(f"plan {plan.revision} is {plan.state}")
 
-    def _check_proposal(self, record: Record) -> None:
+    def _check_proposal(self, record: LogEntry) -> None:
         if self.active is not None:
             what = f"plan {self.active.revision} is {self.active.state}: there is one plan at a time"
             raise LogEntryError(what, "wait for it, withdraw it, or halt it")
@@ -150,13 +150,13 @@
             raise LogEntryError("stages rise from above 0 to 1")
 
     @staticmethod
-    def _check_verdict(plan: Plan, record: Record) -> None:
+    def _check_verdict(plan: Plan, record: LogEntry) -> None:
         verdict = _judgement(record)
         if verdict.plan != plan.digest:
             raise LogEntryError("the verdict is for another plan", "have this plan judged")
 
     @staticmethod
-    def _check_gate(plan: Plan, record: Record) -> None:
+    def _check_gate(plan: Plan, record: LogEntry) -> None:
         """The gate."""
         if plan.forced:
             return
@@ -170,7 +170,7 @@
         if int(record.get("at", 0)) - verdict.at > verdict.age_us:
             raise LogEntryError("the verdict is too old", remedy)
 
-    def apply(self, record: Record) -> bool:
+    def apply(self, record: LogEntry) -> bool:
         op = record["op"]
         if op == "propose":
             weights = check_weights(record["weights"])
@@ -203,7 +203,7 @@
                 self._close(plan, WITHDRAWN, record)
         return True
 
-    def _close(self, plan: Plan, state: str, record: Record) -> None:
+    def _close(self, plan: Plan, state: str, record: LogEntry) -> None:
         plan.state, plan.why = state, str(record.get("reason", ""))[:1000]
         plan.errors = {str(k): float(v) for k, v in dict(record.get("errors") or {}).items()}
         if state != WITHDRAWN and plan.errors:
@@ -247,14 +247,14 @@
     return blake2b(raw, digest_size=16).hexdigest()
 
 
-def _cut(record: Record) -> int:
+def _cut(record: LogEntry) -> int:
     cut = record.get("cut")
     if type(cut) is not int or not 0 <= cut <= SPOTS:
         raise LogEntryError(f"no cut of the sidecars: {cut!r}")
     return cut
 
 
-def _judgement(record: Record) -> Judgement:
+def _judgement(record: LogEntry) -> Judgement:
     try:
         return msgspec.convert(record.get("verdict"), Judgement)
     except msgspec.ValidationError as error:
--- a/woadyard/whatif/service.py
+++ b/woadyard/whatif/service.py
@@ -18,10 +18,10 @@
 
 from woadyard.audit.service import audit_of
 from woadyard.errors import LogEntryError
-from woadyard.registry.answers import Handler, answer, at_writer, body
+from woadyard.registry.responses import Handler, json_response, leader_only, read_body
 from woadyard.registry.service import Registry
 from woadyard.whatif.planner import acting, list_digest
-from woadyard.whatif.plans import Plans, cut_for
+from woadyard.whatif.plans import PlansState, cut_for
 from woadyard.whatif.settings import Rules
 
 PATH = "/registry/plans"
@@ -38,13 +38,15 @@
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    def book() -> Plans:
-        return registry.book(Plans)
+    def book() -> PlansState:
+        return registry.state_machine(PlansState)
 
     def write(record: dict[str, Any]) -> web.Response:
-        registry.commit({"book": Plans.name, **record})
+        registry.append_entry({"book": PlansState.name, **record})
         active = book().active
-        return answer({"revision": active.revision if active else None, "force": book().force.revision})
+        return json_response(
+            {"revision": active.revision if active else None, "force": book().force.revision}
+        )
 
     def revision(request: web.Request) -> int:
         raw = request.match_info["revision"]
@@ -53,10 +55,10 @@
         return int(raw)
 
     async def told(request: web.Request) -> web.StreamResponse:
-        return answer(book().dump())
+        return json_response(book().dump())
 
     async def propose(request: web.Request) -> web.StreamResponse:
-        asked = await body(request, Proposal)
+        asked = await read_body(request, Proposal)
         return write({"op": "propose", **msgspec.to_builtins(asked)})
 
     async def go(request: web.Request) -> web.StreamResponse:
@@ -68,14 +70,14 @@
 
     def plain(op: str) -> Handler:
         async def handle(request: web.Request) -> web.StreamResponse:
-            asked = await body(request, Reason) if request.can_read_body else Reason()
+            asked = await read_body(request, Reason) if request.can_read_body else Reason()
             return write({"op": op, "revision": revision(request), "reason": asked.reason})
 
         return handle
 
     audit_of(registry).watchman.directives["plan"] = lambda sidecar: book().directive(sidecar)
-    found = [web.get(PATH, told), web.post(PATH, at_writer(registry, propose))]
-    found.append(web.post(PATH + "/{revision}/go", at_writer(registry, go)))
+    found = [web.get(PATH, told), web.post(PATH, leader_only(registry, propose))]
+    found.append(web.post(PATH + "/{revision}/go", leader_only(registry, go)))
     for op in ("again", "force", "halt", "withdraw"):
-        found.append(web.post(f"{PATH}/{{revision}}/{op}", at_writer(registry, plain(op))))
+        found.append(web.post(f"{PATH}/{{revision}}/{op}", leader_only(registry, plain(op))))
     return found
