--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -14,7 +14,7 @@
 from tests.sockets import run_test
 from tests.test_registry import ENTRY, Watcher, ask, register, service
 from tests.test_replicas import caught_up, end, replica, until
-from woadyard.lists.service import PATH
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 from woadyard.net.list_version import (
     KEEP,
@@ -75,7 +75,9 @@
         discarded = await next_log_event(first, "records thrown away, the writer's state taken whole")
         assert (discarded["records"], discarded["lost"], discarded["new_term"]) == (1, ["x-2"], y_2["term"])
         received = await until(ports[0], caught_up(2))
-        assert instance_ids(received) == ["x-1", "y-2"] and received == (await ask(ports[1], "GET", PATH))[1]
+        assert (
+            instance_ids(received) == ["x-1", "y-2"] and received == (await ask(ports[1], "GET", INSTANCES_PATH))[1]
+        )
         await end(first, second)
 
     run_test(main())
@@ -91,7 +93,7 @@
         status, text = await register(ports[0], "x-2")
         assert status == 307 and json.loads(text)["writer"] == f"127.0.0.1:{ports[1]}"
         client, received = RegistryClient(f"127.0.0.1:{ports[0]}", Random(1)), list[Any]()
-        assert await client.write("PUT", f"{PATH}/y-2?ttl_ms=60000", ENTRY, received.append), (
+        assert await client.write("PUT", f"{INSTANCES_PATH}/y-2?ttl_ms=60000", ENTRY, received.append), (
             "redirected within one call"
         )
         assert client.leader == ("127.0.0.1", ports[1]) and client.latest_term is not None
@@ -116,19 +118,19 @@
         process = await service(tmp_path, port)
         _, received = await register(port, "s-0")
         greater_term = f"{received['lineage']}:{received['term'] + (1 << 24)}"
-        status, _ = await ask(port, "GET", PATH, headers=f"X-Term: {greater_term}\r\n")
+        status, _ = await ask(port, "GET", INSTANCES_PATH, headers=f"X-Term: {greater_term}\r\n")
         assert status == 200 and (await register(port, "s-1"))[0] == 503
         await end(process)
         process = await service(tmp_path, port)
         assert (await register(port, "s-1"))[0] == 503
-        assert (await ask(port, "GET", PATH))[1]["following"] is False, (
+        assert (await ask(port, "GET", INSTANCES_PATH))[1]["following"] is False, (
             "reads are still served, and report that it doesn't follow"
         )
         await end(process)
         process = await service(tmp_path, port, "--take-over")
         assert (await register(port, "s-1"))[0] == 200
         for bogus_term in (f"{'0' * 16}:{1 << 50}", f"{received['lineage']}:{(1 << 52) - 1}", "x"):
-            await ask(port, "GET", PATH, headers=f"X-Term: {bogus_term}\r\n")
+            await ask(port, "GET", INSTANCES_PATH, headers=f"X-Term: {bogus_term}\r\n")
         assert (await register(port, "s-2"))[0] == 200, (
             "a foreign, implausible or malformed term deposes nobody"
         )
@@ -148,7 +150,7 @@
         answered = [n for n in range(20) if (await register(ports[0], f"s-{n}"))[0] == 200]
         await end(writer, second)
         second = await service(tmp_path / "b", ports[1])
-        kept = instance_ids((await ask(ports[1], "GET", PATH))[1])
+        kept = instance_ids((await ask(ports[1], "GET", INSTANCES_PATH))[1])
         assert len(answered) > 15 and {f"s-{n}" for n in answered} <= set(kept)
         await end(second)
 
