--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -160,7 +160,9 @@
         ):
             await asyncio.sleep(client.backoff.next_delay_s())
         tasks.append(
-            asyncio.create_task(client.write_periodically(0.5, lambda: ("POST", f"{INSTANCES_PATH}/leased/renew", {})))
+            asyncio.create_task(
+                client.write_periodically(0.5, lambda: ("POST", f"{INSTANCES_PATH}/leased/renew", {}))
+            )
         )
         watchers = [Watcher(service.ports, seed) for seed in range(size)]
         while not all("leased" in one.told for one in watchers):
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -114,7 +114,9 @@
 def renewing(members: Members, name: str) -> asyncio.Task[None]:
     """A lease kept as an endpoint keeps it: renewed at whoever writes."""
     writer = RegistryClient(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
-    return asyncio.create_task(writer.write_periodically(0.5, lambda: ("POST", f"{INSTANCES_PATH}/{name}/renew", {})))
+    return asyncio.create_task(
+        writer.write_periodically(0.5, lambda: ("POST", f"{INSTANCES_PATH}/{name}/renew", {}))
+    )
 
 
 async def test_a_killed_writer_is_replaced_and_nothing_answered_nor_leased_is_lost(lab: Lab) -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -76,7 +76,8 @@
         assert (discarded["records"], discarded["lost"], discarded["new_term"]) == (1, ["x-2"], y_2["term"])
         received = await until(ports[0], caught_up(2))
         assert (
-            instance_ids(received) == ["x-1", "y-2"] and received == (await ask(ports[1], "GET", INSTANCES_PATH))[1]
+            instance_ids(received) == ["x-1", "y-2"]
+            and received == (await ask(ports[1], "GET", INSTANCES_PATH))[1]
         )
         await end(first, second)
 
