--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -54,7 +54,7 @@
     def pull(self, now: int, who: int, peer: int) -> None:
         mine, theirs = self.stores[who], self.stores[peer]
         rows = theirs.missing_entries(now, dict(mine.vector), MAX_RESPONSE_BYTES)
-        self.bytes += len(json.dumps({"from": mine.origin, "vector": mine.vector}))
+        self.bytes += len(json.dumps({"from": mine.own_origin, "vector": mine.vector}))
         self.bytes += len(json.dumps({"entries": rows}, separators=(",", ":")))
         mine.merge(now, rows, TRIP_US, self.known)
 
@@ -77,7 +77,7 @@
     times = HdrHistogram(1, 600_000_000, 3)
     for seed in range(runs):
         fleet = Pure(size, random.Random(seed), names)
-        first, waiting = fleet.stores[0].origin, set(range(1, size))
+        first, waiting = fleet.stores[0].own_origin, set(range(1, size))
         fleet.stores[0].publish(0, VERDICT, "1", EJECTED)
         while waiting:
             now = fleet.step()
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -57,9 +57,9 @@
     tally: Tally
     first_sent: dict[int, float]
 
-    async def _send_report(self, within_s: float, final: bool = False) -> bool:
+    async def _send_report(self, report_timeout_s: float, final: bool = False) -> bool:
         began = self.first_sent[self.spans.n + 1] = time.monotonic()
-        done = await super()._send_report(within_s, final)
+        done = await super()._send_report(report_timeout_s, final)
         self.tally.sent += 1
         if done:
             self.tally.calls_s.append(round(time.monotonic() - began, 5))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -96,7 +96,7 @@
     registry = await lab.service()
     await list_peer(lab, registry, "n9@1", (await lab.endpoint(lies)).port)
     one, _, gossip = await sharing(lab, "n0", registry, [*(await known(lab, "bad1")).values()])
-    await one.said("a peer's telling refused", peer="n9@1", level="WARNING")
+    await one.said("gossip response rejected", peer="n9@1", level="WARNING")
     await one.shows("woadyard_endpoints_lowered 0.0")
     back = await lab.call(gossip, "POST", "/_gossip", {"from": "n9@1", "vector": {"n9@1": -1}})
     assert back.status == 400
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -41,8 +41,8 @@
     def writes(self, who: int, key: str, value: str | None) -> None:
         store = self.stores[who]
         store.publish(self.clock(who), VERDICT, key, value)
-        self.written[store.origin, key] = (value, self.now)
-        self.when[store.origin, store.vector[store.origin]] = self.now
+        self.written[store.own_origin, key] = (value, self.now)
+        self.when[store.own_origin, store.vector[store.own_origin]] = self.now
 
     @rule(
         who=WHO,
@@ -100,7 +100,7 @@
         assert all(view == views[0] for view in views)
         for who, store in enumerate(self.stores):
             for (origin, key), (value, at) in self.written.items():
-                if origin == store.origin and value is not None and self.now - at <= BOUND:
+                if origin == store.own_origin and value is not None and self.now - at <= BOUND:
                     assert views[who][origin, key] == value
 
 
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -174,10 +174,12 @@
             driver.longest_deadline_us,
             driver.apply_limits,
         )
-        budget = LimitShares(loop, config.shared, gossip.store.origin, hooks, rng)
+        budget = LimitShares(loop, config.shared, gossip.store.own_origin, hooks, rng)
         shared_state.announce_limits = budget.announce_caps
         budget.open()
-    LOG.info("sharing state", extra={"as": gossip.store.origin, "port": port, "peers": config.shared.peers})
+    LOG.info(
+        "sharing state", extra={"as": gossip.store.own_origin, "port": port, "peers": config.shared.peers}
+    )
     return gossip
 
 
--- a/woadyard/net/experiment_counts.py
+++ b/woadyard/net/experiment_counts.py
@@ -1,7 +1,7 @@
-"""The sidecar's counts for an experiment: by assigned arm, class and time. Pure, times in µs.
+"""Counts a sidecar's requests for an experiment by assigned arm, request class and time slot.
 
-Sums grow and are told again until the service has them for good, so that no loss, repetition or
-order of reports changes what is counted.
+The counts are cumulative and are sent again until the service has acknowledged them as durable, so
+that lost, repeated or reordered reports do not change the totals. Pure: no I/O; times are in µs.
 """
 
 from __future__ import annotations
@@ -15,15 +15,18 @@
 from woadyard.experiment.messages import ROWS_MOST, Directive, Evidence, Row
 from woadyard.interface import Arrival, Outcome, Send, Settings
 
-FAILED_STATUS = 500  # this status and those above
-# The arm (its index) that a request is assigned to, as the module draws it; None: none.
+FAILED_STATUS = 500  # this status and above count as failures
+# Returns the index of the arm that the policy module assigns to a request; None if there is none.
 AssignArm = Callable[[Arrival], int | None]
 ListCallback = Callable[[int, list[dict[str, Any]]], None]
 
 
 @dataclass(slots=True)
 class SlotCounts:
-    """Sums of one arm, class and slot. `told` is the first report with the present ones, 0: none."""
+    """Counts of one arm, request class and time slot.
+
+    `first_report` is the number of the first report with the current counts, 0 if there is none yet.
+    """
 
     number: int
     revision: int
@@ -44,65 +47,69 @@
 
 
 class ExperimentCounts:
-    """An observer of the driver. `report` is called once for each report of the audit, which are
-    numbered from 1, and `acked` with the numbers that the service has for good."""
+    """Observer of the driver that counts requests by arm.
+
+    `report` is called once for each audit report, which are numbered from 1, and
+    `reports_acknowledged` with the numbers of the reports that the service has made durable.
+    """
 
     def __init__(
         self, assign_arm: AssignArm, zone: str = "", on_list_applied: ListCallback = lambda mode, raw: None
     ) -> None:
         self.assign_arm, self.zone, self.on_list_applied = assign_arm, zone, on_list_applied
-        self.directive: Directive | None = None  # None: nothing is counted
+        self.directive: Directive | None = None  # None: counting is off
         self.settings: Settings | None = None
         self.slot_counts: dict[tuple[int, int, int, int], SlotCounts] = {}  # by revision, slot, arm, class
-        self.open_requests: dict[int, tuple[tuple[int, int, int, int], int]] = {}  # by request: cell, since
+        # Slot key and time of arrival by request.
+        self.open_requests: dict[int, tuple[tuple[int, int, int, int], int]] = {}
         self.report_number = self.last_slot_number = self.dropped = 0
 
     def set_directive(self, directive: Directive | None) -> None:
-        """From now on requests are counted by this one; those under way stay with theirs."""
-        counts = directive is not None and directive.arms and directive.serve is None
-        self.directive = directive if counts else None
+        """Count new requests under this directive; those in flight stay with theirs."""
+        is_counted = directive is not None and directive.arms and directive.serve is None
+        self.directive = directive if is_counted else None
 
-    # --- What the driver tells --------------------------------------------------------
+    # --- Events from the driver -------------------------------------------------------
 
     def request_accepted(self, now: int, event: Arrival) -> None:
-        told = self.directive
-        if told is None or (arm := self.assign_arm(event)) is None:
+        directive = self.directive
+        if directive is None or (arm := self.assign_arm(event)) is None:
             return
-        key = told.revision, now // (told.slot_ms * 1000), arm, event.cls
-        cell = self._find_or_add_slot(key, told)
-        if cell is None:
+        key = directive.revision, now // (directive.slot_ms * 1000), arm, event.cls
+        counts = self._find_or_add_slot(key, directive)
+        if counts is None:
             self.dropped += 1
             return
-        cell.assigned += 1
-        cell.first_report = 0
+        counts.assigned += 1
+        counts.first_report = 0
         self.open_requests[event.request] = key, now
 
     def request_answered(self, now: int, request: int, status: int) -> None:
-        found = self.open_requests.pop(request, None)
-        if found is None or self.settings is None:
+        open_request = self.open_requests.pop(request, None)
+        if open_request is None or self.settings is None:
             return
-        key, since = found
-        cell = self.slot_counts.get(key)
-        if cell is None:
-            return  # its directive is long gone
+        key, arrived_us = open_request
+        counts = self.slot_counts.get(key)
+        if counts is None:
+            return  # the slot was removed
         aim_us = self.settings.classes[key[3]].aim_us
-        failed, slow = status >= FAILED_STATUS, now - since > aim_us
-        cell.completed += 1
-        cell.good += not failed and not slow and status != 0
-        cell.failed += failed
-        cell.slow += slow
-        cell.first_report = 0
-
-    def _find_or_add_slot(self, key: tuple[int, int, int, int], told: Directive) -> SlotCounts | None:
-        cell = self.slot_counts.get(key)
-        if cell is None and len(self.slot_counts) < ROWS_MOST:
+        failed, slow = status >= FAILED_STATUS, now - arrived_us > aim_us
+        counts.completed += 1
+        counts.good += not failed and not slow and status != 0
+        counts.failed += failed
+        counts.slow += slow
+        counts.first_report = 0
+
+    def _find_or_add_slot(self, key: tuple[int, int, int, int], directive: Directive) -> SlotCounts | None:
+        counts = self.slot_counts.get(key)
+        if counts is None and len(self.slot_counts) < ROWS_MOST:
             self.last_slot_number += 1
             cls = str(key[3])
-            began = key[1] * told.slot_ms * 1000
-            cell = self.slot_counts[key] = SlotCounts(
-                self.last_slot_number, told.revision, began, told.arms[key[2]].name, cls
+            started_us = key[1] * directive.slot_ms * 1000
+            counts = self.slot_counts[key] = SlotCounts(
+                self.last_slot_number, directive.revision, started_us, directive.arms[key[2]].name, cls
             )
-        return cell
+        return counts
 
     def attempt_started(self, now: int, action: Send) -> bytes:
         return b""
@@ -122,22 +129,22 @@
     # --- Reports ----------------------------------------------------------------------
 
     def report(self, now: int) -> dict[str, Any] | None:
-        """What goes with the next report; None where there is nothing to tell."""
+        """Return the evidence for the next report; None if nothing was counted."""
         self.report_number += 1
         if not self.slot_counts:
             return None
-        for cell in self.slot_counts.values():
-            cell.first_report = cell.first_report or self.report_number
-        rows = [cell.row(now) for cell in self.slot_counts.values()]
-        told = Evidence(min(row.k for row in rows), rows, self.zone, self.dropped)
-        raw: dict[str, Any] = msgspec.to_builtins(told)
+        for counts in self.slot_counts.values():
+            counts.first_report = counts.first_report or self.report_number
+        rows = [counts.row(now) for counts in self.slot_counts.values()]
+        evidence = Evidence(min(row.k for row in rows), rows, self.zone, self.dropped)
+        raw: dict[str, Any] = msgspec.to_builtins(evidence)
         return raw
 
     def reports_acknowledged(self, numbers: Collection[int]) -> None:
-        """Cells that are over, all of them with the service for good, go."""
+        """Remove the slots that have ended and whose final counts the service has made durable."""
         latest = max(numbers, default=0)
         busy = {key for key, _ in self.open_requests.values()}
         newest = max((key[1] for key in self.slot_counts), default=0)
-        for key, cell in list(self.slot_counts.items()):
-            if 0 < cell.first_report <= latest and key not in busy and key[1] < newest:
+        for key, counts in list(self.slot_counts.items()):
+            if 0 < counts.first_report <= latest and key not in busy and key[1] < newest:
                 del self.slot_counts[key]
--- a/woadyard/net/experiment_participant.py
+++ b/woadyard/net/experiment_participant.py
@@ -1,8 +1,8 @@
-"""What a sidecar does of an experiment: follows its directive, and holds when cut off.
+"""A sidecar's part in an experiment: applies the directive, and holds when cut off from the service.
 
-Pure: times are the caller's µs. With no word of the service for the directive's `hold_ms` it sends
-all to the control arm and counts nothing, by itself, until it is told again: a decision may have
-been made that it can't know of.
+Without a response from the service for the directive's `hold_ms` it sends all requests to the
+control arm and counts none of them, until it receives a directive again: the experiment may have been
+decided in the meantime. Pure: times are µs of the caller's clock.
 """
 
 from __future__ import annotations
@@ -15,43 +15,46 @@
 from woadyard.experiment.messages import Directive, read_directive
 from woadyard.net.experiment_counts import ExperimentCounts
 
-# Puts the arms in force by which the module chooses from now on; None: no experiment.
+# Puts a directive in force in the policy module; None ends the experiment.
 ApplySplit = Callable[[Directive | None], None]
 
 
 class ExperimentParticipant:
-    """`revision` is the one acted on; 0 with none, and while it holds."""
+    """Applies the directives of experiments; `revision` is the one in force, 0 with none and on hold."""
 
-    def __init__(self, counts: ExperimentCounts, split: ApplySplit, now: int) -> None:
-        self.counts, self.apply_split = counts, split
+    def __init__(self, counts: ExperimentCounts, apply_split: ApplySplit, now: int) -> None:
+        self.counts, self.apply_split = counts, apply_split
         self.directive: Directive | None = None
         self.revision = 0
         self.last_response_us = now
-        self.on_hold: Callable[[], None] = lambda: None  # it begins to hold
+        self.on_hold: Callable[[], None] = lambda: None  # called when the hold begins
 
     def apply_directive(self, raw: Any, now: int) -> int:
-        """A directive of the service; PeerError, and nothing changed, where it is none."""
-        told = read_directive(raw)
+        """Put a directive of the service in force and return its revision.
+
+        Raises PeerError, with nothing changed, if it is invalid.
+        """
+        directive = read_directive(raw)
         self.last_response_us = now
-        self.directive = told if told.arms else None
+        self.directive = directive if directive.arms else None
         self._apply(self.directive)
-        self.revision = told.revision
+        self.revision = directive.revision
         return self.revision
 
     def service_responded(self, now: int) -> None:
-        """The service answered."""
+        """Record a response of the service, which postpones the hold."""
         self.last_response_us = now
 
     def hold_deadline_us(self) -> int | None:
-        """When it holds if nothing is heard; None where there is nothing to hold."""
+        """Return when the hold begins without a further response; None if there is nothing to hold."""
         if self.directive is None or not self.revision:
             return None
         return self.last_response_us + self.directive.hold_ms * 1000
 
     def hold_if_overdue(self, now: int) -> bool:
-        """True where it begins to hold now."""
-        due = self.hold_deadline_us()
-        if due is None or now < due or self.directive is None:
+        """Begin to hold if the deadline has passed; True if the hold begins now."""
+        deadline_us = self.hold_deadline_us()
+        if deadline_us is None or now < deadline_us or self.directive is None:
             return False
         self._apply(msgspec.structs.replace(self.directive, serve=self.directive.control))
         self.revision = 0
--- a/woadyard/net/limit_shares.py
+++ b/woadyard/net/limit_shares.py
@@ -1,9 +1,9 @@
-"""Holds this process's shares of the limits on endpoints: asks, renews, tells the module.
+"""Leases this process's shares of the endpoint limits, renews them, and passes the caps to the policy module.
 
-Without a lease (the service down for longer than it, or not yet asked) each
-endpoint may have `limit_floor` attempts out from here: with a floor above 0 a
-fleet without its list service goes on, and may pass the limit by that much for
-each sidecar that is cut off.
+Without a lease (before the first grant, or when the service is down for longer than the
+lease lasts) this process may have `limit_floor` attempts in flight at each endpoint. With a
+floor above 0 a fleet without its list service keeps serving, and may exceed the limit by
+that much for each sidecar that is cut off.
 """
 
 from __future__ import annotations
@@ -27,15 +27,17 @@
 
 @dataclass(frozen=True)
 class LimitHooks:
-    """What the budget asks of the balancing, and tells it; all on its loop."""
+    """Callbacks into the load balancer; all are called on its event loop."""
 
-    preferred_endpoints: Callable[[], list[int]]  # endpoints that this process sends to
-    in_flight_counts: Callable[[], dict[int, int]]  # attempts out by now
-    longest_deadline_us: Callable[[], int]  # what is started may run for so long
-    apply_limits: Callable[[dict[int, int], int], None]  # caps by endpoint, and the others' cap
+    preferred_endpoints: Callable[[], list[int]]  # that this process sends to
+    in_flight_counts: Callable[[], dict[int, int]]  # attempts by endpoint
+    longest_deadline_us: Callable[[], int]  # the longest time that an attempt started now may run
+    apply_limits: Callable[[dict[int, int], int], None]  # caps by endpoint, and the cap of all others
 
 
 class LimitShares:
+    """Holds and renews the lease of this process's shares; `holder` names the process at the list service."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -60,7 +62,7 @@
         )
 
     def announce_caps(self) -> None:
-        """The module's caps by now; again after each list, as endpoints come."""
+        """Pass the current caps to the policy module; repeated after each list, which may add endpoints."""
         caps = {int(key): cap for key, cap in self.lease.usable_caps(_now_us()).items()}
         floor = self.settings.limit_floor
         self.hooks.apply_limits({number: max(floor, cap) for number, cap in caps.items()}, floor)
@@ -68,16 +70,16 @@
     def _build_renewal(self) -> tuple[str, str, dict[str, Any]]:
         self.requested_us = _now_us()
         self.lease.margin_us = self.hooks.longest_deadline_us()
-        used = {str(number): count for number, count in self.hooks.in_flight_counts().items()}
-        seq, keeps = self.lease.next_request(self.requested_us, used)
+        in_flight = {str(number): count for number, count in self.hooks.in_flight_counts().items()}
+        seq, keeps = self.lease.next_request(self.requested_us, in_flight)
         target = f"{SHARES_PATH}{quote(self.holder, safe='')}?ttl_ms={self.settings.lease_s * 1e3:.0f}"
-        of = [str(number) for number in self.hooks.preferred_endpoints()]
-        return "POST", target, {"seq": seq, "limit": self.settings.limit, "of": of, "keeps": keeps}
+        endpoints = [str(number) for number in self.hooks.preferred_endpoints()]
+        return "POST", target, {"seq": seq, "limit": self.settings.limit, "of": endpoints, "keeps": keeps}
 
-    def _apply_grants(self, told: dict[str, Any]) -> None:
-        grants = {str(int(key)): int(count) for key, count in told["grants"].items()}
+    def _apply_grants(self, response: dict[str, Any]) -> None:
+        grants = {str(int(key)): int(count) for key, count in response["grants"].items()}
         if not self.lease.caps and grants:
-            LOG.info("shares held", extra={"of": len(grants), "limit": self.settings.limit})
+            LOG.info("limit shares granted", extra={"of": len(grants), "limit": self.settings.limit})
         self.lease.apply_grants(self.requested_us, int(self.settings.lease_s * 1e6), grants)
         self.announce_caps()
         if self.expiry_timer is not None:
--- a/woadyard/net/planned_weights.py
+++ b/woadyard/net/planned_weights.py
@@ -1,4 +1,4 @@
-"""A plan's weights at the sidecar: resolved for each list anew, and told to the driver."""
+"""Weights of a rollout plan: resolved against each list again, and passed to the driver."""
 
 from __future__ import annotations
 
@@ -17,47 +17,54 @@
 
 
 class PlanDirective(msgspec.Struct):
-    """What is to be acted on; no weights: all endpoints alike."""
+    """The plan to apply; without weights all endpoints have the same one."""
 
     revision: Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
     weights: dict[str, float] = {}
 
 
 class PlannedWeights:
-    """Hears of lists and directives. `weigh` takes factors by instance id; `told` hears which
-    revision is in use with which weights."""
+    """Applies the plan in force to the current list.
 
-    def __init__(self, weigh: Callable[[Mapping[str, float]], None], told: RevisionListener) -> None:
-        self.set_factors, self.on_revision_changed = weigh, told
+    `set_factors` takes factors by instance id; `on_revision_changed` takes the revision now in
+    force and its weights.
+    """
+
+    def __init__(
+        self, set_factors: Callable[[Mapping[str, float]], None], on_revision_changed: RevisionListener
+    ) -> None:
+        self.set_factors, self.on_revision_changed = set_factors, on_revision_changed
         self.revision = 0
         self.weights: dict[str, float] = {}
         self.entries: dict[str, tuple[str, str, str]] = {}
 
-    def apply_directive(self, directive: Any) -> int:
-        """A directive of the list service; the revision acted on from now on. PeerError where it is
-        none, and nothing of it is used."""
+    def apply_directive(self, raw: Any) -> int:
+        """Apply a directive of the list service and return the revision in force.
+
+        Raises PeerError, with nothing changed, if it is invalid.
+        """
         try:
-            told = msgspec.convert(directive, PlanDirective)
-            weights = check_weights(told.weights) if told.weights else {}
+            directive = msgspec.convert(raw, PlanDirective)
+            weights = check_weights(directive.weights) if directive.weights else {}
         except (msgspec.ValidationError, PlanError) as error:
-            raise PeerError(f"no plan: {error}") from None
-        if told.revision != self.revision:
-            self.revision, self.weights = told.revision, weights
+            raise PeerError(f"invalid plan directive: {error}") from None
+        if directive.revision != self.revision:
+            self.revision, self.weights = directive.revision, weights
             self._apply()
-            LOG.info("plan in use", extra={"revision": told.revision, "weights": len(weights)})
-            self.on_revision_changed(told.revision, weights)
+            LOG.info("plan applied", extra={"revision": directive.revision, "weights": len(weights)})
+            self.on_revision_changed(directive.revision, weights)
         return self.revision
 
     def list_applied(self, mode: int, raw: list[dict[str, Any]]) -> None:
-        """A list was put to use."""
+        """Resolve the weights against a new list."""
         if mode == LIST_FAILED:
             return
         if mode != LIST_DELTA:
             self.entries = {}
-        for one in raw:
-            name = str(one["instanceId"])
-            self.entries[name] = name, str(one.get("machineType", "")), str(one.get("zone", ""))
-            if one.get("lifecycle") == "gone":
+        for entry in raw:
+            name = str(entry["instanceId"])
+            self.entries[name] = name, str(entry.get("machineType", "")), str(entry.get("zone", ""))
+            if entry.get("lifecycle") == "gone":
                 del self.entries[name]
         if self.weights:
             self._apply()
--- a/woadyard/net/recorder.py
+++ b/woadyard/net/recorder.py
@@ -1,7 +1,7 @@
-"""Records what the driver sees, whole requests in a bounded ring; the door serves it in pieces.
+"""Records the driver's requests and state changes in a bounded ring, which the admin listener serves.
 
-Off without `record` in the configuration. The hot path only fills one small record a request;
-they are encoded together, and never past the bound of memory.
+Off without `record` in the configuration. The hot path only fills one small record per request;
+records are encoded in batches, and memory stays within the configured bound.
 """
 
 from __future__ import annotations
@@ -20,22 +20,21 @@
 from woadyard.whatif.ring import Ring
 from woadyard.whatif.trace import OUT, Asked, Listed, Record, Retuned, Started, State, Tried, Weighed
 
-# Requests encoded together; what a request under way takes in memory, and its part of the bound.
-BATCH_SIZE = 32
-BYTES_PER_OPEN_REQUEST = 1024
-OPEN_REQUESTS_DIVISOR = 4
+BATCH_SIZE = 32  # requests encoded together
+BYTES_PER_OPEN_REQUEST = 1024  # memory of a request in flight
+OPEN_REQUESTS_DIVISOR = 4  # requests in flight may take this fraction of the memory bound
 HASH_RANGE = 1 << 64
 
 
 class RecordSettings(msgspec.Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
-    """The file's `record`: memory that the recording may take, and the share of requests kept."""
+    """The configuration's `record`: the memory bound of the recording, and the share of requests kept."""
 
     memory_kb: Annotated[int, msgspec.Meta(ge=64, le=1 << 20)] = 4096
     sample: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 1.0
 
 
 def read_record(raw: Any) -> RecordSettings | None:
-    """The file's `record`; None without it, ConfigError where it is none."""
+    """Read the configuration's `record`; None if it is absent, ConfigError if it is invalid."""
     if raw is None:
         return None
     try:
@@ -44,90 +43,95 @@
         raise ConfigError(f"record: {error}") from None
 
 
-def has_no_attempt_in_flight(asked: Asked) -> bool:
-    """Whether no attempt of it is out."""
-    return OUT not in [one.outcome for one in asked.tries]
+def has_no_attempt_in_flight(request_record: Asked) -> bool:
+    """Return whether every attempt of the request has its outcome."""
+    return OUT not in [attempt.outcome for attempt in request_record.tries]
 
 
 class Recorder:
-    """An `Observer`. The ring is read on the door's thread, so it is held by a lock; the loop
-    takes that once a request."""
+    """Observer of the driver that records its events.
+
+    The ring is read on the admin listener's thread, so a lock guards it; the event loop takes
+    the lock once per request.
+    """
 
     def __init__(self, settings: RecordSettings, sidecar: str, seed: int, now: int) -> None:
-        bound = settings.memory_kb * 1024
-        self.max_open_requests = max(BATCH_SIZE, bound // OPEN_REQUESTS_DIVISOR // BYTES_PER_OPEN_REQUEST)
-        self.ring = Ring(bound - self.max_open_requests * BYTES_PER_OPEN_REQUEST)
+        memory_bytes = settings.memory_kb * 1024
+        self.max_open_requests = max(
+            BATCH_SIZE, memory_bytes // OPEN_REQUESTS_DIVISOR // BYTES_PER_OPEN_REQUEST
+        )
+        self.ring = Ring(memory_bytes - self.max_open_requests * BYTES_PER_OPEN_REQUEST)
         self.sample_threshold = int(settings.sample * HASH_RANGE)
         self.incarnation = uuid.uuid4().hex
         self.open_requests: dict[int, Asked] = {}
         self.batch: list[Record] = []
         self.lock = threading.Lock()
-        self.skipped = 0  # requests that found no room while they were under way
+        self.skipped = 0  # requests not recorded, as too many were in flight
         wall_us = time.time_ns() // 1000
         self._add_state_record(Started(sidecar, self.incarnation, seed, now, wall_us, settings.sample))
 
-    # --- What the driver tells ----------------------------------------------------
+    # --- Events from the driver ---------------------------------------------------
 
     def request_accepted(self, now: int, event: Arrival) -> None:
-        rid = event.request
-        if self.sample_threshold < HASH_RANGE and splitmix64(rid) >= self.sample_threshold:
+        request_id = event.request
+        if self.sample_threshold < HASH_RANGE and splitmix64(request_id) >= self.sample_threshold:
             return
         if len(self.open_requests) >= self.max_open_requests:
             self.skipped += 1
             return
-        self.open_requests[rid] = Asked(
-            now, rid, event.cls, event.expires, event.tenant, event.key, event.work_us, event.repeated,
+        self.open_requests[request_id] = Asked(
+            now, request_id, event.cls, event.expires, event.tenant, event.key, event.work_us, event.repeated,
             event.home, [],
         )  # fmt: skip
 
     def attempt_started(self, now: int, action: Send) -> bytes:
-        if (asked := self.open_requests.get(action.request)) is not None:
-            asked.tries.append(Tried(now, action.endpoint))
+        if (request_record := self.open_requests.get(action.request)) is not None:
+            request_record.tries.append(Tried(now, action.endpoint))
         return b""
 
     def attempt_ended(self, now: int, event: Outcome) -> None:
-        asked = self.open_requests.get(event.request)
-        if asked is None or event.copy >= len(asked.tries):
+        request_record = self.open_requests.get(event.request)
+        if request_record is None or event.copy >= len(request_record.tries):
             return
-        tried = asked.tries[event.copy]
-        tried.outcome, tried.delay, tried.report = event.outcome, event.delay_us, event.report
-        if asked.status != OUT and has_no_attempt_in_flight(asked):
-            self._complete_request(asked)
+        attempt = request_record.tries[event.copy]
+        attempt.outcome, attempt.delay, attempt.report = event.outcome, event.delay_us, event.report
+        if request_record.status != OUT and has_no_attempt_in_flight(request_record):
+            self._complete_request(request_record)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
-        if (asked := self.open_requests.get(request)) is not None:
-            asked.status, asked.answered = status, now
-            if has_no_attempt_in_flight(asked):
-                self._complete_request(asked)
+        if (request_record := self.open_requests.get(request)) is not None:
+            request_record.status, request_record.answered = status, now
+            if has_no_attempt_in_flight(request_record):
+                self._complete_request(request_record)
 
     def request_refused(self, now: int, request: int) -> None:
-        """`answered` follows, with the status."""
+        """Do nothing: `request_answered` follows, with the status."""
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         self._add_state_record(Listed(now, mode, version, raw))
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
-        names = [str(one["name"]) for one in raw["classes"]]
-        tenants = [str(one["name"]) for one in raw.get("accounts", ())]
-        zones, kinds = ([str(one) for one in raw.get(part, ())] for part in ("zones", "kinds"))
+        names = [str(request_class["name"]) for request_class in raw["classes"]]
+        tenants = [str(account["name"]) for account in raw.get("accounts", ())]
+        zones, kinds = ([str(name) for name in raw.get(part, ())] for part in ("zones", "kinds"))
         self._add_state_record(Retuned(now, settings, names, tenants, zones, kinds))
 
     def weights_applied(self, now: int, revision: int, factors: dict[str, float]) -> None:
-        """A plan's weights are in use."""
+        """Record that a plan's weights are in force."""
         self._add_state_record(Weighed(now, revision, factors))
 
-    # --- The ring -----------------------------------------------------------------
+    # --- Ring ---------------------------------------------------------------------
 
-    def _complete_request(self, asked: Asked) -> None:
-        del self.open_requests[asked.request]
+    def _complete_request(self, request_record: Asked) -> None:
+        del self.open_requests[request_record.request]
         with self.lock:
-            self.batch.append(asked)
+            self.batch.append(request_record)
             if len(self.batch) >= BATCH_SIZE:
                 self._flush_batch()
 
     def _add_state_record(self, record: State) -> None:
         with self.lock:
-            self._flush_batch()  # what came before stands before
+            self._flush_batch()  # keeps the records in order
             self.ring.add([record], record)
 
     def _flush_batch(self) -> None:
@@ -136,12 +140,14 @@
             self.ring.add(batch)
 
     def encode_piece(self, query: str) -> bytes:
-        """What the door's `GET /_trace?from=OFFSET&incarnation=ID` answers, msgpack (`Piece`). An
-        offset of another incarnation begins anew."""
-        asked = parse_qs(query)
-        start = asked.get("from", ["0"])[0]
-        same = asked.get("incarnation", [self.incarnation])[0] == self.incarnation
+        """Return the response to `GET /_trace?from=OFFSET&incarnation=ID`, a `Piece` as msgpack.
+
+        An offset of another incarnation is ignored: the piece starts at 0.
+        """
+        parameters = parse_qs(query)
+        start = parameters.get("from", ["0"])[0]
+        is_same_run = parameters.get("incarnation", [self.incarnation])[0] == self.incarnation
         with self.lock:
             self._flush_batch()
-            offset = int(start) if same and start.isdecimal() and len(start) < 20 else 0
+            offset = int(start) if is_same_run and start.isdecimal() and len(start) < 20 else 0
             return msgspec.msgpack.encode(self.ring.piece(self.incarnation, offset))
--- a/woadyard/net/registry_client.py
+++ b/woadyard/net/registry_client.py
@@ -1,4 +1,4 @@
-"""Writes at the list service: one of its replicas writes, the others send callers on."""
+"""Client for writes to the list service: only the leader accepts them, other replicas redirect to it."""
 
 from __future__ import annotations
 
@@ -18,77 +18,85 @@
 CALL_TIMEOUT_S = 2.0
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.2, 2.0
 
-# What to write now (method, target, body), and what is done with the answer.
+# Builds the next request (method, target, body); takes the decoded response.
 BuildRequest = Callable[[], tuple[str, str, dict[str, Any]]]
 HandleResponse = Callable[[dict[str, Any]], None]
 
 
 class RegistryClient:
-    """Writes again and again at the service with these addresses, commas between.
+    """Sends writes to the list service at `addresses` (HOST:PORT of the replicas, separated by commas).
 
-    It goes to the writer that a replica names, and tells each the greatest term it has
-    heard in an answer: an answer of an older one is of a writer that was replaced, and
-    counts as none.
+    It follows redirects to the leader, and sends each replica the greatest term it has
+    received. A response of an older term comes from a deposed leader and counts as a failure.
     """
 
     def __init__(self, addresses: str, rng: random.Random) -> None:
-        self.replicas = [parse_address(one.strip()) for one in addresses.split(",")]
+        self.replicas = [parse_address(address.strip()) for address in addresses.split(",")]
         self.replica_index = 0
-        self.leader: tuple[str, int] | None = None  # the writer, as a replica named it
-        self.latest_term: tuple[str, int] | None = None  # lineage and term, the greatest told
+        self.leader: tuple[str, int] | None = None  # as a replica named it
+        self.latest_term: tuple[str, int] | None = None  # lineage and greatest term received
         self.backoff = Backoff(rng, MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
 
     async def write_periodically(
-        self, every_s: float, call: BuildRequest, done: HandleResponse = lambda told: None
+        self,
+        interval_s: float,
+        build_request: BuildRequest,
+        handle_response: HandleResponse = lambda response: None,
     ) -> None:
-        """Make the call every `every_s` until cancelled; where it fails, at the next
-        replica after a backoff."""
+        """Send the request every `interval_s` until cancelled; after a failure, send it to the
+        next replica after a backoff."""
         while True:
-            if await self.write(*call(), done):
+            if await self.write(*build_request(), handle_response):
                 self.backoff.reset()
-                await asyncio.sleep(every_s)
+                await asyncio.sleep(interval_s)
             else:
                 await asyncio.sleep(self.backoff.next_delay_s())
 
-    async def write(self, method: str, target: str, content: dict[str, Any], done: HandleResponse) -> bool:
-        """One call; at the writer that a replica names, in the same call. False where it
-        failed: the next is made at another replica."""
+    async def write(
+        self, method: str, target: str, content: dict[str, Any], handle_response: HandleResponse
+    ) -> bool:
+        """Send one request, following one redirect to the leader. Return False if it failed;
+        the next request then goes to another replica."""
         body = json.dumps(content).encode()
         for _ in range(2):
-            status, back = await self._send(method, target, body)
-            if status == HTTPStatus.OK and self._accept_response(back, done):
+            status, response = await self._send(method, target, body)
+            if status == HTTPStatus.OK and self._accept_response(response, handle_response):
                 return True
-            if status != HTTPStatus.TEMPORARY_REDIRECT or not self._follow_redirect(back):
+            if status != HTTPStatus.TEMPORARY_REDIRECT or not self._follow_redirect(response):
                 break
         self.leader = None
         self.replica_index = (self.replica_index + 1) % len(self.replicas)
         return False
 
     async def _send(self, method: str, target: str, body: bytes) -> tuple[int, bytes]:
-        at = self.leader or self.replicas[self.replica_index]
+        address = self.leader or self.replicas[self.replica_index]
         headers = f"X-Term: {self.latest_term[0]}:{self.latest_term[1]}\r\n" if self.latest_term else ""
         try:
-            return await fetch(at, method, target, body, timeout_s=CALL_TIMEOUT_S, headers=headers)
+            return await fetch(address, method, target, body, timeout_s=CALL_TIMEOUT_S, headers=headers)
         except FetchError:
             return 0, b""
 
-    def _follow_redirect(self, back: bytes) -> bool:
-        writer = read_refusal(back).writer
+    def _follow_redirect(self, response: bytes) -> bool:
+        leader = read_refusal(response).writer
         try:
-            self.leader = parse_address(writer) if writer else None
+            self.leader = parse_address(leader) if leader else None
         except ConfigError:
             self.leader = None
         return self.leader is not None
 
-    def _accept_response(self, back: bytes, done: HandleResponse) -> bool:
+    def _accept_response(self, body: bytes, handle_response: HandleResponse) -> bool:
         try:
-            told = json.loads(back)
-            if term := told.get("term"):
-                named = str(told.get("lineage")), int(term)
-                if self.latest_term and named[0] == self.latest_term[0] and named[1] < self.latest_term[1]:
+            response = json.loads(body)
+            if term := response.get("term"):
+                received_term = str(response.get("lineage")), int(term)
+                if (
+                    self.latest_term
+                    and received_term[0] == self.latest_term[0]
+                    and received_term[1] < self.latest_term[1]
+                ):
                     return False
-                self.latest_term = named
-            done(told)
+                self.latest_term = received_term
+            handle_response(response)
         except (ValueError, KeyError, TypeError, AttributeError):
             return False
         return True
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -1,8 +1,9 @@
-"""Reports to the list service what this process acts on, and obeys the answer.
+"""Reports to the list service which list and settings this process acts on, and applies the responses.
 
-A report goes out each `every-ms`, and soon after the position changed, to one replica; where that
-fails, to the next one after a backoff. The service away changes nothing here: what was counted is
-kept, within its bound, and told once it is back. A shut-out holds only while it is renewed.
+A report is sent every `every-ms`, and soon after the position changed, to one replica; after a
+failure, to the next replica after a backoff. While the service is unreachable the process keeps
+serving: its counts are kept, within their bound, and reported once the service is back. A shut-out
+lasts only while the service renews it.
 """
 
 from __future__ import annotations
@@ -37,45 +38,48 @@
 
 @dataclass
 class AuditHandlers:
-    """What the service's answers bring about here; all on the loop."""
+    """Callbacks that apply the service's responses; all are called on the event loop."""
 
-    apply_list: Callable[[bytes], bool]  # a whole list, checked as one of the watch is
-    restart_watch: Callable[[], None]  # at another replica
+    apply_list: Callable[[bytes], bool]  # a whole list, validated like one from the watch
+    restart_watch: Callable[[], None]  # with another replica
     set_shut_out: Callable[[bool], None]
-    ignore_verdicts: Callable[[frozenset[str]], None]  # names whose verdicts count no more
-    # A directive; the revision acted on from now on. PeerError where it is none.
-    apply_plan: Callable[[Any], int] = lambda told: 0
-    apply_experiment: Callable[[Any], int] = lambda told: 0
-    collect_evidence: Callable[[], Any] = lambda: None  # goes with the next report
+    ignore_verdicts: Callable[[frozenset[str]], None]  # of the sidecars with these names
+    # These take a directive and return the revision now in force; PeerError if it is invalid.
+    apply_plan: Callable[[Any], int] = lambda directive: 0
+    apply_experiment: Callable[[Any], int] = lambda directive: 0
+    collect_evidence: Callable[[], Any] = lambda: None  # for the next report
     reports_acknowledged: Callable[[Collection[int]], None] = lambda numbers: None
 
 
 class Reporter:
-    """An observer of the driver. `named` tells lineage and term of the list that is told right now."""
+    """Observer of the driver that reports its position to the audit.
+
+    `latest_term` returns lineage and term of the list that is being applied.
+    """
 
     def __init__(
         self,
         settings: AuditSettings,
         name: str,
         build: str,
-        named: Callable[[], tuple[str, int]],
-        orders: AuditHandlers,
+        latest_term: Callable[[], tuple[str, int]],
+        handlers: AuditHandlers,
         rng: random.Random,
     ) -> None:
-        self.settings, self.latest_term, self.handlers, self.rng = settings, named, orders, rng
-        self.replicas = [parse_address(one.strip()) for one in settings.service.split(",")]
+        self.settings, self.latest_term, self.handlers, self.rng = settings, latest_term, handlers, rng
+        self.replicas = [parse_address(address.strip()) for address in settings.service.split(",")]
         self.replica_index = rng.randrange(len(self.replicas))
         self.position = Position(build=build)
         self.spans = Spans(name, secrets.token_hex(6), now_us(), self.position, settings.spans)
         self.backoff = Backoff(rng, MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
         self.position_changed = asyncio.Event()
-        self.last_response_us = now_us()  # the last answer
+        self.last_response_us = now_us()
         self.is_shut_out = False
         self.ignored_sidecars: frozenset[str] = frozenset()
         self.task: asyncio.Task[None] | None = None
-        self.logged_errors: set[str] = set()  # faults of the service that are logged, until it answers well
+        self.logged_errors: set[str] = set()  # texts, until the next successful report
 
-    # --- What the driver tells --------------------------------------------------------
+    # --- Events from the driver -------------------------------------------------------
 
     def request_accepted(self, now: int, event: Arrival) -> None:
         pass
@@ -87,7 +91,7 @@
         self.spans.ended(event.request, event.endpoint, event.outcome != MOOT)
 
     def attempt_unsent(self, request: int, endpoint: int) -> None:
-        """An attempt is about to end of which no byte was written."""
+        """Note that an attempt is about to end without a byte written."""
         self.spans.ended(request, endpoint, False)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
@@ -104,7 +108,7 @@
         self._update_position(now, settings=digest(raw))
 
     def set_experiment(self, revision: int) -> None:
-        """Acted on from now on; 0: none, and the next answer brings what there is."""
+        """Set the experiment's revision in force; after 0, none, the next response has the directive."""
         self._update_position(now_us(), experiment=revision)
 
     def _update_position(self, now: int, **changes: Any) -> None:
@@ -119,7 +123,7 @@
         self.task.add_done_callback(_log_failure)
 
     async def close(self) -> None:
-        """The last report: without it the service has a gap from the one before on."""
+        """Send the final report; without it the service has a gap after the previous one."""
         if self.task is not None:
             self.task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -127,11 +131,11 @@
             await self._send_report(FINAL_TIMEOUT_S, final=True)
 
     async def _run(self) -> None:
-        every_s = self.settings.every_ms / 1e3
+        interval_s = self.settings.every_ms / 1e3
         while True:
             if await self._send_report(CALL_TIMEOUT_S):
                 self.backoff.reset()
-                wait_s = every_s
+                wait_s = interval_s
             else:
                 self.replica_index = (self.replica_index + 1) % len(self.replicas)
                 wait_s = self.backoff.next_delay_s()
@@ -139,22 +143,22 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await self.position_changed.wait()
-                    # A list moves all sidecars at once: they report spread over half of the time.
-                    await asyncio.sleep(self.rng.uniform(0.0, every_s / 2))
+                    # A new list reaches all sidecars at once: spread their reports over half of the interval.
+                    await asyncio.sleep(self.rng.uniform(0.0, interval_s / 2))
 
-    async def _send_report(self, within_s: float, final: bool = False) -> bool:
+    async def _send_report(self, report_timeout_s: float, final: bool = False) -> bool:
         self.position_changed.clear()
         report = self.spans.report(now_us(), final)
         report.evidence = self.handlers.collect_evidence()
         raw = msgspec.json.encode(report)
         try:
-            at = self.replicas[self.replica_index]
-            status, back = await fetch(at, "POST", REPORT_PATH, raw, timeout_s=within_s)
+            address = self.replicas[self.replica_index]
+            status, response = await fetch(address, "POST", REPORT_PATH, raw, timeout_s=report_timeout_s)
             if status != HTTPStatus.OK:
                 raise PeerError(
-                    f"the service answers {status}: {back[:200].decode(errors='replace').strip()}"
+                    f"the service responded {status}: {response[:200].decode(errors='replace').strip()}"
                 )
-            answer = read(back, Answer)
+            answer = read(response, Answer)
         except (FetchError, PeerError) as error:
             self.spans.failed(report.n)
             if isinstance(error, PeerError):
@@ -167,20 +171,20 @@
         self._handle_answer(answer)
         return True
 
-    # --- Answers ----------------------------------------------------------------------
+    # --- Responses --------------------------------------------------------------------
 
     def _handle_answer(self, answer: Answer) -> None:
         if answer.state == BROUGHT_UP and answer.whole is not None:
             LOG.warning("behind: the list comes with the audit's answer", extra={"head": answer.head})
             self.handlers.restart_watch()
-        for act in (self._apply_list, self._apply_plan, self._apply_experiment):
+        for apply in (self._apply_list, self._apply_plan, self._apply_experiment):
             try:
-                act(answer)
+                apply(answer)
             except PeerError as error:
-                self._log_once("an answer of the audit is not used", error)
-        if (out := frozenset(answer.out)) != self.ignored_sidecars:
-            self.ignored_sidecars = out
-            self.handlers.ignore_verdicts(out)
+                self._log_once("audit response ignored", error)
+        if (shut_out := frozenset(answer.out)) != self.ignored_sidecars:
+            self.ignored_sidecars = shut_out
+            self.handlers.ignore_verdicts(shut_out)
         self._set_shut_out(answer.state == SHUT_OUT)
 
     def _apply_list(self, answer: Answer) -> None:
@@ -195,14 +199,14 @@
         if answer.experiment is not None:
             self.set_experiment(self.handlers.apply_experiment(answer.experiment))
 
-    def _set_shut_out(self, out: bool) -> None:
-        if out != self.is_shut_out:
-            self.is_shut_out = out
-            LOG.warning("shut out by the audit" if out else "let in again")
-            self.handlers.set_shut_out(out)
+    def _set_shut_out(self, is_shut_out: bool) -> None:
+        if is_shut_out != self.is_shut_out:
+            self.is_shut_out = is_shut_out
+            LOG.warning("shut out by the audit" if is_shut_out else "let in again")
+            self.handlers.set_shut_out(is_shut_out)
 
     def _expire_shut_out(self) -> None:
-        """The service says nothing: that alone shuts nobody out."""
+        """End a shut-out that the service no longer renews: its silence shuts no sidecar out."""
         if now_us() - self.last_response_us > self.settings.out_ms * 1000:
             self._set_shut_out(False)
 
@@ -214,18 +218,19 @@
 
 def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and (error := task.exception()) is not None:
-        LOG.error("fault in the audit's reporter", exc_info=error)
+        LOG.error("audit reporter failed", exc_info=error)
 
 
 def now_us() -> int:
+    """Return the monotonic time in µs."""
     return time.monotonic_ns() // 1000
 
 
 def check_service_addresses(settings: AuditSettings | None) -> None:
-    """ConfigError where its addresses are none."""
+    """Raise ConfigError if an address of the service is invalid."""
     if settings is not None:
-        for one in settings.service.split(","):
+        for address in settings.service.split(","):
             try:
-                parse_address(one.strip())
+                parse_address(address.strip())
             except ConfigError as error:
                 raise ConfigError(f"audit.service: {error}") from None
--- a/woadyard/net/reporter_setup.py
+++ b/woadyard/net/reporter_setup.py
@@ -1,4 +1,4 @@
-"""Ties the audit's reporter to the parts of the process."""
+"""Creates the audit reporter and connects it to the discovery client, the driver and the server."""
 
 from __future__ import annotations
 
@@ -22,63 +22,63 @@
 from woadyard.net.reporter import AuditHandlers, Reporter
 from woadyard.net.server import Server
 
-HOLD_CHECK_INTERVAL_S = 0.25  # at whether an experiment holds
+HOLD_CHECK_INTERVAL_S = 0.25  # between checks whether an experiment must hold
 
 
 def create_reporter(
     settings: AuditSettings, name: str, driver: Driver, discovery: Discovery, server: Server
 ) -> Reporter:
-    """To be made before the driver starts, so that its first settings are told."""
+    """Create the reporter; call before the driver starts, so that its first settings are reported."""
 
-    def listed(raw: bytes) -> bool:
+    def apply_list(raw: bytes) -> bool:
         try:
-            told = LIST_DECODER.decode(raw)
+            message = LIST_DECODER.decode(raw)
         except msgspec.DecodeError as error:
-            raise PeerError(f"no list: {error}") from None
-        return discovery.receive(told)
+            raise PeerError(f"invalid list: {error}") from None
+        return discovery.receive(message)
 
-    def shut_out(out: bool) -> None:
-        server.is_shut_out = out
+    def set_shut_out(is_shut_out: bool) -> None:
+        server.is_shut_out = is_shut_out
 
-    orders = AuditHandlers(listed, discovery.restart_watch, shut_out, driver.ignore_verdicts)
-    trials = create_experiment_participant(driver, orders)
-    # Not the seed's chance: processes of one file must not report in step.
+    handlers = AuditHandlers(apply_list, discovery.restart_watch, set_shut_out, driver.ignore_verdicts)
+    participant = create_experiment_participant(driver, handlers)
+    # Not seeded: processes with the same configuration must not report in step.
     reporter = Reporter(
-        settings, name, token(woadyard.__version__), lambda: discovery.latest_term, orders, random.Random()
+        settings, name, token(woadyard.__version__), lambda: discovery.latest_term, handlers, random.Random()
     )
     driver.add_observer(reporter)
-    trials.on_hold = lambda: reporter.set_experiment(0)
+    participant.on_hold = lambda: reporter.set_experiment(0)
     driver.attempts.on_unsent = reporter.attempt_unsent
     return reporter
 
 
-def create_experiment_participant(driver: Driver, orders: AuditHandlers) -> ExperimentParticipant:
-    """Experiments go by the audit's reports and answers; with none of them nothing is split."""
+def create_experiment_participant(driver: Driver, handlers: AuditHandlers) -> ExperimentParticipant:
+    """Connect experiments to the reporter, whose reports and responses carry their counts and directives."""
 
-    def tell(split: Split | None) -> None:
+    def apply_split(split: Split | None) -> None:
         driver.dispatch(driver.balancer.split, split)
 
-    arms = ExperimentArms(tell)
+    arms = ExperimentArms(apply_split)
     counts = ExperimentCounts(arms.assigned_arm, on_list_applied=arms.list_applied)
-    trials = ExperimentParticipant(counts, arms.follow_directive, driver.now())
-
-    def look() -> None:
-        trials.hold_if_overdue(driver.now())
-        if trials.hold_deadline_us() is not None:
-            driver.loop.call_later(HOLD_CHECK_INTERVAL_S, look)
-
-    def follow(told: Any) -> int:
-        looks = trials.hold_deadline_us() is not None
-        revision = trials.apply_directive(told, driver.now())
-        if not looks:
-            look()
+    participant = ExperimentParticipant(counts, arms.follow_directive, driver.now())
+
+    def check_hold() -> None:
+        participant.hold_if_overdue(driver.now())
+        if participant.hold_deadline_us() is not None:
+            driver.loop.call_later(HOLD_CHECK_INTERVAL_S, check_hold)
+
+    def apply_directive(raw: Any) -> int:
+        is_checking = participant.hold_deadline_us() is not None
+        revision = participant.apply_directive(raw, driver.now())
+        if not is_checking:
+            check_hold()
         return revision
 
-    def acked(numbers: Collection[int]) -> None:
-        trials.service_responded(driver.now())
+    def reports_acknowledged(numbers: Collection[int]) -> None:
+        participant.service_responded(driver.now())
         counts.reports_acknowledged(numbers)
 
-    orders.apply_experiment, orders.reports_acknowledged = follow, acked
-    orders.collect_evidence = lambda: counts.report(driver.now())
+    handlers.apply_experiment, handlers.reports_acknowledged = apply_directive, reports_acknowledged
+    handlers.collect_evidence = lambda: counts.report(driver.now())
     driver.add_observer(counts)
-    return trials
+    return participant
--- a/woadyard/shared/store.py
+++ b/woadyard/shared/store.py
@@ -58,15 +58,15 @@
     """Entries by origin, kind and key. `bounds` gives each kind's longest life, µs."""
 
     def __init__(self, me: str, bounds: dict[str, int]) -> None:
-        self.origin, self.bounds_us = me, bounds
+        self.own_origin, self.bounds_us = me, bounds
         self.entries: dict[str, dict[tuple[str, str], SharedEntry]] = {me: {}}
         self.vector: dict[str, int] = {me: 0}
 
     def publish(self, now: int, kind: str, key: str, value: Any) -> None:
         """Write an own entry, or (value None) take it back."""
-        self.vector[self.origin] += 1
+        self.vector[self.own_origin] += 1
         entry = SharedEntry(
-            self.origin, self.vector[self.origin], kind, key, value, self.bounds_us[kind], now
+            self.own_origin, self.vector[self.own_origin], kind, key, value, self.bounds_us[kind], now
         )
         self._put(entry)
 
@@ -91,7 +91,7 @@
             for at, entry in list(held.items()):
                 if now - entry.created_us > 2 * max(self.bounds_us.values()):
                     del held[at]
-            if not held and origin != self.origin:
+            if not held and origin != self.own_origin:
                 del self.entries[origin], self.vector[origin]
 
     # --- Telling ----------------------------------------------------------------------
@@ -126,7 +126,7 @@
         entries = [self._decode_entry(now, row, trip_us) for row in _check_rows(rows)]
         new = 0
         for entry in entries:
-            if entry.origin == self.origin:
+            if entry.origin == self.own_origin:
                 self._raise_own_sequence(entry.seq)
             elif entry.sidecar in known and entry.seq > self.vector.get(entry.origin, 0):
                 self.vector[entry.origin] = entry.seq
@@ -137,11 +137,11 @@
     def _raise_own_sequence(self, seq: int) -> None:
         """Somebody makes this process say what it never did: whoever believed that
         takes what it does say only from there on, so it says it again."""
-        if seq > self.vector[self.origin]:
-            for at, entry in sorted(self.entries[self.origin].items(), key=lambda pair: pair[1].seq):
+        if seq > self.vector[self.own_origin]:
+            for at, entry in sorted(self.entries[self.own_origin].items(), key=lambda pair: pair[1].seq):
                 seq += 1
-                self.entries[self.origin][at] = replace(entry, seq=seq)
-            self.vector[self.origin] = seq
+                self.entries[self.own_origin][at] = replace(entry, seq=seq)
+            self.vector[self.own_origin] = seq
 
     def _decode_entry(self, now: int, row: object, trip_us: int) -> SharedEntry:
         if not isinstance(row, list) or len(row) != 7:
