--- a/woadyard/net/weight_factors.py
+++ b/woadyard/net/weight_factors.py
@@ -1,4 +1,4 @@
-"""What lowers endpoints' weight from outside: others' verdicts, and a plan's weights."""
+"""Factors that lower endpoints' weights: verdicts of other sidecars, and the weights of a plan."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SharedState:
-    """What the driver keeps of the state shared with other sidecars."""
+    """The driver's view of the state shared with other sidecars."""
 
     def __init__(self, name: str, eject_share: float) -> None:
         self.name, self.eject_share = name, eject_share
@@ -24,38 +24,40 @@
         self.ignored_sidecars: frozenset[str] = frozenset()  # names whose verdicts do not count
         self.factors: dict[int, float] = {}
         self.affinity = Affinity()
-        self.announce_limits: Callable[[], None] = lambda: None  # tells the caps anew
+        self.announce_limits: Callable[[], None] = lambda: None  # passes the caps to the policy module again
 
     def update_factors(self, ready: set[int], metrics: NullMetrics) -> dict[int, float]:
-        """Factors below 1 that the other sidecars' verdicts leave, by endpoint."""
-        entries = [one for one in self.verdict_entries if one.sidecar not in self.ignored_sidecars]
+        """Return the factors below 1 that result from other sidecars' verdicts, by endpoint number."""
+        entries = [entry for entry in self.verdict_entries if entry.sidecar not in self.ignored_sidecars]
         factors = trust_factors(entries, self.name, ready, self.eject_share)
         if factors != self.factors:
             self.factors = factors
             metrics.set_lowered_endpoints(len(factors))
             LOG.info("others' verdicts", extra={"lowered": len(factors), "of": len(ready)})
-        # A key stays at its home on one sidecar's word; two move it, at all alike.
+        # One accusing sidecar does not move a key from its home; a quorum moves it, at all sidecars alike.
         self.affinity.set_endpoints(number for number in ready if factors.get(number, 1.0) >= TRUST_ACCUSED)
         return factors
 
 
 class WeightFactors:
-    """One factor for each endpoint, from all that has a say."""
+    """Combines the factors of shared verdicts and of the plan into one per endpoint."""
 
     def __init__(self, shared: SharedState | None, metrics: NullMetrics) -> None:
         self.shared, self.metrics = shared, metrics
         self.planned_factors: dict[int, float] = {}  # below 1, by endpoint number
 
     def set_planned(self, factors: Mapping[str, float]) -> None:
-        """A plan's weights by instance id, each above 0 and up to 1; who is not named has 1."""
+        """Set a plan's weights by instance id, each above 0 and up to 1; other endpoints have 1."""
         self.planned_factors = {
             endpoint_number(name): factor for name, factor in factors.items() if factor < 1.0
         }
 
     def combined(self, ready: set[int]) -> dict[int, float]:
-        """Below 1, by endpoint number."""
+        """Return the combined factors below 1, by endpoint number."""
         factors = {} if self.shared is None else self.shared.update_factors(ready, self.metrics)
         if not self.planned_factors:
             return factors
-        both = self.planned_factors.keys() | factors.keys()
-        return {number: self.planned_factors.get(number, 1.0) * factors.get(number, 1.0) for number in both}
+        numbers = self.planned_factors.keys() | factors.keys()
+        return {
+            number: self.planned_factors.get(number, 1.0) * factors.get(number, 1.0) for number in numbers
+        }
--- a/woadyard/shared/__init__.py
+++ b/woadyard/shared/__init__.py
@@ -1,1 +1,1 @@
-"""State that sidecars share: verdicts on endpoints, limits, affinity. Pure: no I/O, no clock."""
+"""State shared between sidecars: verdicts on endpoints, leases of limits, affinity. No I/O, no clock."""
--- a/woadyard/shared/affinity.py
+++ b/woadyard/shared/affinity.py
@@ -1,10 +1,10 @@
-"""A key's home among the endpoints: the same at every sidecar, by rendezvous hashing.
+"""Maps a key to its home endpoint, the same at every sidecar, by rendezvous hashing.
 
-Each endpoint scores the key with a hash of both and the highest wins (Thaler and
-Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), so that an
-endpoint that leaves moves its own keys alone, spread over the others, and one
-that comes takes only those it wins. Sidecars agree as far as their lists and
-the verdicts they share do; no table of keys is kept or sent.
+The home is the endpoint with the highest hash of key and endpoint (Thaler and
+Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998). Removing an
+endpoint therefore moves only its own keys, spread over the others, and adding one
+moves only the keys for which it scores highest. Sidecars agree as far as their lists
+and shared verdicts agree; no table of keys is stored or sent.
 """
 
 from __future__ import annotations
@@ -13,23 +13,24 @@
 
 import xxhash
 
-# Homes remembered, so that a key often seen is hashed once for a list.
-MAX_CACHED_KEYS = 10_000
+MAX_CACHED_KEYS = 10_000  # a frequent key is hashed only once per list
 
 
 class Affinity:
+    """Homes of keys among the current endpoints, with a bounded cache."""
+
     def __init__(self) -> None:
         self.endpoints: frozenset[int] = frozenset()
         self.cached_homes: dict[bytes, int] = {}
 
     def set_endpoints(self, endpoints: Iterable[int]) -> None:
-        """The endpoints that may be a home from now on, by number."""
-        if (now := frozenset(endpoints)) != self.endpoints:
-            self.endpoints = now
+        """Set the numbers of the endpoints that may be a home from now on."""
+        if (candidates := frozenset(endpoints)) != self.endpoints:
+            self.endpoints = candidates
             self.cached_homes.clear()
 
     def home(self, key: bytes) -> int | None:
-        """The endpoint of this key; None where there is none."""
+        """Return the home of this key; None if there are no endpoints."""
         if not self.endpoints:
             return None
         if key not in self.cached_homes:
--- a/woadyard/shared/settings.py
+++ b/woadyard/shared/settings.py
@@ -1,4 +1,4 @@
-"""The `shared` part of the configuration: absent, nothing is shared."""
+"""The `shared` section of the configuration; without it no state is shared."""
 
 from __future__ import annotations
 
@@ -15,20 +15,19 @@
 
 
 class SharedSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """Where and how sidecars exchange state. The defaults' reasons are in docs/ROADMAP.md:
-    measured convergence and its margin."""
+    """Where and how sidecars exchange state; docs/ROADMAP.md has the reasons for the defaults."""
 
     listen: str  # HOST:PORT for peers; port 0 lets the system pick
-    peers: str  # the list service that names the peers, replicas with commas between
-    interval_ms: PositiveFloat = 500.0  # between two exchanges
-    verdict_bound_ms: PositiveFloat = 10_000.0  # a verdict older counts as absent
-    eject_share: Share = 0.3  # of the list that others' verdicts may lower
-    advertise: str | None = None  # HOST:PORT at which peers reach this one, where it is not `listen`
+    peers: str  # HOST:PORT of the list service, replicas separated by commas
+    interval_ms: PositiveFloat = 500.0  # between exchanges
+    verdict_bound_ms: PositiveFloat = 10_000.0  # an older verdict is ignored
+    eject_share: Share = 0.3  # of the listed endpoints whose weight other sidecars' verdicts may lower
+    advertise: str | None = None  # HOST:PORT at which peers reach this sidecar, if not `listen`
 
-    affinity_header: Token = ""  # requests alike in it go to one endpoint
-    limit: Count = 0  # attempts out at one endpoint from all sidecars; 0 = no limit
-    limit_floor: Count = 1  # from each sidecar without a share
-    limit_lease_ms: PositiveFloat = 10_000.0  # a share is held for so long without renewal
+    affinity_header: Token = ""  # requests with the same value go to one endpoint
+    limit: Count = 0  # attempts in flight at one endpoint from all sidecars; 0 = no limit
+    limit_floor: Count = 1  # attempts in flight that a sidecar without a share may have
+    limit_lease_ms: PositiveFloat = 10_000.0  # duration of a share without renewal
 
     @property
     def interval_s(self) -> float:
@@ -44,5 +43,5 @@
 
 
 def read_shared(raw: object) -> SharedSettings | None:
-    """The settings in `raw`, the file's `shared`; ConfigError if they are bad."""
+    """Read `raw`, the configuration's `shared`; ConfigError if it is invalid."""
     return read_section(raw, SharedSettings, "shared")
--- a/woadyard/shared/store.py
+++ b/woadyard/shared/store.py
@@ -1,17 +1,17 @@
-"""What one sidecar holds of the shared state, and how it merges what peers tell.
+"""One sidecar's replica of the shared state, and the merge of entries received from peers.
 
-Each entry belongs to its origin, the one process that wrote it, and carries
-that origin's sequence number. The version vector (per origin, the highest
-number merged) says what a peer lacks, so merges commute, repeat without harm
-and need no clock in common (Parker et al., "Detection of Mutual Inconsistency
-in Distributed Systems", 1983; push-pull as in Demers et al., 1987).
+Each entry belongs to its origin, the one process that wrote it, and has a sequence number
+of that origin. The version vector (the highest sequence number merged, by origin) shows
+which entries a peer lacks, so merges are commutative and idempotent and need no common clock
+(Parker et al., "Detection of Mutual Inconsistency in Distributed Systems", 1983; push-pull
+as in Demers et al., 1987).
 
-Ages travel, times do not: an entry is told with its age, and the receiver adds
-the whole round trip that brought it. Its age is so never taken for less than
-it is, whatever the clocks say, and past its bound it counts as absent.
+Messages carry ages instead of times: the receiver adds the whole round trip to an entry's
+age, which is therefore never underestimated, whatever the clock skew. An entry older than
+its TTL counts as absent.
 
-Times are µs on the caller's monotonic clock. All of a message is checked
-before any of it is merged.
+Times are µs of the caller's monotonic clock. A message is validated as a whole before any
+of it is merged.
 """
 
 from __future__ import annotations
@@ -28,42 +28,44 @@
 MAX_NAME_CHARS, MAX_VALUE_CHARS = 128, 256  # characters of a name or key; of a value as JSON
 MAX_ENTRIES_PER_ORIGIN = 4_096  # of one origin
 MAX_ORIGINS = 2_048
-# No origin writes so much between two tellings: a larger step is a lie, which
-# would hide all that the origin writes until it has counted up to there.
+# No origin publishes so many entries between two exchanges. A larger step is forged, and would
+# hide all entries of the origin until its sequence number has reached that value.
 MAX_SEQ_STEP = 1_000_000
 MAX_SEQ = 1 << 52
 
 
 class GossipMessageError(PeerError):
-    """What a peer sent is no telling; nothing of it was merged."""
+    """A peer sent an invalid gossip message; none of it was merged."""
 
 
 @dataclass(slots=True, frozen=True)
 class SharedEntry:
-    origin: str  # NAME@TOKEN: one process of one sidecar
+    """One value that one process shares with all sidecars."""
+
+    origin: str  # SIDECAR@TOKEN: one process of one sidecar
     seq: int  # of the origin, from 1
     kind: str
     key: str
-    value: Any  # JSON; None where the origin took it back
-    ttl_us: int  # its bound: older, it counts as absent
-    created_us: int  # on the holder's clock, never later than it truly was
+    value: Any  # JSON; None if the origin withdrew it
+    ttl_us: int  # an older entry counts as absent
+    created_us: int  # on this process's clock, never later than the true time
 
     @property
     def sidecar(self) -> str:
-        """The sidecar's, the same over restarts."""
+        """Name of the sidecar, the same over restarts."""
         return self.origin.rpartition("@")[0]
 
 
 class SharedStore:
-    """Entries by origin, kind and key. `bounds` gives each kind's longest life, µs."""
+    """Entries by origin, kind and key; `bounds_us` has the longest TTL of each kind."""
 
-    def __init__(self, me: str, bounds: dict[str, int]) -> None:
-        self.own_origin, self.bounds_us = me, bounds
-        self.entries: dict[str, dict[tuple[str, str], SharedEntry]] = {me: {}}
-        self.vector: dict[str, int] = {me: 0}
+    def __init__(self, own_origin: str, bounds_us: dict[str, int]) -> None:
+        self.own_origin, self.bounds_us = own_origin, bounds_us
+        self.entries: dict[str, dict[tuple[str, str], SharedEntry]] = {own_origin: {}}
+        self.vector: dict[str, int] = {own_origin: 0}
 
     def publish(self, now: int, kind: str, key: str, value: Any) -> None:
-        """Write an own entry, or (value None) take it back."""
+        """Publish an entry of this process, or withdraw it if the value is None."""
         self.vector[self.own_origin] += 1
         entry = SharedEntry(
             self.own_origin, self.vector[self.own_origin], kind, key, value, self.bounds_us[kind], now
@@ -71,112 +73,129 @@
         self._put(entry)
 
     def _put(self, entry: SharedEntry) -> None:
-        held = self.entries.setdefault(entry.origin, {})
-        held[entry.kind, entry.key] = entry
-        if len(held) > MAX_ENTRIES_PER_ORIGIN:  # the one written longest ago gives way
-            oldest = min(held, key=lambda at: held[at].seq)
-            del held[oldest]
+        entries = self.entries.setdefault(entry.origin, {})
+        entries[entry.kind, entry.key] = entry
+        if len(entries) > MAX_ENTRIES_PER_ORIGIN:  # drop the one published first
+            oldest = min(entries, key=lambda key: entries[key].seq)
+            del entries[oldest]
 
     def fresh_entries(self, now: int, kind: str) -> Iterable[SharedEntry]:
-        """The entries of a kind within their bounds, but those taken back."""
-        for held in self.entries.values():
-            for entry in held.values():
+        """Yield the entries of a kind that are neither expired nor withdrawn."""
+        for entries in self.entries.values():
+            for entry in entries.values():
                 if entry.kind == kind and entry.value is not None and now - entry.created_us <= entry.ttl_us:
                     yield entry
 
     def expire(self, now: int) -> None:
-        """Forget what is past its bound. An origin's place in the vector stays as long
-        as others may still tell of it, which is the longest bound."""
-        for origin, held in list(self.entries.items()):
-            for at, entry in list(held.items()):
+        """Remove entries older than twice the longest TTL, and origins without entries.
+
+        An origin stays in the version vector for as long as peers may still send its entries,
+        which is the longest TTL.
+        """
+        for origin, entries in list(self.entries.items()):
+            for key, entry in list(entries.items()):
                 if now - entry.created_us > 2 * max(self.bounds_us.values()):
-                    del held[at]
-            if not held and origin != self.own_origin:
+                    del entries[key]
+            if not entries and origin != self.own_origin:
                 del self.entries[origin], self.vector[origin]
 
-    # --- Telling ----------------------------------------------------------------------
+    # --- Exchange ---------------------------------------------------------------------
 
-    def missing_entries(self, now: int, theirs: dict[str, int], most: int) -> list[list[Any]]:
-        """The entries a peer with the vector `theirs` lacks, each as a JSON list, some
-        `most` bytes in all. Each origin's come in its order, so that a peer told a part
-        knows by its own vector where to go on."""
-        told: list[list[Any]] = []
+    def missing_entries(self, now: int, peer_vector: dict[str, int], max_bytes: int) -> list[list[Any]]:
+        """Return the entries that a peer with this vector lacks, each as a JSON list, about
+        `max_bytes` in all. An origin's entries are in the order of their sequence numbers, so
+        after a truncated response the peer's own vector says where to continue."""
+        rows: list[list[Any]] = []
         size = 0
-        for origin, held in self.entries.items():
-            since = theirs.get(origin, 0)
-            for one in sorted(held.values(), key=lambda entry: entry.seq):
-                if one.seq <= since or now - one.created_us > one.ttl_us:
+        for origin, entries in self.entries.items():
+            merged_seq = peer_vector.get(origin, 0)
+            for entry in sorted(entries.values(), key=lambda entry: entry.seq):
+                if entry.seq <= merged_seq or now - entry.created_us > entry.ttl_us:
                     continue
-                row = [origin, one.seq, one.kind, one.key, one.value, one.ttl_us, now - one.created_us]
+                row = [
+                    origin,
+                    entry.seq,
+                    entry.kind,
+                    entry.key,
+                    entry.value,
+                    entry.ttl_us,
+                    now - entry.created_us,
+                ]
                 size += len(json.dumps(row)) + 2
-                if size > most:
-                    return told
-                told.append(row)
-        return told
-
-    def is_behind(self, theirs: dict[str, int]) -> bool:
-        """Whether a peer with this vector may tell something new."""
-        return any(seq > self.vector.get(origin, 0) for origin, seq in theirs.items())
-
-    def merge(self, now: int, rows: object, trip_us: int, known: Collection[str]) -> int:
-        """Take a peer's telling that took `trip_us` from the call to its last byte;
-        `known` are the names of the sidecars there are. Returns how many entries were
-        new; `TellingError` leaves everything as it was. Entries past their bound, and
-        of sidecars that no list names yet, are left out and may come again."""
-        entries = [self._decode_entry(now, row, trip_us) for row in _check_rows(rows)]
-        new = 0
+                if size > max_bytes:
+                    return rows
+                rows.append(row)
+        return rows
+
+    def is_behind(self, peer_vector: dict[str, int]) -> bool:
+        """Return whether a peer with this vector has entries that this store lacks."""
+        return any(seq > self.vector.get(origin, 0) for origin, seq in peer_vector.items())
+
+    def merge(self, now: int, rows: object, round_trip_us: int, known_sidecars: Collection[str]) -> int:
+        """Merge the entries of a peer's response and return how many of them were new.
+
+        `round_trip_us` is the time from the request to the response's last byte. Entries of
+        sidecars not in `known_sidecars` are skipped, and may be received again later. Raises
+        GossipMessageError, with nothing changed, if an entry is invalid.
+        """
+        entries = [self._decode_entry(now, row, round_trip_us) for row in _check_rows(rows)]
+        new_count = 0
         for entry in entries:
             if entry.origin == self.own_origin:
                 self._raise_own_sequence(entry.seq)
-            elif entry.sidecar in known and entry.seq > self.vector.get(entry.origin, 0):
+            elif entry.sidecar in known_sidecars and entry.seq > self.vector.get(entry.origin, 0):
                 self.vector[entry.origin] = entry.seq
                 self._put(entry)
-                new += 1
-        return new
+                new_count += 1
+        return new_count
 
     def _raise_own_sequence(self, seq: int) -> None:
-        """Somebody makes this process say what it never did: whoever believed that
-        takes what it does say only from there on, so it says it again."""
+        """Republish all own entries above `seq` if this process has not issued that number yet.
+
+        A peer that merged a forged entry ignores this origin's entries up to its number.
+        """
         if seq > self.vector[self.own_origin]:
-            for at, entry in sorted(self.entries[self.own_origin].items(), key=lambda pair: pair[1].seq):
+            for key, entry in sorted(self.entries[self.own_origin].items(), key=lambda pair: pair[1].seq):
                 seq += 1
-                self.entries[self.own_origin][at] = replace(entry, seq=seq)
+                self.entries[self.own_origin][key] = replace(entry, seq=seq)
             self.vector[self.own_origin] = seq
 
-    def _decode_entry(self, now: int, row: object, trip_us: int) -> SharedEntry:
+    def _decode_entry(self, now: int, row: object, round_trip_us: int) -> SharedEntry:
         if not isinstance(row, list) or len(row) != 7:
-            raise GossipMessageError("an entry has other than 7 parts")
+            raise GossipMessageError("an entry is not a list of 7 elements")
         origin, seq, kind, key, value, ttl_us, age_us = row
         if not _is_name(origin) or not _is_name(key) or kind not in KINDS:
-            raise GossipMessageError("an entry's origin, kind or key is none")
+            raise GossipMessageError("an entry's origin, kind or key is invalid")
         if not all(type(number) is int and number >= 0 for number in (seq, ttl_us, age_us)):
-            raise GossipMessageError("an entry's number is none")
-        before = self.vector.get(origin)
-        if seq > MAX_SEQ or (before is not None and seq > before + MAX_SEQ_STEP):
-            raise GossipMessageError(f"{origin!r} can't be at {seq}")
-        if before is None and len(self.vector) >= MAX_ORIGINS:
+            raise GossipMessageError("an entry's seq, ttl_us or age_us is not a non-negative integer")
+        merged_seq = self.vector.get(origin)
+        if seq > MAX_SEQ or (merged_seq is not None and seq > merged_seq + MAX_SEQ_STEP):
+            raise GossipMessageError(f"sequence number {seq} of {origin!r} is too far ahead")
+        if merged_seq is None and len(self.vector) >= MAX_ORIGINS:
             raise GossipMessageError("too many origins")
         if ttl_us > self.bounds_us[kind] or age_us > ttl_us:
-            raise GossipMessageError(f"{origin!r} tells of what is past its bound")
+            raise GossipMessageError(f"an entry of {origin!r} has too long a TTL or has expired")
         if len(json.dumps(value)) > MAX_VALUE_CHARS:
             raise GossipMessageError("an entry's value is too large")
-        return SharedEntry(origin, seq, kind, key, value, ttl_us, now - age_us - trip_us)
+        return SharedEntry(origin, seq, kind, key, value, ttl_us, now - age_us - round_trip_us)
 
-    # --- Over a restart -----------------------------------------------------------------
+    # --- Persistence over restarts ------------------------------------------------------
 
     def dump(self, now: int) -> dict[str, Any]:
-        """All that is fresh, to be kept in a file; `now` on a clock that goes on."""
+        """Return all unexpired entries for a file; the clock of `now` must continue over restarts."""
         return {"at": now, "entries": self.missing_entries(now, {}, 1 << 62)}
 
     def load(self, now: int, raw: dict[str, Any]) -> int:
-        """What an earlier process of this sidecar knew, older by the time since then.
-        `TellingError` where the file is none, or of another boot."""
-        at = raw.get("at") if isinstance(raw, dict) else None
-        if type(at) is not int or at > now:
-            raise GossipMessageError("the state kept has no time, or one to come")
+        """Merge the state saved by an earlier process, aged by the time since then.
+
+        Raises GossipMessageError if the state is invalid or was saved before a reboot.
+        """
+        saved_us = raw.get("at") if isinstance(raw, dict) else None
+        if type(saved_us) is not int or saved_us > now:
+            raise GossipMessageError("the saved state has no time, or one in the future")
         rows = _check_rows(raw.get("entries"))
-        names = {str(row[0]).rpartition("@")[0] for row in rows if isinstance(row, list) and row}
-        return self.merge(now, rows, now - at, names)
+        sidecars = {str(row[0]).rpartition("@")[0] for row in rows if isinstance(row, list) and row}
+        return self.merge(now, rows, now - saved_us, sidecars)
 
 
 def _is_name(text: object) -> bool:
@@ -185,14 +204,14 @@
 
 def _check_rows(raw: object) -> list[object]:
     if not isinstance(raw, list):
-        raise GossipMessageError("entries is no list")
+        raise GossipMessageError("entries is not a list")
     return raw
 
 
 def read_vector(raw: object) -> dict[str, int]:
-    """A peer's version vector; `TellingError` on anything else."""
+    """Validate a peer's version vector; GossipMessageError if it is invalid."""
     if not isinstance(raw, dict) or len(raw) > MAX_ORIGINS:
-        raise GossipMessageError("vector is none")
+        raise GossipMessageError("vector is not an object, or has too many origins")
     if not all(_is_name(name) and type(seq) is int and 0 <= seq <= MAX_SEQ for name, seq in raw.items()):
-        raise GossipMessageError("vector has a part that is none")
+        raise GossipMessageError("vector has an invalid origin or sequence number")
     return raw
--- a/woadyard/shared/verdicts.py
+++ b/woadyard/shared/verdicts.py
@@ -1,10 +1,10 @@
-"""What others' verdicts on endpoints do here: they lower trust, within a cap.
+"""Lowers the trust in endpoints by the verdicts of other sidecars, within a cap.
 
-One sidecar's word halves an endpoint's weight; two or more that call it ejected
-leave it the weight of a trial. No more than a set share of the list is lowered
-on others' word, those with the most accusers first, so that one confused
-sidecar can't empty the fleet, nor many together. A sidecar's own failures count
-in its own module as before, and nothing here raises trust above that.
+One accusing sidecar halves an endpoint's weight; two or more that have ejected it leave
+it the weight of a half-open trial. At most a configured share of the listed endpoints is
+lowered, first those ejected by a quorum, then those with the most accusers, so that neither
+one faulty sidecar nor many together can take the whole fleet out of use. A sidecar's own
+observations count in its own policy module, and nothing here raises trust above that.
 """
 
 from __future__ import annotations
@@ -20,21 +20,23 @@
 
 
 def trust_factors(
-    entries: Iterable[SharedEntry], me: str, endpoints: Collection[int], share_most: float
+    entries: Iterable[SharedEntry], own_name: str, endpoints: Collection[int], max_share: float
 ) -> dict[int, float]:
-    """Factors below 1 by endpoint number, from verdicts of sidecars other than `me`
-    (a name), for at most the share `share_most` of `endpoints`."""
+    """Return factors below 1 by endpoint number, from verdicts of sidecars other than `own_name`.
+
+    At most the share `max_share` of `endpoints` gets a factor.
+    """
     accusers: dict[int, dict[str, str]] = {}
     for entry in entries:
-        if entry.sidecar == me or not entry.key.isdecimal() or entry.value not in STATES:
+        if entry.sidecar == own_name or not entry.key.isdecimal() or entry.value not in STATES:
             continue
         if (number := int(entry.key)) in endpoints:
             states = accusers.setdefault(number, {})
-            if states.get(entry.sidecar) != EJECTED:  # the worst of one sidecar's processes
+            if states.get(entry.sidecar) != EJECTED:  # the worst verdict of a sidecar's processes counts
                 states[entry.sidecar] = entry.value
     ranked = sorted((_trust(states), -len(states), number) for number, states in accusers.items())
-    most = int(share_most * len(endpoints))
-    return {number: trust for trust, _, number in ranked[:most]}
+    max_lowered = int(max_share * len(endpoints))
+    return {number: trust for trust, _, number in ranked[:max_lowered]}
 
 
 def _trust(states: dict[str, str]) -> float:
