--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -46,6 +46,7 @@
 if TYPE_CHECKING:
     from woadyard.net.recorder import Recorder
     from woadyard.net.reporter import Reporter
+
 LOG = logging.getLogger("woadyard")
 LIST_PATH = "/registry/instances"
 # Sockets of the listener, the watch of discovery and the event loop.
@@ -283,9 +284,8 @@
         # A process that replaces another has a lease, and must soon be ready.
         is_alone = slots is None or slots.is_alone
         if config.known_list["instances"] and (is_alone or discovery.uses_push):
-            await (
-                discovery.wait_for_first_list()
-            )  # the known list may be old, and a newer one applies from the start
+            # The known list may be old, and a newer one applies from the start.
+            await discovery.wait_for_first_list()
     upstream.count_client_connections, upstream.close_client_connection = (
         lambda: len(server.connections),
         server.release_connection,
