--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -27,7 +27,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from tests.lab import Lab, Program
-from tests.test_gossip import fails, sharing
+from tests.test_gossip import respond_500, start_sharing_sidecar
 from woadyard.interface import EJECTED
 from woadyard.net.gossip import MAX_RESPONSE_BYTES
 from woadyard.shared.store import VERDICT, SharedStore
@@ -105,7 +105,9 @@
     peers, found = await lab.service(), list[Program]()
     for at in range(0, size, 10):
         some = range(at, min(size, at + 10))
-        made = await asyncio.gather(*(sharing(lab, f"n{n}", peers, entries, **more) for n in some))
+        made = await asyncio.gather(
+            *(start_sharing_sidecar(lab, f"n{n}", peers, entries, **more) for n in some)
+        )
         found += [one for one, _, _ in made]
     await asyncio.gather(*(one.shows(f"woadyard_peers {size - 1}.0") for one in found))
     return found
@@ -134,7 +136,7 @@
 async def saving(size: int, seconds: float, share: float) -> None:
     """Attempts at a bad endpoint of 8; at a share of 0.01 no verdict lowers anything."""
     with TemporaryDirectory() as folder, closing(Lab(Path(folder))) as lab:
-        bad, good = await lab.endpoint(fails), await lab.endpoint()
+        bad, good = await lab.endpoint(respond_500), await lab.endpoint()
         entries = [bad.entry("s-0"), *(good.entry(f"s-{n}") for n in range(1, 8))]
         settings = {"interval-ms": INTERVAL_MS, "verdict-bound-ms": 10_000, "eject-share": share}
         sidecars = await fleet(lab, size, entries, **settings)
--- a/tests/test_experiment_sidecar.py
+++ b/tests/test_experiment_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar's part in an experiment: what it counts, and when it falls to control by itself."""
+"""A sidecar's part in an experiment: what it counts, and when it falls back to the control arm by itself."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from woadyard.net.experiment_counts import ExperimentCounts
 from woadyard.net.experiment_participant import ExperimentParticipant
 
-TOLD = {
+DIRECTIVE = {
     "revision": 3,
     "arms": [
         {"name": "a", "share": 0.5, "match": {"machineType": "x"}},
@@ -18,58 +18,70 @@
     "hold_ms": 2000,
     "slot_ms": 1000,
 }
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
-def began() -> tuple[ExperimentParticipant, list[Directive | None]]:
+def start_participant() -> tuple[ExperimentParticipant, list[Directive | None]]:
     counts = ExperimentCounts(lambda event: event.request % 2)
-    counts.settings_applied(0, Settings((RequestClass(aim_us=100_000, deadline_us=S),)), {})
+    counts.settings_applied(0, Settings((RequestClass(aim_us=100_000, deadline_us=SECOND_US),)), {})
     splits: list[Directive | None] = []
     return ExperimentParticipant(counts, splits.append, 0), splits
 
 
-def test_cut_off_it_serves_control_and_counts_nothing_until_told_again() -> None:
-    trials, splits = began()
-    assert trials.apply_directive(TOLD, S) == 3
-    trials.service_responded(2 * S)
-    assert not trials.hold_if_overdue(4 * S - 1) and trials.hold_deadline_us() == 4 * S
-    assert trials.hold_if_overdue(4 * S) and trials.revision == 0 and not trials.hold_if_overdue(5 * S)
+def test_without_responses_it_serves_control_and_counts_nothing_until_the_next_directive() -> None:
+    participant, splits = start_participant()
+    assert participant.apply_directive(DIRECTIVE, SECOND_US) == 3
+    participant.service_responded(2 * SECOND_US)
+    assert (
+        not participant.hold_if_overdue(4 * SECOND_US - 1) and participant.hold_deadline_us() == 4 * SECOND_US
+    )
+    assert (
+        participant.hold_if_overdue(4 * SECOND_US)
+        and participant.revision == 0
+        and not participant.hold_if_overdue(5 * SECOND_US)
+    )
     assert splits[-1] is not None and splits[-1].serve == "a"
-    trials.counts.request_accepted(5 * S, Arrival(1, 0, 6 * S))
-    assert trials.counts.report(5 * S) is None
-    trials.apply_directive(TOLD, 6 * S)
-    trials.counts.request_accepted(6 * S, Arrival(1, 0, 7 * S))
-    assert trials.revision == 3 and trials.counts.report(6 * S) is not None
-    trials.apply_directive({"revision": 4}, 7 * S)
-    assert splits[-1] is None and trials.hold_deadline_us() is None and trials.revision == 4
+    participant.counts.request_accepted(5 * SECOND_US, Arrival(1, 0, 6 * SECOND_US))
+    assert participant.counts.report(5 * SECOND_US) is None
+    participant.apply_directive(DIRECTIVE, 6 * SECOND_US)
+    participant.counts.request_accepted(6 * SECOND_US, Arrival(1, 0, 7 * SECOND_US))
+    assert participant.revision == 3 and participant.counts.report(6 * SECOND_US) is not None
+    participant.apply_directive({"revision": 4}, 7 * SECOND_US)
+    assert splits[-1] is None and participant.hold_deadline_us() is None and participant.revision == 4
 
 
-def test_counts_by_the_arm_assigned_at_arrival_and_by_the_answer() -> None:
-    trials, _ = began()
-    trials.apply_directive(TOLD, 0)
+def test_counts_by_the_arm_assigned_at_arrival_and_by_the_outcome() -> None:
+    participant, _ = start_participant()
+    participant.apply_directive(DIRECTIVE, 0)
     for request in range(8):
-        trials.counts.request_accepted(10, Arrival(request, 0, S))
-    # Good, late, failed, its caller left; the last four are under way.
-    for request, (status, after) in enumerate([(200, 5), (200, 200_000), (503, 5), (0, 5)]):
-        trials.counts.request_answered(10 + after, request, status)
-    told = trials.counts.report(20)
-    assert told is not None
-    by_arm = {row[3]: row[5:] for row in told["rows"]}
+        participant.counts.request_accepted(10, Arrival(request, 0, SECOND_US))
+    # Good, slow, failed, disconnected client; the last four are in flight.
+    for request, (status, delay_us) in enumerate([(200, 5), (200, 200_000), (503, 5), (0, 5)]):
+        participant.counts.request_answered(10 + delay_us, request, status)
+    evidence = participant.counts.report(20)
+    assert evidence is not None
+    by_arm = {row[3]: row[5:] for row in evidence["rows"]}
     assert by_arm == {"a": [2, 1, 1, 0, 4], "b": [2, 0, 0, 1, 4]}
-    trials.apply_directive({**TOLD, "serve": "b"}, 30)
-    trials.counts.request_accepted(40, Arrival(9, 0, S))
-    assert sum(row[9] for row in (trials.counts.report(50) or {})["rows"]) == 8
+    participant.apply_directive({**DIRECTIVE, "serve": "b"}, 30)
+    participant.counts.request_accepted(40, Arrival(9, 0, SECOND_US))
+    assert sum(row[9] for row in (participant.counts.report(50) or {})["rows"]) == 8
 
 
-def test_a_directive_that_is_none_changes_nothing() -> None:
-    trials, splits = began()
-    for bad in ({}, {**TOLD, "control": "c"}, {**TOLD, "arms": 5}, {**TOLD, "strange": 1}, None):
+def test_invalid_directive_changes_nothing() -> None:
+    participant, splits = start_participant()
+    for invalid in (
+        {},
+        {**DIRECTIVE, "control": "c"},
+        {**DIRECTIVE, "arms": 5},
+        {**DIRECTIVE, "strange": 1},
+        None,
+    ):
         with pytest.raises(PeerError):
-            trials.apply_directive(bad, S)
-    assert not splits and trials.revision == 0
+            participant.apply_directive(invalid, SECOND_US)
+    assert not splits and participant.revision == 0
 
 
-def test_an_arm_has_the_endpoints_with_every_value_named() -> None:
+def test_arm_matches_endpoints_that_have_all_its_values() -> None:
     entry = {"machineType": "x", "zone": "n"}
     assert Match(machine_type="x").of(entry) and Match(machine_type="x", zone="n").of(entry)
     assert not Match(machine_type="x", zone="s").of(entry) and not Match().of(entry)
--- a/woadyard/shared/store.py
+++ b/woadyard/shared/store.py
@@ -73,16 +73,16 @@
         self._put(entry)
 
     def _put(self, entry: SharedEntry) -> None:
-        entries = self.entries.setdefault(entry.origin, {})
-        entries[entry.kind, entry.key] = entry
-        if len(entries) > MAX_ENTRIES_PER_ORIGIN:  # drop the one published first
-            oldest = min(entries, key=lambda key: entries[key].seq)
-            del entries[oldest]
+        origin_entries = self.entries.setdefault(entry.origin, {})
+        origin_entries[entry.kind, entry.key] = entry
+        if len(origin_entries) > MAX_ENTRIES_PER_ORIGIN:  # drop the one published first
+            oldest = min(origin_entries, key=lambda kind_and_key: origin_entries[kind_and_key].seq)
+            del origin_entries[oldest]
 
     def fresh_entries(self, now: int, kind: str) -> Iterable[SharedEntry]:
         """Yield the entries of a kind that are neither expired nor withdrawn."""
-        for entries in self.entries.values():
-            for entry in entries.values():
+        for origin_entries in self.entries.values():
+            for entry in origin_entries.values():
                 if entry.kind == kind and entry.value is not None and now - entry.created_us <= entry.ttl_us:
                     yield entry
 
@@ -92,11 +92,11 @@
         An origin stays in the version vector for as long as peers may still send its entries,
         which is the longest TTL.
         """
-        for origin, entries in list(self.entries.items()):
-            for key, entry in list(entries.items()):
+        for origin, origin_entries in list(self.entries.items()):
+            for kind_and_key, entry in list(origin_entries.items()):
                 if now - entry.created_us > 2 * max(self.bounds_us.values()):
-                    del entries[key]
-            if not entries and origin != self.own_origin:
+                    del origin_entries[kind_and_key]
+            if not origin_entries and origin != self.own_origin:
                 del self.entries[origin], self.vector[origin]
 
     # --- Exchange ---------------------------------------------------------------------
@@ -107,9 +107,9 @@
         after a truncated response the peer's own vector says where to continue."""
         rows: list[list[Any]] = []
         size = 0
-        for origin, entries in self.entries.items():
+        for origin, origin_entries in self.entries.items():
             merged_seq = peer_vector.get(origin, 0)
-            for entry in sorted(entries.values(), key=lambda entry: entry.seq):
+            for entry in sorted(origin_entries.values(), key=lambda stored: stored.seq):
                 if entry.seq <= merged_seq or now - entry.created_us > entry.ttl_us:
                     continue
                 row = [
@@ -155,9 +155,11 @@
         A peer that merged a forged entry ignores this origin's entries up to its number.
         """
         if seq > self.vector[self.own_origin]:
-            for key, entry in sorted(self.entries[self.own_origin].items(), key=lambda pair: pair[1].seq):
+            for kind_and_key, entry in sorted(
+                self.entries[self.own_origin].items(), key=lambda pair: pair[1].seq
+            ):
                 seq += 1
-                self.entries[self.own_origin][key] = replace(entry, seq=seq)
+                self.entries[self.own_origin][kind_and_key] = replace(entry, seq=seq)
             self.vector[self.own_origin] = seq
 
     def _decode_entry(self, now: int, row: object, round_trip_us: int) -> SharedEntry:
@@ -170,11 +172,11 @@
             raise GossipMessageError("an entry's seq, ttl_us or age_us is not a non-negative integer")
         merged_seq = self.vector.get(origin)
         if seq > MAX_SEQ or (merged_seq is not None and seq > merged_seq + MAX_SEQ_STEP):
-            raise GossipMessageError(f"sequence number {seq} of {origin!r} is too far ahead")
+            raise GossipMessageError(f"{origin!r} can't have reached sequence number {seq}")
         if merged_seq is None and len(self.vector) >= MAX_ORIGINS:
             raise GossipMessageError("too many origins")
         if ttl_us > self.bounds_us[kind] or age_us > ttl_us:
-            raise GossipMessageError(f"an entry of {origin!r} has too long a TTL or has expired")
+            raise GossipMessageError(f"{origin!r} has an entry with too long a TTL, or an expired one")
         if len(json.dumps(value)) > MAX_VALUE_CHARS:
             raise GossipMessageError("an entry's value is too large")
         return SharedEntry(origin, seq, kind, key, value, ttl_us, now - age_us - round_trip_us)
