--- a/woadyard/net/gossip.py
+++ b/woadyard/net/gossip.py
@@ -71,12 +71,12 @@
         rng: random.Random,
         on_verdicts_changed: VerdictsListener,
         metrics: NullMetrics,
-        sidecar_state: Path | None = None,
+        state_file: Path | None = None,
     ) -> None:
         self.settings, self.name, self.rng = settings, name, rng
         self.on_verdicts_changed, self.metrics = on_verdicts_changed, metrics
         self.store = SharedStore(f"{name}@{secrets.token_hex(4)}", settings.bounds_us)
-        self.state_path = sidecar_state.with_suffix(".shared") if sidecar_state is not None else None
+        self.state_path = state_file.with_suffix(".shared") if state_file is not None else None
         self.peers: dict[str, tuple[str, int]] = {}  # by origin
         self.pulls: dict[str, asyncio.Task[None]] = {}
         self.own_verdicts: dict[str, tuple[str, int]] = {}  # state and time in µs, by key
--- a/woadyard/shared/store.py
+++ b/woadyard/shared/store.py
@@ -26,7 +26,7 @@
 VERDICT = "verdict"
 KINDS = (VERDICT,)
 MAX_NAME_CHARS, MAX_VALUE_CHARS = 128, 256  # characters of a name or key; of a value as JSON
-MAX_ENTRIES_PER_ORIGIN = 4_096  # of one origin
+MAX_ENTRIES_PER_ORIGIN = 4_096
 MAX_ORIGINS = 2_048
 # No origin publishes so many entries between two exchanges. A larger step is forged, and would
 # hide all entries of the origin until its sequence number has reached that value.
@@ -89,8 +89,8 @@
     def expire(self, now: int) -> None:
         """Remove entries older than twice the longest TTL, and origins without entries.
 
-        An origin stays in the version vector for as long as peers may still send its entries,
-        which is the longest TTL.
+        An origin stays in the version vector for the longest TTL after its entries have expired,
+        as peers may still send them.
         """
         for origin, origin_entries in list(self.entries.items()):
             for kind_and_key, entry in list(origin_entries.items()):
