--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -149,7 +149,7 @@
         reader, writer = await proxy.connect()
         raw = http_request("pay", LARGE_BODY)
         writer.write(raw[:70_000])
-        await wait_until(lambda: bool(proxy.upstream.connections))
+        await wait_until(lambda: bool(proxy.upstream.endpoint_connections))
         (connection,) = proxy.server.connections
         for offset in range(70_000, 70_000 + 5 * 40_000, 40_000):
             previous_timer = connection.request_timer
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -102,7 +102,7 @@
 
     def receive_response(self, raw: bytes) -> None:
         """Feed a response, as if it were read before the client's disconnect."""
-        (link,) = (link for link in self.proxy.upstream.connections if link.attempt is not None)
+        (link,) = (link for link in self.proxy.upstream.endpoint_connections if link.attempt is not None)
         link.feed_response(raw)
         self.fire()
 
@@ -126,7 +126,7 @@
         balancer = self.proxy.driver.balancer
         assert not balancer.requests and not balancer.finished
         assert all(each.inflight == each.transferring == 0 for each in balancer.endpoints.values())
-        assert all(link.attempt is None for link in self.proxy.upstream.connections)
+        assert all(link.attempt is None for link in self.proxy.upstream.endpoint_connections)
         assert not self.proxy.server.paused_clients.clients
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -340,7 +340,7 @@
             running.reload_with({**GOOD_FILE, "settings": {**SETTINGS, "invariants": {"drain-grace-us": 7}}})
             assert (
                 running.discovery.address == "127.0.0.1:9"
-                and running.sidecar.driver.in_force.drain_grace_us == 7
+                and running.sidecar.driver.active_settings.drain_grace_us == 7
             )
             running.reload_with(b"{")
             assert running.discovery.address == "127.0.0.1:9", "the last valid file stays in force"
