--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -27,7 +27,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from tests.lab import Lab, Program
-from tests.test_gossip import fails, sharing
+from tests.test_gossip import respond_500, start_sharing_sidecar
 from woadyard.interface import EJECTED
 from woadyard.net.gossip import MAX_RESPONSE_BYTES
 from woadyard.shared.store import VERDICT, SharedStore
@@ -54,7 +54,7 @@
     def pull(self, now: int, who: int, peer: int) -> None:
         mine, theirs = self.stores[who], self.stores[peer]
         rows = theirs.missing_entries(now, dict(mine.vector), MAX_RESPONSE_BYTES)
-        self.bytes += len(json.dumps({"from": mine.origin, "vector": mine.vector}))
+        self.bytes += len(json.dumps({"from": mine.own_origin, "vector": mine.vector}))
         self.bytes += len(json.dumps({"entries": rows}, separators=(",", ":")))
         mine.merge(now, rows, TRIP_US, self.known)
 
@@ -77,7 +77,7 @@
     times = HdrHistogram(1, 600_000_000, 3)
     for seed in range(runs):
         fleet = Pure(size, random.Random(seed), names)
-        first, waiting = fleet.stores[0].origin, set(range(1, size))
+        first, waiting = fleet.stores[0].own_origin, set(range(1, size))
         fleet.stores[0].publish(0, VERDICT, "1", EJECTED)
         while waiting:
             now = fleet.step()
@@ -105,7 +105,9 @@
     peers, found = await lab.service(), list[Program]()
     for at in range(0, size, 10):
         some = range(at, min(size, at + 10))
-        made = await asyncio.gather(*(sharing(lab, f"n{n}", peers, entries, **more) for n in some))
+        made = await asyncio.gather(
+            *(start_sharing_sidecar(lab, f"n{n}", peers, entries, **more) for n in some)
+        )
         found += [one for one, _, _ in made]
     await asyncio.gather(*(one.shows(f"woadyard_peers {size - 1}.0") for one in found))
     return found
@@ -134,7 +136,7 @@
 async def saving(size: int, seconds: float, share: float) -> None:
     """Attempts at a bad endpoint of 8; at a share of 0.01 no verdict lowers anything."""
     with TemporaryDirectory() as folder, closing(Lab(Path(folder))) as lab:
-        bad, good = await lab.endpoint(fails), await lab.endpoint()
+        bad, good = await lab.endpoint(respond_500), await lab.endpoint()
         entries = [bad.entry("s-0"), *(good.entry(f"s-{n}") for n in range(1, 8))]
         settings = {"interval-ms": INTERVAL_MS, "verdict-bound-ms": 10_000, "eject-share": share}
         sidecars = await fleet(lab, size, entries, **settings)
