--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -79,7 +79,7 @@
         stopper.add("one", 2 * index, at, "a", tried_a[index], good_a[index])
         stopper.add("one", 2 * index + 1, at, "b", tried_b[index], good_b[index])
         decision = stopper.decide(at)
-        if decision.final:
+        if decision.is_final:
             break
     return decision.state, decision.winner, sum(decision.tried.values())
 
--- a/tests/test_experiment_conductor.py
+++ b/tests/test_experiment_controller.py
@@ -6,10 +6,10 @@
 import numpy as np
 import pytest
 
-from woadyard.experiment.book import ExperimentsBook
-from woadyard.experiment.conductor import Conductor
-from woadyard.experiment.rules import State
-from woadyard.experiment.trial import Trial
+from woadyard.experiment.controller import ExperimentController
+from woadyard.experiment.experiment import Experiment
+from woadyard.experiment.state_machine import ExperimentsBook
+from woadyard.experiment.states import State
 from woadyard.registry.log import Journal
 from woadyard.registry.service import Registry
 
@@ -30,11 +30,13 @@
         self.registry.lead()
         self.behind: list[str] = []
         self.missing = 0.0
-        self.conductor = Conductor(self.registry, lambda: self.missing, lambda revision: self.behind)
+        self.conductor = ExperimentController(
+            self.registry, lambda: self.missing, lambda revision: self.behind
+        )
 
     @property
-    def trial(self) -> Trial:
-        return self.registry.book(ExperimentsBook).trials["one"]
+    def trial(self) -> Experiment:
+        return self.registry.book(ExperimentsBook).experiments["one"]
 
     def put(self, op: str, **fields: Any) -> None:
         self.registry.commit({"book": "experiments", "op": op, "name": "one", **fields})
@@ -89,7 +91,7 @@
     assert one.step() is State.WINNER
     one.behind = []
     assert one.step() is State.APPLIED
-    assert one.trial.told()["applied_after_ms"] == 1500
+    assert one.trial.summary()["applied_after_ms"] == 1500
 
 
 @pytest.mark.asyncio
@@ -107,6 +109,6 @@
     one.registry.commit({"book": "experiments", "op": "draft", "name": "two", "draft": DRAFT})
     one.registry.commit({"book": "experiments", "op": "start", "name": "two"})
     now[0] += 700 * S
-    two = one.registry.book(ExperimentsBook).trials["two"]
+    two = one.registry.book(ExperimentsBook).experiments["two"]
     one.conductor.step(two)
     assert two.state is State.EXPIRED
--- a/tests/test_experiment_sidecar.py
+++ b/tests/test_experiment_sidecar.py
@@ -71,6 +71,6 @@
 
 def test_an_arm_has_the_endpoints_with_every_value_named() -> None:
     entry = {"machineType": "x", "zone": "n"}
-    assert Match(machine_type="x").of(entry) and Match(machine_type="x", zone="n").of(entry)
-    assert not Match(machine_type="x", zone="s").of(entry) and not Match().of(entry)
-    assert not Match(label="blue").of(entry)
+    assert Match(machine_type="x").matches(entry) and Match(machine_type="x", zone="n").matches(entry)
+    assert not Match(machine_type="x", zone="s").matches(entry) and not Match().matches(entry)
+    assert not Match(label="blue").matches(entry)
--- a/tests/test_experiment_book.py
+++ b/tests/test_experiment_state_machine.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from woadyard.errors import LogEntryError
-from woadyard.experiment.book import ExperimentsBook
 from woadyard.experiment.messages import Directive, read_directive
 from woadyard.experiment.plan import Plan
-from woadyard.experiment.rules import Decision, State
+from woadyard.experiment.state_machine import ExperimentsBook
+from woadyard.experiment.states import Decision, State
 from woadyard.interface import Arrival, RequestClass, Settings
 from woadyard.net.experiment_counts import ExperimentCounts
 
@@ -35,7 +35,7 @@
 def sums(book: ExperimentsBook) -> dict[str, int]:
     active = book.active
     assert active is not None and active.evidence is not None
-    return active.evidence.tried()
+    return active.evidence.tried_by_arm()
 
 
 def test_a_decision_is_made_once_and_directs_all_traffic() -> None:
@@ -54,7 +54,7 @@
     other.load(msgspec.json.decode(msgspec.json.encode(book.dump())))
     assert other.dump() == book.dump() and other.directive() == directive
     put(other, "applied", 7.5)
-    assert other.trials["one"].told()["applied_after_ms"] == 2500
+    assert other.experiments["one"].summary()["applied_after_ms"] == 2500
     put(other, "close")
     assert other.active is None and other.directive() == Directive(3)
 
@@ -132,5 +132,5 @@
     put(book, "reshare", 1.0, shares=[0.2, 0.8])
     put(book, "evidence", 1.0, reports=[["s@1", raw, False], ["t@1", raw, True]])
     assert sums(book) == {}
-    assert book.trials["one"].told()["left_out"] == {"old revision": 10, "shut out": 10}
-    assert book.trials["one"].draft.plan == Plan()
+    assert book.experiments["one"].summary()["left_out"] == {"old revision": 10, "shut out": 10}
+    assert book.experiments["one"].draft.plan == Plan()
--- a/tests/test_experiment.py
+++ b/tests/test_experiment_stopper.py
@@ -30,7 +30,7 @@
     for row in told:
         stopper.add(*row)
         decision = stopper.decide(row[2])
-        if decision.final:
+        if decision.is_final:
             break
     return decision
 
@@ -103,7 +103,7 @@
         assert orderly.add(*row)
     for row in twice:
         other.add(*row)
-    assert other.repeated == 75 + 75
+    assert other.duplicates == 75 + 75
     one, two = orderly.decide(150.0), other.decide(150.0)
     assert (one.state, one.winner, one.tried) == (two.state, two.winner, two.tried)
     assert one.interval == pytest.approx(two.interval)
--- a/woadyard/experiment/__init__.py
+++ b/woadyard/experiment/__init__.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from woadyard.experiment.plan import Plan
-from woadyard.experiment.rules import Decision, State
+from woadyard.experiment.states import Decision, State
 
 if TYPE_CHECKING:
     from woadyard.experiment.stopper import Stopper
--- a/woadyard/experiment/cells.py
+++ b/woadyard/experiment/evidence_totals.py
@@ -12,65 +12,67 @@
 
 from woadyard.experiment.messages import Evidence, Row
 
-Key = tuple[int, str, str, str]  # slot, class, zone, arm
-SUMS = 5
-SLOTS_MOST = 65_536  # cells of the sum; later ones of a new slot are left out, and said
+CellKey = tuple[int, str, str, str]  # slot, class, zone, arm
+SUMS_PER_CELL = 5
+MAX_CELLS = 65_536  # cells of the sum; later ones of a new slot are left out, and said
 
 
 @dataclass
-class Source:
+class ReportSource:
     """One run of a sidecar: the cells that it may still tell of."""
 
-    low: int = 0
-    told: dict[int, tuple[Key, list[int]]] = field(default_factory=dict)
+    lowest_row: int = 0
+    reported: dict[int, tuple[CellKey, list[int]]] = field(default_factory=dict)
 
 
 @dataclass
-class Cells:
+class EvidenceTotals:
     """`sums` by cell are tried, good, failed, slow, drawn; `left_out` counts requests, by why; `touched`
     are the cells changed since the stopper was last fed."""
 
     slot_ms: int
-    sums: dict[Key, list[int]] = field(default_factory=dict)
-    sources: dict[str, Source] = field(default_factory=dict)
-    left_out: dict[str, int] = field(default_factory=dict)
-    touched: set[Key] = field(default_factory=set)
+    sums: dict[CellKey, list[int]] = field(default_factory=dict)
+    sources: dict[str, ReportSource] = field(default_factory=dict)
+    excluded: dict[str, int] = field(default_factory=dict)
+    changed: set[CellKey] = field(default_factory=set)
 
-    def take(
+    def merge_report(
         self, source: str, told: Evidence, at_ms: int, arms: Collection[str], revision: int, shut_out: bool
     ) -> None:
         """Evidence of one run that came at `at_ms`; counts of another revision are left out."""
-        known = self.sources.setdefault(source, Source())
+        known = self.sources.setdefault(source, ReportSource())
         for row in told.rows:
-            if row.k < known.low:
+            if row.k < known.lowest_row:
                 continue
-            key, had = known.told.get(row.k, (self._key(row, told.zone, at_ms), [0] * SUMS))
-            new = [max(one, was) for one, was in zip(_counts(row), had, strict=True)]
+            key, had = known.reported.get(row.k, (self._cell_key(row, told.zone, at_ms), [0] * SUMS_PER_CELL))
+            new = [max(one, was) for one, was in zip(_row_sums(row), had, strict=True)]
             more = [one - was for one, was in zip(new, had, strict=True)]
-            known.told[row.k] = key, new
-            if why := self._why_not(row, key, arms, revision, shut_out):
-                self.left_out[why] = self.left_out.get(why, 0) + more[4]
+            known.reported[row.k] = key, new
+            if why := self._exclusion_reason(row, key, arms, revision, shut_out):
+                self.excluded[why] = self.excluded.get(why, 0) + more[4]
             elif any(more):
-                sums = self.sums.setdefault(key, [0] * SUMS)
+                sums = self.sums.setdefault(key, [0] * SUMS_PER_CELL)
                 self.sums[key] = [one + plus for one, plus in zip(sums, more, strict=True)]
-                self.touched.add(key)
-        if told.low > known.low:
-            known.low = told.low
-            known.told = {k: one for k, one in known.told.items() if k >= told.low}
-
-    def _why_not(self, row: Row, key: Key, arms: Collection[str], revision: int, shut_out: bool) -> str:
+                self.changed.add(key)
+        if told.low > known.lowest_row:
+            known.lowest_row = told.low
+            known.reported = {k: one for k, one in known.reported.items() if k >= told.low}
+
+    def _exclusion_reason(
+        self, row: Row, key: CellKey, arms: Collection[str], revision: int, shut_out: bool
+    ) -> str:
         if shut_out:
             return "shut out"
         if row.revision != revision:
             return "old revision"
         if row.arm not in arms:
             return "no such arm"
-        return "no room" if key not in self.sums and len(self.sums) >= SLOTS_MOST else ""
+        return "no room" if key not in self.sums and len(self.sums) >= MAX_CELLS else ""
 
-    def _key(self, row: Row, zone: str, at_ms: int) -> Key:
+    def _cell_key(self, row: Row, zone: str, at_ms: int) -> CellKey:
         return max(at_ms - row.age_ms, 0) // self.slot_ms, row.cls, zone, row.arm
 
-    def tried(self) -> dict[str, int]:
+    def tried_by_arm(self) -> dict[str, int]:
         """Answered requests by arm."""
         found: dict[str, int] = {}
         for (_, _, _, arm), sums in self.sums.items():
@@ -82,29 +84,29 @@
             "slot_ms": self.slot_ms,
             "sums": [[*key, *sums] for key, sums in self.sums.items()],
             "sources": {
-                name: [one.low, [[k, *key, *sums] for k, (key, sums) in one.told.items()]]
+                name: [one.lowest_row, [[k, *key, *sums] for k, (key, sums) in one.reported.items()]]
                 for name, one in self.sources.items()
             },
-            "left_out": dict(self.left_out),
+            "left_out": dict(self.excluded),
         }
 
     @classmethod
-    def load(cls, raw: dict[str, Any]) -> Cells:
+    def load(cls, raw: dict[str, Any]) -> EvidenceTotals:
         """What `dump` gave; KeyError, TypeError or ValueError on anything else."""
         sources = {}
         for name, (low, told) in raw["sources"].items():
-            sources[str(name)] = Source(int(low), {int(k): _cell(cell) for k, *cell in told})
-        sums = dict(_cell(cell) for cell in raw["sums"])
+            sources[str(name)] = ReportSource(int(low), {int(k): _decode_cell(cell) for k, *cell in told})
+        sums = dict(_decode_cell(cell) for cell in raw["sums"])
         left_out = {str(why): int(count) for why, count in raw["left_out"].items()}
         return cls(int(raw["slot_ms"]), sums, sources, left_out, set(sums))
 
 
-def _counts(row: Row) -> list[int]:
+def _row_sums(row: Row) -> list[int]:
     return [row.tried, row.good, row.failed, row.slow, row.drawn]
 
 
-def _cell(raw: list[Any]) -> tuple[Key, list[int]]:
+def _decode_cell(raw: list[Any]) -> tuple[CellKey, list[int]]:
     slot, cls, zone, arm, *sums = raw
-    if len(sums) != SUMS:
-        raise ValueError(f"a cell has {SUMS} sums")
+    if len(sums) != SUMS_PER_CELL:
+        raise ValueError(f"a cell has {SUMS_PER_CELL} sums")
     return (int(slot), str(cls), str(zone), str(arm)), [int(one) for one in sums]
--- a/woadyard/experiment/trial.py
+++ b/woadyard/experiment/experiment.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from woadyard.errors import PlanError
-from woadyard.experiment.cells import Cells
+from woadyard.experiment.evidence_totals import EvidenceTotals
 from woadyard.experiment.messages import Arm, Directive, Match
 from woadyard.experiment.plan import Plan
-from woadyard.experiment.rules import Decision, State, step
+from woadyard.experiment.states import Decision, State, transition
 
 
 class Draft(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -36,42 +36,42 @@
 
 
 @dataclass
-class Trial:
+class Experiment:
     """Times are the writer's ms; `shares` have since when they hold."""
 
     name: str
     draft: Draft
     state: State = State.DRAFT
-    started: int = 0
-    shares: list[tuple[int, tuple[float, ...]]] = field(default_factory=list)
-    evidence: Cells | None = None
+    started_ms: int = 0
+    share_history: list[tuple[int, tuple[float, ...]]] = field(default_factory=list)
+    evidence: EvidenceTotals | None = None
     decision: Decision | None = None
-    decided: int = 0
-    applied: int | None = None  # when every serving sidecar acted on the decision
+    decided_ms: int = 0
+    applied_ms: int | None = None  # when every serving sidecar acted on the decision
 
     def start(self, at: int) -> None:
-        self.state = step(self.state, State.RUNNING)
-        self.started, self.evidence = at, Cells(self.draft.slot_ms)
-        self.shares = [(at, self.draft.plan.shares)]
+        self.state = transition(self.state, State.RUNNING)
+        self.started_ms, self.evidence = at, EvidenceTotals(self.draft.slot_ms)
+        self.share_history = [(at, self.draft.plan.shares)]
 
     def reshare(self, at: int, shares: Any) -> None:
-        told = self.draft.plan.share_list(shares)
+        told = self.draft.plan.normalized_shares(shares)
         if self.state is not State.RUNNING:
             raise PlanError(f"an experiment that is {self.state} has no shares to change")
-        self.shares.append((at, told))
+        self.share_history.append((at, told))
 
     def decide(self, at: int, decision: Decision) -> None:
         """Once: `step` refuses a second end."""
-        self.state = step(self.state, decision.state)
-        self.decision, self.decided = decision, at
+        self.state = transition(self.state, decision.state)
+        self.decision, self.decided_ms = decision, at
 
-    def apply(self, at: int) -> None:
-        self.state = step(self.state, State.APPLIED)
-        self.applied = at
+    def mark_applied(self, at: int) -> None:
+        self.state = transition(self.state, State.APPLIED)
+        self.applied_ms = at
 
     def close(self) -> None:
         """Its evidence goes; its decision stays on record."""
-        self.state = step(self.state, State.CLOSED)
+        self.state = transition(self.state, State.CLOSED)
         self.evidence = None
 
     def directive(self, revision: int) -> Directive:
@@ -79,8 +79,8 @@
         if self.state in (State.DRAFT, State.CLOSED):
             return Directive(revision)
         plan, draft = self.draft.plan, self.draft
-        serve = None if self.decision is None else self.decision.serves(plan.control)
-        shares = self.shares[-1][1]
+        serve = None if self.decision is None else self.decision.serving_arm(plan.control)
+        shares = self.share_history[-1][1]
         if serve is not None:
             shares = tuple(float(name == serve) for name in plan.arms)
         pairs = zip(plan.arms, shares, strict=True)
@@ -88,19 +88,19 @@
         salt = draft.salt or self.name
         return Directive(revision, salt, arms, plan.control, serve, draft.hold_ms, draft.slot_ms)
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """For operators: all but the cells."""
-        took = None if self.applied is None else self.applied - self.decided
+        took = None if self.applied_ms is None else self.applied_ms - self.decided_ms
         return {
             "name": self.name,
             "state": self.state,
-            "started": self.started,
-            "decided": self.decided,
-            "applied": self.applied,
+            "started": self.started_ms,
+            "decided": self.decided_ms,
+            "applied": self.applied_ms,
             "applied_after_ms": took,
             "decision": self.decision,
-            "tried": self.evidence.tried() if self.evidence else {},
-            "left_out": self.evidence.left_out if self.evidence else {},
+            "tried": self.evidence.tried_by_arm() if self.evidence else {},
+            "left_out": self.evidence.excluded if self.evidence else {},
             "plan": self.draft.plan,
         }
 
@@ -110,17 +110,17 @@
                 "name": self.name,
                 "draft": self.draft,
                 "state": self.state,
-                "started": self.started,
-                "shares": self.shares,
+                "started": self.started_ms,
+                "shares": self.share_history,
                 "decision": self.decision,
-                "decided": self.decided,
-                "applied": self.applied,
+                "decided": self.decided_ms,
+                "applied": self.applied_ms,
             }
         )
         return {**raw, "evidence": self.evidence.dump() if self.evidence else None}
 
     @classmethod
-    def load(cls, raw: dict[str, Any]) -> Trial:
+    def load(cls, raw: dict[str, Any]) -> Experiment:
         """What `dump` gave; KeyError, TypeError, ValueError or PlanError on anything else."""
         return cls(
             str(raw["name"]),
@@ -128,7 +128,7 @@
             State(raw["state"]),
             int(raw["started"]),
             msgspec.convert(raw["shares"], list[tuple[int, tuple[float, ...]]]),
-            Cells.load(raw["evidence"]) if raw["evidence"] is not None else None,
+            EvidenceTotals.load(raw["evidence"]) if raw["evidence"] is not None else None,
             msgspec.convert(raw["decision"], Decision | None),
             int(raw["decided"]),
             None if raw["applied"] is None else int(raw["applied"]),
--- a/woadyard/experiment/messages.py
+++ b/woadyard/experiment/messages.py
@@ -9,8 +9,8 @@
 from woadyard.errors import PeerError
 
 Count = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
-Name = Annotated[str, msgspec.Meta(pattern="^[A-Za-z0-9_.-]{1,64}$")]
-ROWS_MOST = 1024  # in one report
+Identifier = Annotated[str, msgspec.Meta(pattern="^[A-Za-z0-9_.-]{1,64}$")]
+MAX_ROWS = 1024  # in one report
 
 
 class Match(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True, rename="camel"):
@@ -20,14 +20,14 @@
     zone: str | None = None
     label: str | None = None
 
-    def of(self, entry: dict[str, Any]) -> bool:
+    def matches(self, entry: dict[str, Any]) -> bool:
         named = (("machineType", self.machine_type), ("zone", self.zone), ("label", self.label))
         wanted = [(key, value) for key, value in named if value is not None]
         return bool(wanted) and all(entry.get(key) == value for key, value in wanted)
 
 
 class Arm(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    name: Name
+    name: Identifier
     share: Annotated[float, msgspec.Meta(ge=0, le=1)]
     match: Match
 
@@ -51,7 +51,7 @@
     k: Count
     revision: Count
     age_ms: Count
-    arm: Name
+    arm: Identifier
     cls: Annotated[str, msgspec.Meta(max_length=64)]
     tried: Count
     good: Count
@@ -64,7 +64,7 @@
     """All cells that the service may not have for good; those below `low` are never told again."""
 
     low: Count
-    rows: Annotated[list[Row], msgspec.Meta(max_length=ROWS_MOST)] = []
+    rows: Annotated[list[Row], msgspec.Meta(max_length=MAX_ROWS)] = []
     zone: Annotated[str, msgspec.Meta(max_length=64)] = ""
     dropped: Count = 0  # requests that no room was left for
 
--- a/woadyard/experiment/plan.py
+++ b/woadyard/experiment/plan.py
@@ -10,7 +10,7 @@
 
 from woadyard.errors import PlanError
 
-MOST_ARMS = 8
+MAX_ARMS = 8
 DAY_S = 86_400.0
 
 
@@ -41,51 +41,51 @@
     ratio_slack: float = 0.0  # how far a realised share may lie off its plan (few, heavy keys)
 
     def __post_init__(self) -> None:
-        arms = self._names()
+        arms = self._checked_arms()
         force = msgspec.structs.force_setattr
         force(self, "arms", arms)
-        force(self, "shares", self._shares(arms))
+        force(self, "shares", self._checked_shares(arms))
         if not self.control:
             force(self, "control", arms[0])
         elif self.control not in arms:
             raise PlanError(f"the control {self.control!r} is none of the arms {', '.join(arms)}")
         for name in ("alpha", "alpha_harm", "alpha_ratio"):
-            self._within(name, 0.0, 0.5)
+            self._check_range(name, 0.0, 0.5)
         for name in ("smallest_difference", "harm_failed", "harm_slow"):
-            self._within(name, 0.0, 1.0)
+            self._check_range(name, 0.0, 1.0)
         for name in ("harm_good", "missing_share", "ratio_slack"):
-            self._within(name, 0.0, 1.0, closed=True)
+            self._check_range(name, 0.0, 1.0, closed=True)
         for name in ("minimum_s", "minimum_tried", "minimum_units", "maximum_s"):
-            self._within(name, 0.0, math.inf, closed=True)
+            self._check_range(name, 0.0, math.inf, closed=True)
         if self.maximum_s <= self.minimum_s:
             raise PlanError("maximum_s is not above minimum_s")
 
     @property
-    def budget(self) -> float:
+    def total_alpha(self) -> float:
         """The chance that any of the plan's errors is made, at most."""
         return self.alpha + self.alpha_harm + self.alpha_ratio
 
-    def share_list(self, shares: Any) -> tuple[float, ...]:
+    def normalized_shares(self, shares: Any) -> tuple[float, ...]:
         """Shares as the plan keeps them, by arm; `PlanError` where they are none."""
-        return _share_list(self.arms, shares)
+        return _normalized_shares(self.arms, shares)
 
-    def _names(self) -> tuple[str, ...]:
+    def _checked_arms(self) -> tuple[str, ...]:
         arms: Any = self.arms
         if isinstance(arms, str) or not isinstance(arms, Sequence):
             raise PlanError("arms are not a list of names")
-        if not 2 <= len(arms) <= MOST_ARMS:
-            raise PlanError(f"a plan has 2 to {MOST_ARMS} arms, not {len(arms)}")
+        if not 2 <= len(arms) <= MAX_ARMS:
+            raise PlanError(f"a plan has 2 to {MAX_ARMS} arms, not {len(arms)}")
         if not all(isinstance(name, str) and name for name in arms) or len(set(arms)) != len(arms):
             raise PlanError("arms need names, each another")
         return tuple(arms)
 
-    def _shares(self, arms: tuple[str, ...]) -> tuple[float, ...]:
+    def _checked_shares(self, arms: tuple[str, ...]) -> tuple[float, ...]:
         shares: Any = self.shares
         if shares is None or (not isinstance(shares, Mapping) and len(shares) == 0):
             return (1.0 / len(arms),) * len(arms)
-        return _share_list(arms, shares)
+        return _normalized_shares(arms, shares)
 
-    def _within(self, name: str, low: float, high: float, closed: bool = False) -> None:
+    def _check_range(self, name: str, low: float, high: float, closed: bool = False) -> None:
         raw: Any = getattr(self, name)
         try:
             value = float(raw)
@@ -97,7 +97,7 @@
         msgspec.structs.force_setattr(self, name, int(value) if isinstance(raw, int) else value)
 
 
-def _share_list(arms: tuple[str, ...], shares: Any) -> tuple[float, ...]:
+def _normalized_shares(arms: tuple[str, ...], shares: Any) -> tuple[float, ...]:
     try:
         if isinstance(shares, Mapping):
             if set(shares) != set(arms):
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -24,44 +24,44 @@
 from woadyard.audit.position import parse
 from woadyard.audit.service import audit_of
 from woadyard.errors import PeerError, PlanError
-from woadyard.experiment.book import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsBook
-from woadyard.experiment.conductor import Conductor
+from woadyard.experiment.controller import ExperimentController
+from woadyard.experiment.experiment import Draft, Experiment
 from woadyard.experiment.messages import read_evidence
-from woadyard.experiment.rules import Decision, State
-from woadyard.experiment.trial import Draft, Trial
+from woadyard.experiment.state_machine import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsBook
+from woadyard.experiment.states import Decision, State
 from woadyard.registry.answers import answer, at_writer, body, query
 from woadyard.registry.book import Record
 from woadyard.registry.service import Registry
 
 PATH = "/registry/experiments"
-SILENT_MS = 5_000  # a sidecar not heard for so long: its evidence is missing
+REPORT_TIMEOUT_MS = 5_000  # a sidecar not heard for so long: its evidence is missing
 LOG = logging.getLogger(__name__)
 
 
-class Why(msgspec.Struct):
+class StopRequest(msgspec.Struct):
     why: str = "no reason given"
 
 
-class Experiments:
+class ExperimentsApi:
     """The handlers of the calls, and what goes through the audit."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
-        self.conductor = Conductor(registry, self.missing, self.older)
+        self.controller = ExperimentController(registry, self.missing_share, self.sidecars_behind)
         audit = audit_of(registry)
-        audit.batches.sinks.append(self.sink)
-        audit.watchman.directives["experiment"] = self.directive
+        audit.batches.sinks.append(self.evidence_records)
+        audit.watchman.directives["experiment"] = self.encoded_directive
 
     @property
-    def book(self) -> ExperimentsBook:
+    def experiments_state(self) -> ExperimentsBook:
         return self.registry.book(ExperimentsBook)
 
     # --- Through the audit ------------------------------------------------------------
 
-    def sink(self, batch: Sequence[Report]) -> list[Record]:
+    def evidence_records(self, batch: Sequence[Report]) -> list[Record]:
         """The evidence in a batch of reports as one record; none where nothing is to be counted."""
-        self.conductor.wake()
-        active = self.book.active
+        self.controller.ensure_running()
+        active = self.experiments_state.active
         if active is None or active.state is not State.RUNNING:
             return []
         told, book = [], self.registry.book(AuditBook)
@@ -77,18 +77,18 @@
             told.append([source, report.evidence, book.shut_out(report.name)])
         return [{"book": ExperimentsBook.name, "op": EVIDENCE, "reports": told}] if told else []
 
-    def directive(self, name: str) -> dict[str, Any] | None:
-        told = self.book.directive()
+    def encoded_directive(self, name: str) -> dict[str, Any] | None:
+        told = self.experiments_state.directive()
         return None if told is None else msgspec.to_builtins(told)
 
-    def missing(self) -> float:
+    def missing_share(self) -> float:
         """The share of the sidecars that run whose evidence is not there."""
         book, now = self.registry.book(AuditBook), self.registry.clock() // 1000
         live = questions.live(book)
-        gone = [one for one in live if now - one.heard_at > SILENT_MS or book.shut_out(one.name)]
+        gone = [one for one in live if now - one.heard_at > REPORT_TIMEOUT_MS or book.shut_out(one.name)]
         return len(gone) / len(live) if live else 1.0
 
-    def older(self, revision: int) -> list[str]:
+    def sidecars_behind(self, revision: int) -> list[str]:
         """Sidecars that serve and don't act on this revision yet."""
         book = self.registry.book(AuditBook)
         live = [one for one in questions.live(book) if not book.shut_out(one.name)]
@@ -96,62 +96,75 @@
 
     # --- Calls ------------------------------------------------------------------------
 
-    async def all(self, request: web.Request) -> web.StreamResponse:
-        told = [one.told() for one in self.book.trials.values()]
-        return answer({"revision": self.book.revision, "experiments": told, "forgotten": self.book.forgotten})
-
-    async def one(self, request: web.Request) -> web.StreamResponse:
-        trial = self._trial(request)
-        active = trial is self.book.active
-        look = self.conductor.latest if active else None
-        older = self.older(self.book.revision) if active else []
-        return answer({**trial.told(), "look": look, "revision": self.book.revision, "not_yet": older})
-
-    async def draft(self, request: web.Request) -> web.StreamResponse:
+    async def list_experiments(self, request: web.Request) -> web.StreamResponse:
+        told = [one.summary() for one in self.experiments_state.experiments.values()]
+        return answer(
+            {
+                "revision": self.experiments_state.revision,
+                "experiments": told,
+                "forgotten": self.experiments_state.discarded,
+            }
+        )
+
+    async def get_experiment(self, request: web.Request) -> web.StreamResponse:
+        trial = self._find_experiment(request)
+        active = trial is self.experiments_state.active
+        look = self.controller.latest_decision if active else None
+        older = self.sidecars_behind(self.experiments_state.revision) if active else []
+        return answer(
+            {**trial.summary(), "look": look, "revision": self.experiments_state.revision, "not_yet": older}
+        )
+
+    async def create_draft(self, request: web.Request) -> web.StreamResponse:
         told = await body(request, Draft)
-        return self._write(request, {"op": DRAFT, "draft": msgspec.to_builtins(told)})
+        return self._commit(request, {"op": DRAFT, "draft": msgspec.to_builtins(told)})
 
     async def start(self, request: web.Request) -> web.StreamResponse:
-        return self._write(request, {"op": START})
+        return self._commit(request, {"op": START})
 
     async def close(self, request: web.Request) -> web.StreamResponse:
-        return self._write(request, {"op": CLOSE})
+        return self._commit(request, {"op": CLOSE})
 
-    async def shares(self, request: web.Request) -> web.StreamResponse:
-        return self._write(request, {"op": RESHARE, "shares": await body(request, list[float])})
+    async def change_shares(self, request: web.Request) -> web.StreamResponse:
+        return self._commit(request, {"op": RESHARE, "shares": await body(request, list[float])})
 
     async def stop(self, request: web.Request) -> web.StreamResponse:
-        why, trial = query(request, Why).why, self._trial(request)
+        why, trial = query(request, StopRequest).why, self._find_experiment(request)
         now_s = self.registry.clock() / 1e6
-        latest = self.conductor.latest
+        latest = self.controller.latest_decision
         interval = latest.interval if latest is not None else (-1.0, 1.0)
-        self.conductor.decide(trial, Decision(State.STOPPED, None, interval, why, now_s))
-        return answer(trial.told())
+        self.controller.commit_decision(trial, Decision(State.STOPPED, None, interval, why, now_s))
+        return answer(trial.summary())
 
-    def _trial(self, request: web.Request) -> Trial:
+    def _find_experiment(self, request: web.Request) -> Experiment:
         name = request.match_info["name"]
-        if (trial := self.book.trials.get(name)) is None:
+        if (trial := self.experiments_state.experiments.get(name)) is None:
             raise PlanError(f"no such experiment: {name!r}", f"see GET {PATH}")
         return trial
 
-    def _write(self, request: web.Request, record: dict[str, Any]) -> web.StreamResponse:
+    def _commit(self, request: web.Request, record: dict[str, Any]) -> web.StreamResponse:
         name = request.match_info["name"]
         self.registry.commit({"book": ExperimentsBook.name, "name": name, **record})
-        self.conductor.wake()
-        return answer(self.book.trials[name].told())
+        self.controller.ensure_running()
+        return answer(self.experiments_state.experiments[name].summary())
 
 
-_ALL: WeakKeyDictionary[Registry, Experiments] = WeakKeyDictionary()
+_APIS: WeakKeyDictionary[Registry, ExperimentsApi] = WeakKeyDictionary()
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    if registry not in _ALL:
-        _ALL[registry] = Experiments(registry)
-    calls, one = _ALL[registry], PATH + "/{name}"
-    writes = {"": calls.draft, "/start": calls.start, "/stop": calls.stop, "/shares": calls.shares}
+    if registry not in _APIS:
+        _APIS[registry] = ExperimentsApi(registry)
+    calls, one = _APIS[registry], PATH + "/{name}"
+    writes = {
+        "": calls.create_draft,
+        "/start": calls.start,
+        "/stop": calls.stop,
+        "/shares": calls.change_shares,
+    }
     writes["/close"] = calls.close
     return [
-        web.get(PATH, calls.all),
-        web.get(one, calls.one),
+        web.get(PATH, calls.list_experiments),
+        web.get(one, calls.get_experiment),
         *(web.post(one + path, at_writer(registry, handler)) for path, handler in writes.items()),
     ]
--- a/woadyard/experiment/book.py
+++ b/woadyard/experiment/state_machine.py
@@ -18,14 +18,22 @@
 import msgspec
 
 from woadyard.errors import LogEntryError, PeerError, PlanError
-from woadyard.experiment.messages import Directive, Name, read_evidence
-from woadyard.experiment.rules import Decision, State
-from woadyard.experiment.trial import Draft, Trial
+from woadyard.experiment.experiment import Draft, Experiment
+from woadyard.experiment.messages import Directive, Identifier, read_evidence
+from woadyard.experiment.states import Decision, State
 
 DRAFT, START, RESHARE, EVIDENCE = "draft", "start", "reshare", "evidence"
 DECIDE, APPLIED, CLOSE = "decide", "applied", "close"
-KEPT_MOST = 100  # experiments; the oldest closed ones go first
-_BAD = (KeyError, TypeError, ValueError, AttributeError, PlanError, PeerError, msgspec.ValidationError)
+MAX_EXPERIMENTS = 100  # experiments; the oldest closed ones go first
+_INVALID_ENTRY_ERRORS = (
+    KeyError,
+    TypeError,
+    ValueError,
+    AttributeError,
+    PlanError,
+    PeerError,
+    msgspec.ValidationError,
+)
 
 
 class ExperimentsBook:
@@ -34,15 +42,15 @@
     name = "experiments"
 
     def __init__(self) -> None:
-        self.trials: dict[str, Trial] = {}
+        self.experiments: dict[str, Experiment] = {}
         self.revision = 0
-        self.forgotten = 0
+        self.discarded = 0
 
     @property
-    def active(self) -> Trial | None:
+    def active(self) -> Experiment | None:
         """The one that sidecars act on."""
         idle = (State.DRAFT, State.CLOSED)
-        return next((one for one in self.trials.values() if one.state not in idle), None)
+        return next((one for one in self.experiments.values() if one.state not in idle), None)
 
     def directive(self) -> Directive | None:
         """What sidecars are to act on; None where there never was an experiment."""
@@ -57,34 +65,34 @@
         """On a copy of the one experiment that the record changes; evidence is only read."""
         try:
             if record["op"] == EVIDENCE:
-                self._reports(record)
+                self._decode_reports(record)
                 return
-            old = self.trials.get(record["name"])
-            self._change(old and Trial.load(old.dump()), record)
-        except _BAD as error:
-            raise _refused(error) from None
+            old = self.experiments.get(record["name"])
+            self._transition(old and Experiment.load(old.dump()), record)
+        except _INVALID_ENTRY_ERRORS as error:
+            raise _entry_error(error) from None
 
     def apply(self, record: Mapping[str, Any]) -> bool:
         try:
             if record["op"] == EVIDENCE:
-                self._evidence(record)
+                self._apply_evidence(record)
                 return False
-            trial = self._change(self.trials.get(record["name"]), record)
-        except _BAD as error:
-            raise _refused(error) from None
-        self.trials[trial.name] = trial
+            trial = self._transition(self.experiments.get(record["name"]), record)
+        except _INVALID_ENTRY_ERRORS as error:
+            raise _entry_error(error) from None
+        self.experiments[trial.name] = trial
         self.revision += record["op"] in (START, RESHARE, DECIDE, CLOSE)
-        self._bound()
+        self._discard_oldest()
         return True
 
-    def _change(self, trial: Trial | None, record: Mapping[str, Any]) -> Trial:
+    def _transition(self, trial: Experiment | None, record: Mapping[str, Any]) -> Experiment:
         """The trial after the record, which may be the very one given."""
         op, at = record["op"], int(record["at"]) // 1000
         if op == DRAFT:
-            name = msgspec.convert(record["name"], Name)
+            name = msgspec.convert(record["name"], Identifier)
             if trial is not None and trial.state is not State.DRAFT:
                 raise PlanError(f"there is an experiment {name!r} that is {trial.state}", "take another name")
-            return Trial(name, msgspec.convert(record["draft"], Draft))
+            return Experiment(name, msgspec.convert(record["draft"], Draft))
         if trial is None:
             raise PlanError(f"no such experiment: {record['name']!r}", "see GET /registry/experiments")
         if op == START:
@@ -96,43 +104,43 @@
         elif op == DECIDE:
             trial.decide(at, msgspec.convert(record["decision"], Decision))
         elif op == APPLIED:
-            trial.apply(at)
+            trial.mark_applied(at)
         elif op == CLOSE:
             trial.close()
         else:
             raise PlanError(f"the experiments have no {op!r}")
         return trial
 
-    def _reports(self, record: Mapping[str, Any]) -> list[tuple[str, Any, bool]]:
+    def _decode_reports(self, record: Mapping[str, Any]) -> list[tuple[str, Any, bool]]:
         told = msgspec.convert(record["reports"], list[tuple[str, Any, bool]])
         return [(source, read_evidence(raw), out) for source, raw, out in told]
 
-    def _evidence(self, record: Mapping[str, Any]) -> None:
-        reports, at, trial = self._reports(record), int(record["at"]) // 1000, self.active
+    def _apply_evidence(self, record: Mapping[str, Any]) -> None:
+        reports, at, trial = self._decode_reports(record), int(record["at"]) // 1000, self.active
         if trial is None or trial.evidence is None or trial.state is not State.RUNNING:
             return  # late: what ended is decided
         for source, told, out in reports:
-            trial.evidence.take(source, told, at, trial.draft.plan.arms, self.revision, out)
+            trial.evidence.merge_report(source, told, at, trial.draft.plan.arms, self.revision, out)
 
-    def _bound(self) -> None:
-        closed = [name for name, one in self.trials.items() if one.state is State.CLOSED]
-        for name in closed[: max(len(self.trials) - KEPT_MOST, 0)]:
-            del self.trials[name]
-            self.forgotten += 1
+    def _discard_oldest(self) -> None:
+        closed = [name for name, one in self.experiments.items() if one.state is State.CLOSED]
+        for name in closed[: max(len(self.experiments) - MAX_EXPERIMENTS, 0)]:
+            del self.experiments[name]
+            self.discarded += 1
 
     def dump(self) -> dict[str, Any]:
-        trials = [one.dump() for one in self.trials.values()]
-        return {"revision": self.revision, "forgotten": self.forgotten, "trials": trials}
+        trials = [one.dump() for one in self.experiments.values()]
+        return {"revision": self.revision, "forgotten": self.discarded, "trials": trials}
 
     def load(self, raw: Any) -> None:
         try:
-            trials = {one["name"]: Trial.load(one) for one in raw["trials"]}
+            trials = {one["name"]: Experiment.load(one) for one in raw["trials"]}
             revision, forgotten = int(raw["revision"]), int(raw["forgotten"])
-        except _BAD as error:
-            raise _refused(error) from None
-        self.trials, self.revision, self.forgotten = trials, revision, forgotten
+        except _INVALID_ENTRY_ERRORS as error:
+            raise _entry_error(error) from None
+        self.experiments, self.revision, self.discarded = trials, revision, forgotten
 
 
-def _refused(error: BaseException) -> LogEntryError:
+def _entry_error(error: BaseException) -> LogEntryError:
     remedy = error.remedy if isinstance(error, PlanError) else None
     return LogEntryError(str(error) if isinstance(error, PlanError) else f"no such record: {error!r}", remedy)
--- a/woadyard/experiment/rules.py
+++ b/woadyard/experiment/states.py
@@ -23,21 +23,21 @@
 
 
 # How an experiment may end; an end is never taken back.
-ENDS = (State.WINNER, State.NO_DIFFERENCE, State.HARMFUL, State.INVALID, State.EXPIRED, State.STOPPED)
+END_STATES = (State.WINNER, State.NO_DIFFERENCE, State.HARMFUL, State.INVALID, State.EXPIRED, State.STOPPED)
 
-_WAYS: dict[State, tuple[State, ...]] = {
+_TRANSITIONS: dict[State, tuple[State, ...]] = {
     State.DRAFT: (State.RUNNING, State.CLOSED),
-    State.RUNNING: ENDS,
-    **{end: (State.APPLIED,) for end in ENDS},
+    State.RUNNING: END_STATES,
+    **{end: (State.APPLIED,) for end in END_STATES},
     State.APPLIED: (State.CLOSED,),
     State.CLOSED: (),
 }
 
 
-def step(old: State, new: State) -> State:
+def transition(old: State, new: State) -> State:
     """`new`; `PlanError` where the rules have no way there from `old`."""
-    if new not in _WAYS[old]:
-        ways = ", ".join(_WAYS[old]) or "nothing"
+    if new not in _TRANSITIONS[old]:
+        ways = ", ".join(_TRANSITIONS[old]) or "nothing"
         raise PlanError(f"an experiment that is {old} can't become {new}", f"from here it may become: {ways}")
     return new
 
@@ -56,9 +56,9 @@
     missing: float = 0.0  # share of the fleet's evidence not there at this look
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         return self.state is not State.RUNNING
 
-    def serves(self, control: str) -> str:
+    def serving_arm(self, control: str) -> str:
         """The arm that all traffic goes to after this end."""
         return self.winner or control
--- a/woadyard/net/experiment_arms.py
+++ b/woadyard/net/experiment_arms.py
@@ -60,7 +60,8 @@
         arm_by_endpoint: dict[int, int] = {}
         for number, entry in self.entries.items():
             arm_index = next(
-                (index for index, candidate in enumerate(experiment.arms) if candidate.match.of(entry)), None
+                (index for index, candidate in enumerate(experiment.arms) if candidate.match.matches(entry)),
+                None,
             )
             if arm_index is not None:
                 arm_by_endpoint[number] = arm_index
--- a/woadyard/net/experiment_counts.py
+++ b/woadyard/net/experiment_counts.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from woadyard.experiment.messages import ROWS_MOST, Directive, Evidence, Row
+from woadyard.experiment.messages import MAX_ROWS, Directive, Evidence, Row
 from woadyard.interface import Arrival, Outcome, Send, Settings
 
 FAILED_STATUS = 500  # this status and those above
@@ -95,7 +95,7 @@
 
     def _find_or_add_slot(self, key: tuple[int, int, int, int], told: Directive) -> SlotCounts | None:
         cell = self.slot_counts.get(key)
-        if cell is None and len(self.slot_counts) < ROWS_MOST:
+        if cell is None and len(self.slot_counts) < MAX_ROWS:
             self.last_slot_number += 1
             cls = str(key[3])
             began = key[1] * told.slot_ms * 1000
--- a/woadyard/registry/books.py
+++ b/woadyard/registry/books.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from woadyard.audit.ledger import AuditBook
-from woadyard.experiment.book import ExperimentsBook
+from woadyard.experiment.state_machine import ExperimentsBook
 from woadyard.limits import LimitsBook
 from woadyard.lists import ListBook
 from woadyard.registry.book import Book
