--- a/tests/test_experiment_sidecar.py
+++ b/tests/test_experiment_sidecar.py
@@ -83,6 +83,6 @@
 
 def test_arm_matches_endpoints_that_have_all_its_values() -> None:
     entry = {"machineType": "x", "zone": "n"}
-    assert Match(machine_type="x").of(entry) and Match(machine_type="x", zone="n").of(entry)
-    assert not Match(machine_type="x", zone="s").of(entry) and not Match().of(entry)
-    assert not Match(label="blue").of(entry)
+    assert Match(machine_type="x").matches(entry) and Match(machine_type="x", zone="n").matches(entry)
+    assert not Match(machine_type="x", zone="s").matches(entry) and not Match().matches(entry)
+    assert not Match(label="blue").matches(entry)
