--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -107,7 +107,7 @@
         some = range(at, min(size, at + 10))
         made = await asyncio.gather(*(sharing(lab, f"n{n}", peers, entries, **more) for n in some))
         found += [one for one, _, _ in made]
-    await asyncio.gather(*(one.shows(f"woadyard_peers {size - 1}.0") for one in found))
+    await asyncio.gather(*(one.wait_metric(f"woadyard_peers {size - 1}.0") for one in found))
     return found
 
 
@@ -119,7 +119,7 @@
         settings = {"interval-ms": INTERVAL_MS, "verdict-bound-ms": 10_000}
         sidecars = await fleet(lab, size, entries, **settings)
         for act in ("detach", "attach"):  # put back it is cold, which is told
-            await lab.call(sidecars[0].door, "POST", f"/_endpoints/{act}", "s-1")
+            await lab.call(sidecars[0].admin_port, "POST", f"/_endpoints/{act}", "s-1")
         began = time.perf_counter()
 
         async def hears(one: Program) -> None:
@@ -141,7 +141,7 @@
         bad.received.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await asyncio.gather(*(one.load(2, 0.1) for one in sidecars))
+                await asyncio.gather(*(one.run_load(2, 0.1) for one in sidecars))
         statuses = sum((one.statuses for one in sidecars), Counter[int]())
     print(
         f"saving, {size} sidecars, {seconds:.0f} s, verdicts {'heeded' if share > 0.1 else 'not heeded'}: "
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -150,7 +150,7 @@
     replica = await lab.service("replica", writer)
     try:
         async with asyncio.timeout(RECOVERY_S):
-            await replica.said("following")
+            await replica.wait_logged("following")
         took = time.perf_counter() - began
         notes.add("recovery", shape, {"replica_s": took, "replica_reached_share": 1.0})
     except TimeoutError:
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -65,7 +65,7 @@
     async def start(self, phase: str, size: int) -> None:
         self.origins = [self.python(f"o{n}", "benchmarks.scale.origin") for n in range(ORIGINS)]
         for one in self.origins:
-            one.port = (await one.said("listening"))["port"]
+            one.port = (await one.wait_logged("listening"))["port"]
         service = await self.lab.service()
         listed = listings.entries(size, [one.port for one in self.origins])
         for at in range(0, size, REGISTER_AT_ONCE):
@@ -73,7 +73,7 @@
             each = (self.lab.register(service, one["instanceId"], one, LEASE_MS) for one in some)
             await asyncio.gather(*each)
         self.sidecar = await self.lab.sidecar(discovery=service, settings=settings(phase, size))
-        await self.sidecar.shows(f"woadyard_list_version {float(size)}")
+        await self.sidecar.wait_metric(f"woadyard_list_version {float(size)}")
 
     async def counts(self) -> dict[str, int]:
         """Of the sidecar's connections to the endpoints."""
@@ -84,12 +84,12 @@
         """The driver's figures, with what the sidecar used while they were taken."""
         driver = self.python("driver", "benchmarks.scale.openloop", msgspec.json.encode(plan).decode())
         pid = self.sidecar.process.pid
-        await driver.said("warm")
+        await driver.wait_logged("warm")
         cpu, stolen, before = usage.cpu_s(pid), usage.Steal(), await self.counts()
-        await driver.said("sent")
+        await driver.wait_logged("sent")
         cpu, steal, after = usage.cpu_s(pid) - cpu, stolen.share(), await self.counts()
-        found = await driver.said("measured")
-        await driver.ended()
+        found = await driver.wait_logged("measured")
+        await driver.wait_exit()
         return {
             **found, "steal": steal, "cpu_s": cpu, "rss_bytes": usage.rss_bytes(pid),
             "connects": after["taken"] - before["taken"], "open": after["open"],
--- a/benchmarks/scale/phases.py
+++ b/benchmarks/scale/phases.py
@@ -173,7 +173,7 @@
 async def writer_killed(world: World, length_s: float) -> list[Asked]:
     """Killed at once, and not replaced; a change a second is asked for all the same."""
     world.writer.process.kill()
-    await world.writer.ended()
+    await world.writer.wait_exit()
     asked: list[Asked] = []
     began = time.monotonic()
     for n in range(int(length_s / CHANGE_S)):
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -147,7 +147,7 @@
         links = [await self._link(n) for n in range(len(DELAYS_MS) if self.regional else REPLICAS)]
         self.replicas = [await self.lab.service(f"replica-{n}", one) for n, one in enumerate(links)]
         for one in self.replicas:
-            await one.said("following")
+            await one.wait_logged("following")
         for n in range(ENDPOINTS if self.real else 0):
             self._endpoint(n)
         await self._begin_hollow()
@@ -159,7 +159,7 @@
         words = ["woadyard.standins", "proxy", "--target", f"127.0.0.1:{self.writer.port}"]
         words += ["--delay-ms", DELAYS_MS[n], "--seed", str(self.seed)]
         link = self.lab.run(Program(f"link-{n}", self.lab.folder / "links", words, dict(self.writer.environ)))
-        return int((await link.said("listening"))["port"])
+        return int((await link.wait_logged("listening"))["port"])
 
     def _endpoint(self, n: int) -> None:
         words = ["woadyard.standins", "endpoint", "--discovery", f"127.0.0.1:{self.writer.port}"]
@@ -186,7 +186,7 @@
                 settings={**SETTINGS, "zones": ["here", *names.ZONES]},
             )  # fmt: skip
             self.sidecars.append(one)
-            self.loads.append(asyncio.get_running_loop().create_task(one.load(1, LOAD_PAUSE_S)))
+            self.loads.append(asyncio.get_running_loop().create_task(one.run_load(1, LOAD_PAUSE_S)))
 
     # --- Orders to the hollow sidecars ------------------------------------------------
 
--- a/tests/election_world.py
+++ b/tests/election_world.py
@@ -8,21 +8,21 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from woadyard.registry.copies import Copies
 from woadyard.registry.election import (
     FOLLOWER,
     LEADER,
     MEMBER,
     NEW,
-    Ask,
     Ballot,
-    Call,
     Election,
-    Log,
+    ElectionResponse,
+    LogState,
     Message,
-    Reply,
+    OutgoingMessage,
     Timing,
+    VoteRequest,
 )
+from woadyard.registry.replication_progress import ReplicationProgress
 
 TICK_S, POLL_S, CALL_S = 0.05, 0.25, 1.0
 TIMING = Timing()
@@ -45,14 +45,14 @@
         self.world, self.address, self.disk = world, address, disk
         peers = [one for one in world.addresses if one != address]
         self.election = Election(disk.name, peers, disk.ballot, self.position, world.rng, world.now, TIMING)
-        self.copies, self.led, self.began = Copies(self.election.needed), 0, 0
+        self.copies, self.led, self.began = ReplicationProgress(self.election.quorum_peers), 0, 0
         self.pending: list[tuple[int, str]] = []
 
-    def position(self) -> Log:
+    def position(self) -> LogState:
         log = self.disk.log
-        return Log("a" if log else "", (log[-1][0] if log else 0, len(log)))
+        return LogState("a" if log else "", (log[-1][0] if log else 0, len(log)))
 
-    def act(self, calls: list[Call]) -> None:
+    def act(self, calls: list[OutgoingMessage]) -> None:
         """The ballot first, then the role, then what is sent: as the elector does."""
         election = self.election
         self.disk.ballot = election.ballot
@@ -60,7 +60,11 @@
             self.led = election.term
             assert self.world.leaders.setdefault(self.led, self.disk.name) == self.disk.name
             self.disk.log.append((self.led, "lead"))
-            self.copies, self.pending, self.began = Copies(election.needed), [], len(self.disk.log)
+            self.copies, self.pending, self.began = (
+                ReplicationProgress(election.quorum_peers),
+                [],
+                len(self.disk.log),
+            )
         for peer, message in calls:
             self.world.send(self, peer, message)
 
@@ -74,29 +78,29 @@
         self.pending.append((len(self.disk.log), what))
         return True
 
-    def receive(self, message: Message) -> Reply:
-        if isinstance(message, Ask):
-            found = self.election.asked(message, self.world.now)
+    def receive(self, message: Message) -> ElectionResponse:
+        if isinstance(message, VoteRequest):
+            found = self.election.handle_vote_request(message, self.world.now)
         else:
-            found = self.election.beaten(message, self.world.now)
+            found = self.election.handle_heartbeat(message, self.world.now)
         self.act([])
         return found
 
     def poll(self) -> None:
         """A follower asks for what it lacks, and proves what it has."""
-        peer = self.election.peer(self.election.leader)
+        peer = self.election.address_of(self.election.leader)
         if self.election.role == FOLLOWER and peer is not None:
             asked = self.election.term, self.disk.name, list(self.disk.log)
             self.world.exchange(self.address, peer, lambda at: at.polled(*asked), self.take)
 
     def polled(self, term: int, name: str, log: list[Entry]) -> tuple[int, list[Entry]] | None:
-        self.election.observe(term, self.world.now)
+        self.election.observe_term(term, self.world.now)
         self.act([])
         if self.election.role != LEADER:
             return None
-        if self.disk.log[: len(log)] == log and self.election.polled(name, len(log), self.world.now):
-            self.copies.proven(name, len(log), self.world.now)
-        held = self.copies.held(len(self.disk.log), self.world.now)
+        if self.disk.log[: len(log)] == log and self.election.record_poll(name, len(log), self.world.now):
+            self.copies.record_match(name, len(log), self.world.now)
+        held = self.copies.advance_commit(len(self.disk.log), self.world.now)
         for index, what in list(self.pending):
             if index <= held and held >= self.began:
                 self.pending.remove((index, what))
@@ -176,7 +180,7 @@
     def send(self, member: Member, peer: str, message: Message) -> None:
         self.exchange(
             member.address, peer, lambda at: at.receive(message),
-            lambda reply: member.act(member.election.replied(peer, message, reply, self.now)),
+            lambda reply: member.act(member.election.handle_response(peer, message, reply, self.now)),
         )  # fmt: skip
 
     def start(self, address: str) -> None:
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -26,7 +26,7 @@
 from tests.sockets import SETTINGS, Endpoint, Handler, Message, http_request, read_message, serve_ok
 from woadyard.standins import FaultProxy, StandIn, manner
 
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 def free_port() -> int:
@@ -38,7 +38,7 @@
             return port
 
 
-class Reply(NamedTuple):
+class HttpResponse(NamedTuple):
     status: int
     text: str
     headers: dict[str, str]
@@ -48,7 +48,7 @@
         return json.loads(self.text)
 
 
-async def call(port: int, method: str, path: str, body: Any = None, **headers: str) -> Reply:
+async def call(port: int, method: str, path: str, body: Any = None, **headers: str) -> HttpResponse:
     """One call, as soon as somebody listens; a body that is no text or bytes is sent as JSON."""
     data = body if body is None or isinstance(body, str | bytes) else json.dumps(body)
     url = f"http://127.0.0.1:{port}{path}"
@@ -57,11 +57,11 @@
             async with aiohttp.request(
                 method, url, data=data, headers=headers, allow_redirects=False
             ) as back:
-                return Reply(back.status, await back.text(), dict(back.headers))
-        await asyncio.sleep(LOOK_S)
+                return HttpResponse(back.status, await back.text(), dict(back.headers))
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _end_with_parent() -> None:
+def _kill_with_parent() -> None:
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)  # PR_SET_PDEATHSIG: also where the tests are killed
 
 
@@ -71,87 +71,87 @@
 
     name: str
     folder: Path
-    words: list[str]
+    arguments: list[str]
     environ: dict[str, str]
     port: int = 0
-    door: int = 0
-    inherited: tuple[int, ...] = ()
+    admin_port: int = 0
+    inherited_fds: tuple[int, ...] = ()
     cwd: Path | None = None
-    lines: list[dict[str, Any]] = field(default_factory=list)
-    heard: set[int] = field(default_factory=set)
+    log_lines: list[dict[str, Any]] = field(default_factory=list)
+    matched_lines: set[int] = field(default_factory=set)
     statuses: Counter[int] = field(default_factory=Counter)  # that the load got
 
     def __post_init__(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.log = self.folder / f"{self.name}.log"
-        self.log.unlink(missing_ok=True)  # of another process of that name
+        self.log_path = self.folder / f"{self.name}.log"
+        self.log_path.unlink(missing_ok=True)  # of another process of that name
 
     def start(self) -> None:
-        with self.log.open("ab") as errors:
+        with self.log_path.open("ab") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", *self.words], env=self.environ, stdin=subprocess.DEVNULL,
-                stdout=errors, stderr=errors, cwd=self.cwd, pass_fds=self.inherited,
-                preexec_fn=_end_with_parent,
+                [sys.executable, "-m", *self.arguments], env=self.environ, stdin=subprocess.DEVNULL,
+                stdout=errors, stderr=errors, cwd=self.cwd, pass_fds=self.inherited_fds,
+                preexec_fn=_kill_with_parent,
             )  # fmt: skip
 
-    def send(self, number: int = signal.SIGTERM) -> None:
+    def send_signal(self, number: int = signal.SIGTERM) -> None:
         self.process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_exit(self) -> int:
         """Its exit code, once it is over."""
         while (code := self.process.poll()) is None:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return code
 
-    async def said(self, event: str, **fields: Any) -> dict[str, Any]:
+    async def wait_logged(self, event: str, **fields: Any) -> dict[str, Any]:
         """The next line of its log with that event and these fields that was not asked for before."""
         while True:
             over = self.process.poll() is not None
-            self._read()
-            for n, line in enumerate(self.lines):
-                if n not in self.heard and line["event"] == event and fields.items() <= line.items():
-                    self.heard.add(n)
+            self._read_log()
+            for n, line in enumerate(self.log_lines):
+                if n not in self.matched_lines and line["event"] == event and fields.items() <= line.items():
+                    self.matched_lines.add(n)
                     return line
-            assert not over, f"{self.name} ended without saying {event!r}: {self.lines[-5:]}"
-            await asyncio.sleep(LOOK_S)
+            assert not over, f"{self.name} ended without saying {event!r}: {self.log_lines[-5:]}"
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def events(self) -> list[str]:
-        self._read()
-        return [line["event"] for line in self.lines]
+        self._read_log()
+        return [line["event"] for line in self.log_lines]
 
-    def _read(self) -> None:
-        text = self.log.read_text(errors="replace")
-        whole = text[: text.rfind("\n") + 1].splitlines()[len(self.lines) :]
+    def _read_log(self) -> None:
+        text = self.log_path.read_text(errors="replace")
+        whole = text[: text.rfind("\n") + 1].splitlines()[len(self.log_lines) :]
         for line in whole:
             try:
-                self.lines.append(json.loads(line))
+                self.log_lines.append(json.loads(line))
             except ValueError:  # a traceback, or Python's own words
-                self.lines.append({"event": line})
+                self.log_lines.append({"event": line})
 
-    async def ready(self) -> None:
-        while (await call(self.door, "GET", "/_ready")).status != 200:
-            await asyncio.sleep(LOOK_S)
+    async def wait_ready(self) -> None:
+        while (await call(self.admin_port, "GET", "/_ready")).status != 200:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def metrics(self) -> str:
-        return (await call(self.door or self.port, "GET", "/_metrics")).text
+        return (await call(self.admin_port or self.port, "GET", "/_metrics")).text
 
-    async def shows(self, line: str) -> None:
+    async def wait_metric(self, line: str) -> None:
         """Returns once its metrics hold the line."""
         while f"\n{line}\n" not in await self.metrics():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def ask(self, raw: bytes | None = None, **parts: Any) -> Message:
+    async def request(self, raw: bytes | None = None, **parts: Any) -> Message:
         """One request on a connection of its own; `parts` are those of tests.sockets.request."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         with contextlib.closing(writer):
             writer.write(raw or http_request(**parts))
             return await read_message(reader)
 
-    async def load(self, callers: int = 4, pause_s: float = 0.005, **parts: Any) -> None:
+    async def run_load(self, callers: int = 4, pause_s: float = 0.005, **parts: Any) -> None:
         """Requests one after another on each of the callers' connections, until cancelled."""
-        await asyncio.gather(*(self._caller(n, pause_s, parts) for n in range(callers)))
+        await asyncio.gather(*(self._run_client(n, pause_s, parts) for n in range(callers)))
 
-    async def _caller(self, number: int, pause_s: float, parts: dict[str, Any]) -> None:
+    async def _run_client(self, number: int, pause_s: float, parts: dict[str, Any]) -> None:
         sent = 0
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -173,7 +173,7 @@
     return f"127.0.0.1:{of if isinstance(of, int) else of.port}"
 
 
-def entries(found: Sequence[Any]) -> list[dict[str, Any]]:
+def list_entries(found: Sequence[Any]) -> list[dict[str, Any]]:
     """List entries of endpoints, or entries as they are."""
     return [one if isinstance(one, dict) else one.entry(f"s-{n}") for n, one in enumerate(found)]
 
@@ -201,7 +201,7 @@
         if follow is not None:
             words += ["--follow", address(follow)]
         program = self.run(Program(name, folder, words, dict(os.environ), port))
-        await program.said("listening")
+        await program.wait_logged("listening")
         return program
 
     async def sidecar(
@@ -217,7 +217,7 @@
         service is named and they are not. `config` changes keys of its file."""
         folder = self.folder / name
         folder.mkdir(parents=True, exist_ok=True)
-        known = {"generation": 1, "reset": True, "instances": entries(endpoints)}
+        known = {"generation": 1, "reset": True, "instances": list_entries(endpoints)}
         port, door, path = free_port(), free_port(), folder / "config.json"
         raw = {
             "name": name, "listen": f"127.0.0.1:{port}", "console": f"127.0.0.1:{door}",
@@ -229,7 +229,7 @@
         made = Program(name, folder, ["woadyard"], {**os.environ, **told}, port, door)
         program = self.run(made)
         if wait:
-            await program.ready()
+            await program.wait_ready()
         return program
 
     async def proxy(self, target: Any, **parts: Any) -> FaultProxy:
@@ -258,25 +258,25 @@
         self.servers.append(await listener.start())
         return listener
 
-    async def register(self, service: Any, name: str, entry: Any, ttl_ms: int = 60_000) -> Reply:
+    async def register(self, service: Any, name: str, entry: Any, ttl_ms: int = 60_000) -> HttpResponse:
         """A lease at the list service."""
         path = f"/registry/instances/{name}?ttl_ms={ttl_ms}"
         return await call(service.port, "PUT", path, entry if isinstance(entry, dict) else entry.entry(name))
 
     async def kill(self, *programs: Program, number: int = signal.SIGKILL) -> None:
         for one in programs:
-            one.send(number)
+            one.send_signal(number)
         for one in programs:
-            await one.ended()
+            await one.wait_exit()
 
     async def restart(self, program: Program, number: int = signal.SIGKILL) -> Program:
         """Ended by a signal and started anew, with its ports, folder and file."""
         await self.kill(program, number=number)
         program.start()
-        if program.door:
-            await program.ready()
+        if program.admin_port:
+            await program.wait_ready()
         else:
-            await program.said("listening")
+            await program.wait_logged("listening")
         return program
 
     def close(self) -> None:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -163,7 +163,7 @@
             await asyncio.sleep(self.rng.uniform(0.0, 1.0))
             self._keep_known(node)
             node.program.start()
-            await node.program.ready()
+            await node.program.wait_ready()
 
     def _keep_known(self, node: Node) -> None:
         """The new process starts by the list that the one before it held last."""
@@ -179,9 +179,9 @@
         if (node := self._idle_node()) is None:
             return
         with self._acting_on(node, away=False):
-            node.program.send(signal.SIGSTOP)
+            node.program.send_signal(signal.SIGSTOP)
             await asyncio.sleep(HELD_UP_S)
-            node.program.send(signal.SIGCONT)
+            node.program.send_signal(signal.SIGCONT)
 
     async def _move(self) -> None:
         """A new configuration names another address of discovery."""
@@ -193,7 +193,7 @@
             now = int(raw["discovery"].rpartition(":")[2])
             raw["discovery"] = f"127.0.0.1:{ports[1 - ports.index(now)]}"
             node.config.write_text(json.dumps(raw))
-            node.program.send(signal.SIGHUP)
+            node.program.send_signal(signal.SIGHUP)
             self.record.moves.append((time.monotonic(), node.program.name))
 
     # --- Clients --------------------------------------------------------------------
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -14,19 +14,19 @@
 
 from tests.election_world import TIMING, Disk, World
 from woadyard.errors import PeerError, StateError
-from woadyard.registry.ballots import Ballots
+from woadyard.registry.ballot_file import BallotFile
 from woadyard.registry.election import (
     CANDIDATE,
     FOLLOWER,
     LEADER,
     MEMBER,
     NEW,
-    Ask,
     Ballot,
-    Beat,
     Election,
-    Log,
-    Reply,
+    ElectionResponse,
+    Heartbeat,
+    LogState,
+    VoteRequest,
 )
 
 ACTS = st.sampled_from(
@@ -223,24 +223,24 @@
 def make(peers: int = 2, standing: str = MEMBER, name: str = "me") -> Election:
     ballot = Ballot(term=5, standing=standing)
     addresses = [f"p{n}" for n in range(peers)]
-    return Election(name, addresses, ballot, lambda: Log("a", (5, 9)), random.Random(1), 0.0)
+    return Election(name, addresses, ballot, lambda: LogState("a", (5, 9)), random.Random(1), 0.0)
 
 
-def elect(member: Election, reply: Reply) -> None:
+def elect(member: Election, reply: ElectionResponse) -> None:
     """By this peer's yes to the pre-vote and to the vote."""
     now = 0.0
-    while member.asking is None:
+    while member.campaign is None:
         member.tick(now := now + 0.1)
     for _ in range(2):
-        asked = member.asking
+        asked = member.campaign
         assert asked is not None
-        member.replied("p0", asked, structs.replace(reply, term=member.term), now)
+        member.handle_response("p0", asked, structs.replace(reply, term=member.term), now)
     assert member.role == LEADER
 
 
-def ask(term: int = 6, last: tuple[int, int] = (5, 9), trial: bool = False, **changes: Any) -> Ask:
+def ask(term: int = 6, last: tuple[int, int] = (5, 9), trial: bool = False, **changes: Any) -> VoteRequest:
     parts = {"name": "x", "lineage": "a", "members": 3, "voter": True, **changes}
-    return Ask(term=term, last=last, trial=trial, **parts)
+    return VoteRequest(term=term, last=last, trial=trial, **parts)
 
 
 @pytest.mark.parametrize(
@@ -256,63 +256,77 @@
         (ask(term=5, trial=True), False),
     ],
 )
-def test_a_vote_is_for_a_voter_of_a_newer_term_whose_log_is_no_shorter(asked: Ask, granted: bool) -> None:
+def test_a_vote_is_for_a_voter_of_a_newer_term_whose_log_is_no_shorter(
+    asked: VoteRequest, granted: bool
+) -> None:
     member = make()
-    assert member.asked(asked, 1.0).granted is granted
+    assert member.handle_vote_request(asked, 1.0).granted is granted
     assert member.ballot.voted_for == ("x" if granted and not asked.trial else "")
-    assert make(standing=NEW).asked(asked, 1.0).granted is False
-    told = Election("me", ["a", "b"], member.ballot, member.log, random.Random(2), 9.0)  # started anew
-    assert not told.asked(ask(name="y"), 9.0).granted or not granted or asked.trial, "one vote a term"
+    assert make(standing=NEW).handle_vote_request(asked, 1.0).granted is False
+    told = Election("me", ["a", "b"], member.ballot, member.log_state, random.Random(2), 9.0)  # started anew
+    assert not told.handle_vote_request(ask(name="y"), 9.0).granted or not granted or asked.trial, (
+        "one vote a term"
+    )
 
 
 def test_a_member_that_hears_its_leader_votes_for_nobody_and_keeps_its_term() -> None:
     member = make()
-    assert member.beaten(Beat("x", "a", 3, 6, 1), 1.0).granted
-    assert not member.asked(ask(term=9, name="y"), 1.0 + TIMING.timeout_s / 2).granted and member.term == 6
-    assert member.asked(ask(term=9, name="y"), 1.0 + TIMING.timeout_s).granted
-    assert not member.beaten(Beat("x", "a", 3, 6, 2), 3.0).granted, "a leader of an older term is none"
+    assert member.handle_heartbeat(Heartbeat("x", "a", 3, 6, 1), 1.0).granted
+    assert (
+        not member.handle_vote_request(ask(term=9, name="y"), 1.0 + TIMING.timeout_s / 2).granted
+        and member.term == 6
+    )
+    assert member.handle_vote_request(ask(term=9, name="y"), 1.0 + TIMING.timeout_s).granted
+    assert not member.handle_heartbeat(Heartbeat("x", "a", 3, 6, 2), 3.0).granted, (
+        "a leader of an older term is none"
+    )
 
 
 def test_a_newcomer_is_a_member_once_old_candidacies_are_over_most_confirm_and_it_holds_all() -> None:
     leader = make()
-    met = {"p0": Reply("x", "a", 5, (5, 9), MEMBER, True), "p1": Reply("y", "", 5, (0, 0), NEW, True)}
+    met = {
+        "p0": ElectionResponse("x", "a", 5, (5, 9), MEMBER, True),
+        "p1": ElectionResponse("y", "", 5, (0, 0), NEW, True),
+    }
 
     def turn(now: float, *answering: str) -> str:
         """The promotion in the beats of that time, to which these peers answer."""
-        beats = {peer: beat for peer, beat in leader.tick(now) if isinstance(beat, Beat)}
+        beats = {peer: beat for peer, beat in leader.tick(now) if isinstance(beat, Heartbeat)}
         for peer in answering:
-            leader.replied(peer, beats[peer], structs.replace(met[peer], term=leader.term), now)
+            leader.handle_response(peer, beats[peer], structs.replace(met[peer], term=leader.term), now)
         return beats["p1"].promoted if beats else ""
 
     elect(leader, met["p0"])
-    now = leader.began + 0.5
+    now = leader.leading_since_s + 0.5
     late_s = now + TIMING.newcomer_s
     while now < late_s:
         assert not turn(now, "p0", "p1"), "a candidacy from before it was there may yet win"
-        leader.polled("x", 9, now)
-        leader.polled("y", 99, now)
+        leader.record_poll("x", 9, now)
+        leader.record_poll("y", 99, now)
         now += 0.5
     for _ in range(2):
-        leader.polled("x", 9, now)
+        leader.record_poll("x", 9, now)
         assert not turn(now, "p1"), "no other member has confirmed since"
         now += 0.5
-    leader.newcomers["y"].reached = 8
+    leader.learners["y"].match_index = 8
     assert not turn(now, "p0", "p1") and not turn(now + 0.5, "p0", "p1"), "it lacks a record"
-    assert not leader.polled("y", 9, now + 0.5)
+    assert not leader.record_poll("y", 9, now + 0.5)
     assert turn(now + 1.0) == "y"
 
 
 def test_a_process_that_stood_still_hears_what_was_sent_before_it_judges() -> None:
-    reply = Reply("x", "a", 5, (5, 9), MEMBER, True)
+    reply = ElectionResponse("x", "a", 5, (5, 9), MEMBER, True)
     leader, follower = make(), make(name="you")
     elect(leader, reply)
-    leader.polled("x", 9, leader.began)
-    now = leader.began + 60.0
+    leader.record_poll("x", 9, leader.leading_since_s)
+    now = leader.leading_since_s + 60.0
     beats = leader.tick(now)
-    assert leader.role == LEADER and isinstance(beats[0].message, Beat)
-    follower.beaten(beats[0].message, 0.1)
-    assert not [one for one in follower.tick(60.0) if one.message is follower.asking], "beats may be waiting"
-    while now < leader.excused:
+    assert leader.role == LEADER and isinstance(beats[0].message, Heartbeat)
+    follower.handle_heartbeat(beats[0].message, 0.1)
+    assert not [one for one in follower.tick(60.0) if one.message is follower.campaign], (
+        "beats may be waiting"
+    )
+    while now < leader.grace_until_s:
         leader.tick(now := now + 0.1)
     assert leader.role == FOLLOWER, "nobody has answered: another one may lead by now"
 
@@ -320,19 +334,19 @@
 @pytest.mark.parametrize("changes", [{"members": 5}, {"lineage": "b"}, {"name": "me"}])
 def test_who_is_no_member_is_refused_with_a_remedy(changes: dict[str, Any]) -> None:
     with pytest.raises(PeerError) as refused:
-        make().asked(ask(**changes), 1.0)
+        make().handle_vote_request(ask(**changes), 1.0)
     assert refused.value.remedy != PeerError.remedy
 
 
 def test_a_ballot_outlives_the_process_and_a_damaged_one_is_said(tmp_path: Path) -> None:
-    ballots = Ballots(tmp_path)
+    ballots = BallotFile(tmp_path)
     assert ballots.read() == Ballot()
     ballot = Ballot(7, "x", MEMBER, (3, 4))
     ballots.write(ballot)
-    assert Ballots(tmp_path).read() == ballot
+    assert BallotFile(tmp_path).read() == ballot
     whole = ballots.path.read_bytes()
     for damaged in (whole[:-1], whole.replace(b'"x"', b'"y"'), b""):
         ballots.path.write_bytes(damaged)
         with pytest.raises(StateError) as refused:
-            Ballots(tmp_path).read()
+            BallotFile(tmp_path).read()
         assert "empty" in refused.value.remedy
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from tests.lab import LOOK_S, Lab, Program, Reply, free_port
+from tests.lab import POLL_INTERVAL_S, HttpResponse, Lab, Program, free_port
 from tests.test_registry import ENTRY, Watcher
 from woadyard.lists.service import PATH
 from woadyard.net.listwriter import ListWriter
@@ -44,7 +44,7 @@
             )
         )
         for one in self.all:
-            await one.said("standing among the members", standing="member")
+            await one.wait_logged("standing among the members", standing="member")
         return self
 
     async def leader(self, among: list[Program] | None = None) -> Program:
@@ -53,15 +53,15 @@
             for one in among or self.all:
                 if (await self.lab.call(one.port, "GET", "/registry/term")).json["leads"]:
                     return one
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def write(self, name: str, among: list[Program] | None = None) -> Reply:
+    async def write(self, name: str, among: list[Program] | None = None) -> HttpResponse:
         """Once one of these answers it."""
         while True:
             for one in among or self.all:
                 if (back := await self.lab.register(one, name, ENTRY)).status == 200:
                     return back
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def others(self, one: Program) -> list[Program]:
         return [other for other in self.all if other is not one]
@@ -77,7 +77,7 @@
     async def shows(self, one: Program, names: set[str]) -> None:
         """Returns once the list there is of these."""
         while await self.names(one) != names:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def cut(self, one: Program, mode: str) -> None:
         """Both ways, from all others."""
@@ -166,11 +166,11 @@
     answered = asyncio.create_task(members.write("kept", greater))
     while not answered.done():
         assert (await lab.register(cut_off, "lost", ENTRY)).status == 503, "the lesser side answers no write"
-    await cut_off.said("this process writes no more")
+    await cut_off.wait_logged("this process writes no more")
     assert "s-0" in await members.names(cut_off), "and serves its list"
     assert await members.names(await members.leader(greater)) == {"s-0", "kept"}
     members.cut(cut_off, PASS)
-    await cut_off.said("records thrown away, the writer's state taken whole")
+    await cut_off.wait_logged("records thrown away, the writer's state taken whole")
     for one in members.all:
         await members.shows(one, {"s-0", "kept"})
     assert (await lab.register(cut_off, "s-0", ENTRY)).status == 307
@@ -178,7 +178,7 @@
     replica = next(one for one in greater if one is not leader)
     members.cut(replica, CUT)  # a replica is away for longer than an election takes, and comes back
     while (await lab.call(replica.port, "GET", "/registry/term")).json["writer"] is not None:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     assert (await lab.register(replica, "x", ENTRY)).status == 503
     await members.write("meanwhile", members.others(replica))
     members.cut(replica, PASS)
@@ -191,11 +191,11 @@
         folder = lab.folder / name
         words = ["woadyard.registry", "--data", str(folder / "data"), "--elect", *more]
         program = lab.run(Program(name, folder, words, dict(os.environ)))
-        assert await program.ended() == 2 and (await program.said("can't start"))["remedy"]
+        assert await program.wait_exit() == 2 and (await program.wait_logged("can't start"))["remedy"]
     data = lab.folder / "damaged" / "data"
     data.mkdir(parents=True)
     (data / "ballot").write_bytes(b"x")
     words = ["woadyard.registry", "--data", str(data), "--elect", "--peers", "127.0.0.1:1"]
     program = lab.run(Program("damaged", data.parent, words, dict(os.environ)))
-    assert await program.ended() == 2
-    assert "empty" in (await program.said("can't start"))["remedy"]
+    assert await program.wait_exit() == 2
+    assert "empty" in (await program.wait_logged("can't start"))["remedy"]
--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -55,7 +55,7 @@
         return (await call(self.port, "PUT", f"{PATH}/{name}?ttl_ms={ttl_ms}", ENTRY)).status
 
     async def stands(self, standing: str) -> None:
-        await until(lambda: self.elector.kept.standing == standing)
+        await until(lambda: self.elector.saved_ballot.standing == standing)
 
     async def shows(self, names: set[str]) -> None:
         await until(lambda: self.names == names)
@@ -113,9 +113,9 @@
         assert await first.put("s-1") == 503, "a copy that is new does not count"
         await first.stop()
         await other.start()
-        met = await until(lambda: [one.standing for one in other.elector.election.met.values()])
-        assert met == [NEW] and not wiped.elector.election.voter
-        await until(lambda: other.elector.election.asking)  # it stands, and the other has no vote
+        met = await until(lambda: [one.standing for one in other.elector.election.last_responses.values()])
+        assert met == [NEW] and not wiped.elector.election.is_voter
+        await until(lambda: other.elector.election.campaign)  # it stands, and the other has no vote
         assert not other.registry.leads and not wiped.registry.leads
         await first.start()
         led = await leader(members)
@@ -177,7 +177,7 @@
                 await one.stop()
         registry.lead_elected(led.elector.election.term + 1)
         assert registry.held() == -1
-        registry.copies.proven("x", before, time.monotonic())
+        registry.copies.record_match("x", before, time.monotonic())
         assert registry.held() == -1
-        registry.copies.proven("x", before + 1, time.monotonic())
+        registry.copies.record_match("x", before + 1, time.monotonic())
         assert registry.held() == before + 1
--- a/tests/test_experiment_way.py
+++ b/tests/test_experiment_way.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.lab import LOOK_S, Lab, Program, call
+from tests.lab import POLL_INTERVAL_S, Lab, Program, call
 from tests.sockets import Endpoint, Message, Writer, http_response
 from woadyard.standins import DROP, PASS
 
@@ -47,7 +47,7 @@
     async def _sidecar(self, name: str, reports: Any) -> Program:
         audit = {"service": f"127.0.0.1:{reports.port}", "every-ms": 200}
         one = await self.lab.sidecar(name, discovery=self.service, audit=audit)
-        load = one.load(4, 0.01, cls="pay", headers=f"X-Caller: {name}\r\n")
+        load = one.run_load(4, 0.01, cls="pay", headers=f"X-Caller: {name}\r\n")
         self.tasks.append(asyncio.create_task(load))
         return one
 
@@ -62,13 +62,13 @@
     async def told(self, *states: str) -> dict[str, Any]:
         """The experiment, once it is in one of these states."""
         while (told := (await call(self.service.port, "GET", PATH)).json)["state"] not in states:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return dict(told)
 
     async def more(self, which: list[Endpoint], count: int, caller: str = "") -> None:
         goal = self.got(which, caller) + count
         while self.got(which, caller) < goal:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def close(self) -> None:
         for task in self.tasks:
@@ -87,7 +87,7 @@
         told = await scene.told("applied")
         assert told["decision"]["state"] == "winner" and told["decision"]["winner"] == "new"
         assert min(told["tried"].values()) >= 100
-        assert (await scene.service.said("experiment applied"))["after_ms"] == told["applied_after_ms"]
+        assert (await scene.service.wait_logged("experiment applied"))["after_ms"] == told["applied_after_ms"]
         await scene.more(scene.new, 20)  # what was under way is over
         before = [scene.got(scene.old, name) for name in ("s0", "s1")]
         await scene.more(scene.new, 200)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -37,7 +37,7 @@
     shared = {"listen": "127.0.0.1:0", "peers": f"127.0.0.1:{peers.port}", "interval-ms": 50,
               "verdict-bound-ms": BOUND_MS, "eject-share": 0.7, **more}  # fmt: skip
     one = await lab.sidecar(name, endpoints, discovery, shared=shared, settings=settings)
-    line = await one.said("sharing state")
+    line = await one.wait_logged("sharing state")
     return one, line["as"], line["port"]
 
 
@@ -65,12 +65,12 @@
     for _, origin, port in (accuser, *three):
         links.append(await lab.proxy(port))
         await list_peer(lab, lists[1], origin, links[-1].port)
-    loads = [asyncio.ensure_future(one.load()) for one, _, _ in (accuser, parted)]
+    loads = [asyncio.ensure_future(one.run_load()) for one, _, _ in (accuser, parted)]
 
     async def lowered(inside: int, at_parted: int) -> None:
         for one, _, _ in three:
-            await one.shows(f"woadyard_endpoints_lowered {inside}.0")
-        await parted[0].shows(f"woadyard_endpoints_lowered {at_parted}.0")
+            await one.wait_metric(f"woadyard_endpoints_lowered {inside}.0")
+        await parted[0].wait_metric(f"woadyard_endpoints_lowered {at_parted}.0")
 
     await lowered(2, 1)  # bad1 by two, bad2 by the one that will be parted
     for fault, inside, at_parted in ((DROP, 1, 0), (PASS, 2, 1)):
@@ -96,8 +96,8 @@
     registry = await lab.service()
     await list_peer(lab, registry, "n9@1", (await lab.endpoint(lies)).port)
     one, _, gossip = await sharing(lab, "n0", registry, [*(await known(lab, "bad1")).values()])
-    await one.said("a peer's telling refused", peer="n9@1", level="WARNING")
-    await one.shows("woadyard_endpoints_lowered 0.0")
+    await one.wait_logged("a peer's telling refused", peer="n9@1", level="WARNING")
+    await one.wait_metric("woadyard_endpoints_lowered 0.0")
     back = await lab.call(gossip, "POST", "/_gossip", {"from": "n9@1", "vector": {"n9@1": -1}})
     assert back.status == 400
 
@@ -107,15 +107,15 @@
     long = {"verdict-bound-ms": 60_000}
     first, origin, _ = await sharing(lab, "n0", registry, ends, **long)
     second, _, _ = await sharing(lab, "n1", registry, ends, **long)
-    load = asyncio.ensure_future(first.load())
-    await second.shows("woadyard_endpoints_lowered 1.0")
+    load = asyncio.ensure_future(first.run_load())
+    await second.wait_metric("woadyard_endpoints_lowered 1.0")
     load.cancel()
     kept = second.folder / "woadyard-n1.shared"
     while not kept.exists() or origin not in kept.read_text():
         await asyncio.sleep(0.02)
     await lab.kill(first)
     await lab.restart(second)
-    await second.shows("woadyard_endpoints_lowered 1.0")
+    await second.wait_metric("woadyard_endpoints_lowered 1.0")
 
 
 class Counting:
@@ -148,11 +148,11 @@
     ends, three, loads = [await lab.endpoint(held.hold)], [], []
     for n in range(3):  # the first holds all of it when the others come
         one, _, _ = await sharing(lab, f"n{n}", registry, ends, **more)
-        loads.append(asyncio.ensure_future(one.load(12)))
+        loads.append(asyncio.ensure_future(one.run_load(12)))
         three.append(one)
-    await registry.shows("registry_holders 3.0")
+    await registry.wait_metric("registry_holders 3.0")
     for one in three:
-        await one.shows("woadyard_shares 2.0")
+        await one.wait_metric("woadyard_shares 2.0")
     await lab.kill(three[0])
     assert held.most[False] == limit
     held.most[True] = 0
@@ -181,12 +181,12 @@
         """Of 20 sessions, each asked for at both sidecars."""
         names = []
         for one in two:
-            await one.shows(f"woadyard_list_version {version}.0")
+            await one.wait_metric(f"woadyard_list_version {version}.0")
         for session in range(20):
             for endpoint in found.values():
                 endpoint.received.clear()
             for one in two:
-                back = await one.ask(
+                back = await one.request(
                     rid=f"a{session}-{version}-{one.name}", headers=f"X-Session: u{session}\r\n"
                 )
                 assert back.start_line.split()[1] == "200"
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -55,7 +55,7 @@
     registry = await lab.listen(OverloadedRegistry(entries=entries))
     sidecar = await lab.sidecar(endpoints=entries, discovery=registry, settings=ASKING)
     await registry.list_sent.wait()
-    load = asyncio.ensure_future(sidecar.load())
+    load = asyncio.ensure_future(sidecar.run_load())
     await asyncio.sleep(0.5)
     registry.overload()
     for endpoint in draining:
@@ -73,7 +73,7 @@
     for endpoint in draining:
         endpoint.drained_at = time.monotonic()
     sidecar = await lab.sidecar(endpoints=entries, discovery=registry, settings=ASKING)
-    load = asyncio.ensure_future(sidecar.load())
+    load = asyncio.ensure_future(sidecar.run_load())
     await asyncio.sleep(BINDING_S + 2.5)
     load.cancel()
     assert registry.rejected and sidecar.statuses[503]
--- a/tests/test_quickstart.py
+++ b/tests/test_quickstart.py
@@ -40,9 +40,9 @@
     headers = dict(word.split(": ") for word in shlex.split(curl) if ": " in word)
     response = await call(port, "GET", "/page", **headers)
     assert response.status == 200 and "served /page" in response.text
-    fleet.send()
-    assert await fleet.ended() == 0
-    ports = [line["port"] for line in fleet.lines if line["event"] == "listening"]
+    fleet.send_signal()
+    assert await fleet.wait_exit() == 0
+    ports = [line["port"] for line in fleet.log_lines if line["event"] == "listening"]
     for closed_port in (port, admin_port, *ports):
         with pytest.raises(ConnectionError):
             await asyncio.open_connection("127.0.0.1", closed_port)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -84,18 +84,18 @@
     for one in replicas:
         await until(one.port, caught_up(1))
     sidecar = await lab.sidecar("n1", discovery=to_replicas)
-    await sidecar.shows("woadyard_list_version 1.0")
+    await sidecar.wait_metric("woadyard_list_version 1.0")
     to_writer.fault(DROP)  # the first replica lags from now on
     assert (await lab.register(writer, "s-1", new)).status == 200
     assert (await lab.call(writer.port, "DELETE", f"{PATH}/s-0")).status == 200
-    await sidecar.shows("woadyard_list_version 3.0")
+    await sidecar.wait_metric("woadyard_list_version 3.0")
     to_replicas[1].fault(CUT)  # and only the one that lags is left
     taken = to_replicas[0].taken
     while to_replicas[0].taken < taken + 2:
         await asyncio.sleep(0.02)
-    await sidecar.shows("woadyard_list_version 3.0")
+    await sidecar.wait_metric("woadyard_list_version 3.0")
     for n in range(5):
-        assert (await sidecar.ask(rid=f"r{n}")).start_line.split()[1] == "200"
+        assert (await sidecar.request(rid=f"r{n}")).start_line.split()[1] == "200"
     assert len(new.received) == 5 and not old.received, "nothing went by the older list"
 
 
@@ -107,7 +107,7 @@
     for n in range(3):
         await lab.register(writer, f"t-{n}", ENTRY)
     second = await follows(lab, "1", writer)
-    await writer.said("call refused")
+    await writer.wait_logged("call refused")
     told = (await lab.call(second.port, "GET", PATH)).json
     assert told["following"] is False
     assert [one["instanceId"] for one in told["instances"]] == ["s-0"]
--- a/tests/test_scale_path.py
+++ b/tests/test_scale_path.py
@@ -18,7 +18,7 @@
 from benchmarks.scale import exchange, growth, latency, listings, points, retries
 from benchmarks.scale.chain import Chain, TooManyError
 from benchmarks.scale.points import Point
-from tests.lab import _end_with_parent
+from tests.lab import _kill_with_parent
 from woadyard.errors import ConfigError
 from woadyard.policy.balancer import MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST
 
@@ -48,7 +48,7 @@
 
 
 def _as_from_a_terminal() -> None:
-    _end_with_parent()
+    _kill_with_parent()
     # A shell's background job ignores it, and what it starts would: the tests may be such a job.
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -52,7 +52,7 @@
     assert await ask("a", **{"X-Acted-On": "l.2"}) == 500
     one.become(manner("small", resets=1.0))
     reset = await lab.sidecar("n1", [one.entry()])
-    assert (await reset.ask(rid="c", cls="pay")).start_line.split()[1] == "502"
+    assert (await reset.request(rid="c", cls="pay")).start_line.split()[1] == "502"
     told = (await lab.call(one.port, "GET", "/_counts")).json
     assert told["attempts"] == 4 and told["ids"] == 3
     assert told["headers"]["X-Acted-On"] == {"l.1": 2, "l.2": 1}
@@ -63,7 +63,7 @@
     service = await lab.service()
     words = ["woadyard.standins", "endpoint", "--name", "s-7", "--kind", "slow", "--ttl-ms", "1000"]
     one = lab.run(Program("s-7", lab.folder, [*words, "--discovery", f"127.0.0.1:{service.port}"], {}))
-    await one.said("listening")
+    await one.wait_logged("listening")
 
     async def listed() -> list[Any]:
         return list((await lab.call(service.port, "GET", "/registry/instances")).json["instances"])
@@ -73,5 +73,5 @@
     await asyncio.sleep(1.5)  # past its lease
     assert (await listed())[0]["lifecycle"] == "ready"
     await lab.restart(service)  # and over a restart of the service
-    one.send()
-    assert await one.ended() == 0 and not await listed()
+    one.send_signal()
+    assert await one.wait_exit() == 0 and not await listed()
--- a/tests/test_whatif_rollout.py
+++ b/tests/test_whatif_rollout.py
@@ -66,7 +66,7 @@
                 known={"generation": 0, "reset": True, "instances": entries},
             )  # fmt: skip
             self.sidecars.append(sidecar)
-            self.doors[name] = await self.lab.proxy(sidecar.door)
+            self.doors[name] = await self.lab.proxy(sidecar.admin_port)
         file = self.lab.folder / "plans.json"
         doors = {name: f"127.0.0.1:{proxy.port}" for name, proxy in self.doors.items()}
         file.write_text(json.dumps({"doors": doors, "rules": RULES, "every-ms": 200}))
@@ -74,7 +74,7 @@
         for entry in entries:
             await self.lab.register(self.service, entry["instanceId"], entry)
         for sidecar in self.sidecars:
-            await sidecar.ready()
+            await sidecar.wait_ready()
 
     # --- What operators do --------------------------------------------------------
 
@@ -183,7 +183,7 @@
 
 async def fleet_restarted(fleet: Fleet) -> Any:
     fleet.service.start()
-    await fleet.service.said("listening")
+    await fleet.service.wait_logged("listening")
     return await fleet.plans()
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -152,7 +152,7 @@
     settings = {**SETTINGS, "zones": ["a", "b"], "locality": 0}
     sidecar = await lab.sidecar("n1", entries, settings=settings, locality=chosen)
     # In a zone that drops packets, the first requests wait until their deadlines.
-    load = asyncio.ensure_future(sidecar.load(deadline_ms=500 if fault == DROP else 4_000))
+    load = asyncio.ensure_future(sidecar.run_load(deadline_ms=500 if fault == DROP else 4_000))
 
     def received(zone: list[Endpoint]) -> int:
         return sum(len(server.received) for server in zone)
--- a/woadyard/registry/ballots.py
+++ b/woadyard/registry/ballot_file.py
@@ -12,7 +12,7 @@
 from woadyard.registry.election import Ballot
 from woadyard.registry.log import replace
 
-HEAD = struct.Struct(">II")  # length and CRC-32 of the JSON behind it, as of a log's records
+HEADER = struct.Struct(">II")  # length and CRC-32 of the JSON behind it, as of a log's records
 
 
 class BallotError(StateError):
@@ -24,7 +24,7 @@
     )
 
 
-class Ballots:
+class BallotFile:
     """The file `ballot` beside the log."""
 
     def __init__(self, folder: Path) -> None:
@@ -35,8 +35,8 @@
         if not self.path.exists():
             return Ballot()
         data = self.path.read_bytes()
-        payload = data[HEAD.size :]
-        if len(data) < HEAD.size or HEAD.unpack_from(data) != (len(payload), zlib.crc32(payload)):
+        payload = data[HEADER.size :]
+        if len(data) < HEADER.size or HEADER.unpack_from(data) != (len(payload), zlib.crc32(payload)):
             raise BallotError(f"{self.path} is damaged")
         try:
             return msgspec.json.decode(payload, type=Ballot)
@@ -46,4 +46,4 @@
     def write(self, ballot: Ballot) -> None:
         """On disk when it returns; OSError where the disk refuses it."""
         payload = msgspec.json.encode(ballot)
-        replace(self.path, HEAD.pack(len(payload), zlib.crc32(payload)) + payload)
+        replace(self.path, HEADER.pack(len(payload), zlib.crc32(payload)) + payload)
--- a/woadyard/registry/command.py
+++ b/woadyard/registry/command.py
@@ -17,11 +17,11 @@
 from woadyard.net.config import parse_address, parse_addresses
 from woadyard.ops import logs
 from woadyard.registry import add_arguments
-from woadyard.registry.elector import Elector, members
+from woadyard.registry.elector import Elector, other_members
 from woadyard.registry.follow import Follower
 from woadyard.registry.http import serve
 from woadyard.registry.log import Journal
-from woadyard.registry.peers import Peers
+from woadyard.registry.peers import PeerPoller
 from woadyard.registry.service import Registry
 from woadyard.whatif.planner import Planner
 from woadyard.whatif.settings import PlansSettings, read_plans
@@ -60,11 +60,11 @@
         if peers.addresses and elector is None:
             tasks.append(loop.create_task(peers.run()))
 
-    peers = Peers(registry, arguments.peers, random.Random())
+    peers = PeerPoller(registry, arguments.peers, random.Random())
     tasks: list[asyncio.Task[None]] = []
     try:
         if not arguments.take_over and elector is None:
-            await peers.ask()  # one of them may have taken this one's place while it was down
+            await peers.poll_all()  # one of them may have taken this one's place while it was down
         more = elector.routes() if elector is not None else ()
         await serve(registry, *parse_address(arguments.listen), listening, more)
     except asyncio.CancelledError:
@@ -89,7 +89,7 @@
             "--elect goes with none of --follow, --take-over and --copies",
             "leave them out: the members elect the writer, and most of them hold each write",
         )
-    others = members(arguments.listen, arguments.peers)
+    others = other_members(arguments.listen, arguments.peers)
     return Elector(registry, others, arguments.stale_after, random.Random())
 
 
--- a/woadyard/registry/election.py
+++ b/woadyard/registry/election.py
@@ -39,7 +39,7 @@
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
 NEW, FOUNDING, MEMBER = "new", "founding", "member"
-Place = tuple[int, int]  # term and index of a log's last record
+EntryPosition = tuple[int, int]  # term and index of a log's last record
 
 
 class Timing(msgspec.Struct, frozen=True):
@@ -60,29 +60,29 @@
     term: int = 0
     voted_for: str = ""
     standing: str = NEW
-    floor: Place = (0, 0)
+    floor: EntryPosition = (0, 0)
 
 
-class Log(NamedTuple):
+class LogState(NamedTuple):
     """A member's log: which one, and where it ends."""
 
     lineage: str
-    last: Place
+    last: EntryPosition
 
 
-class Ask(msgspec.Struct, frozen=True):
+class VoteRequest(msgspec.Struct, frozen=True):
     """A call for a vote, or (`trial`) whether there would be one. `voter`: the asker has a vote itself."""
 
     name: str
     lineage: str
     members: int
     term: int
-    last: Place
+    last: EntryPosition
     trial: bool
     voter: bool
 
 
-class Beat(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True):
     """A leader's sign of life; `promoted` names a newcomer that is a member from now on."""
 
     name: str
@@ -93,21 +93,21 @@
     promoted: str = ""
 
 
-class Reply(msgspec.Struct, frozen=True):
+class ElectionResponse(msgspec.Struct, frozen=True):
     """A member's answer to either, and where it stands."""
 
     name: str
     lineage: str
     term: int
-    last: Place
+    last: EntryPosition
     standing: str
     granted: bool
 
 
-Message = Ask | Beat
+Message = VoteRequest | Heartbeat
 
 
-class Call(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message to send to a peer."""
 
     peer: str
@@ -115,14 +115,14 @@
 
 
 @dataclass
-class Newcomer:
+class Learner:
     """At a leader: a member that lost its disk, or never had one."""
 
-    since: float
-    goal: int | None = None  # the index that it has to hold
-    serial: int = 0  # beats past this one confirm the leader
-    confirmed: set[str] = field(default_factory=set)
-    reached: int = 0
+    since_s: float
+    target_index: int | None = None  # the index that it has to hold
+    heartbeat_serial: int = 0  # beats past this one confirm the leader
+    confirmed_by: set[str] = field(default_factory=set)
+    match_index: int = 0
 
 
 class Election:
@@ -133,29 +133,35 @@
         name: str,
         peers: Sequence[str],
         ballot: Ballot,
-        log: Callable[[], Log],
+        log_state: Callable[[], LogState],
         rng: random.Random,
         now: float,
         timing: Timing | None = None,
     ) -> None:
-        self.name, self.peers, self.ballot, self.log, self.rng = name, tuple(peers), ballot, log, rng
+        self.name, self.peers, self.ballot, self.log_state, self.rng = (
+            name,
+            tuple(peers),
+            ballot,
+            log_state,
+            rng,
+        )
         self.timing = timing or Timing()
-        self.members = len(self.peers) + 1
-        self.needed = self.members // 2  # others, so that with this one they are a majority
+        self.member_count = len(self.peers) + 1
+        self.quorum_peers = self.member_count // 2  # others, so that with this one they are a majority
         self.role = FOLLOWER
         self.leader: str | None = None
-        self.heard = -math.inf  # of the leader
-        self.met: dict[str, Reply] = {}  # the last answer, by peer
+        self.last_heartbeat_s = -math.inf  # of the leader
+        self.last_responses: dict[str, ElectionResponse] = {}  # the last answer, by peer
         self.votes: set[str] = set()
-        self.asking: Ask | None = None  # the candidacy under way
+        self.campaign: VoteRequest | None = None  # the candidacy under way
         # A leader's: when each member last answered or polled, and when it last polled.
-        self.contacts: dict[str, float] = {}
-        self.polls: dict[str, float] = {}
-        self.newcomers: dict[str, Newcomer] = {}
-        self.began, self.beat_at, self.serial = -math.inf, 0.0, 0
-        self.ticked, self.excused = now, -math.inf
-        self.probe_at = now
-        self._rest(now)
+        self.last_contact_s: dict[str, float] = {}
+        self.last_poll_s: dict[str, float] = {}
+        self.learners: dict[str, Learner] = {}
+        self.leading_since_s, self.next_heartbeat_s, self.heartbeat_serial = -math.inf, 0.0, 0
+        self.last_tick_s, self.grace_until_s = now, -math.inf
+        self.next_probe_s = now
+        self._reset_election_timeout(now)
 
     # --- Where it stands --------------------------------------------------------------
 
@@ -164,36 +170,39 @@
         return self.ballot.term
 
     @property
-    def voter(self) -> bool:
+    def is_voter(self) -> bool:
         return self.ballot.standing != NEW
 
-    def peer(self, name: str | None) -> str | None:
+    def address_of(self, name: str | None) -> str | None:
         """The address at which the member of this name last answered."""
-        return next((peer for peer, met in self.met.items() if met.name == name), None)
+        return next((peer for peer, met in self.last_responses.items() if met.name == name), None)
 
-    def counts(self, name: str) -> bool:
+    def is_voting_member(self, name: str) -> bool:
         """Whether what this member holds counts towards a majority."""
-        return any(met.name == name and met.standing != NEW for met in self.met.values())
+        return any(met.name == name and met.standing != NEW for met in self.last_responses.values())
 
-    def confirmed_at(self) -> float:
+    def quorum_contact_s(self) -> float:
         """When a majority was last known to follow this leader."""
-        return self._majority(self.contacts)
+        return self._quorum_time_s(self.last_contact_s)
 
-    def _majority(self, times: dict[str, float]) -> float:
-        found = sorted((at for name, at in times.items() if self.counts(name)), reverse=True)
-        return found[self.needed - 1] if len(found) >= self.needed else -math.inf
+    def _quorum_time_s(self, times: dict[str, float]) -> float:
+        found = sorted((at for name, at in times.items() if self.is_voting_member(name)), reverse=True)
+        return found[self.quorum_peers - 1] if len(found) >= self.quorum_peers else -math.inf
 
-    def told(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
         """For operators: its role and standing, and at a leader for how long each peer was silent."""
         silent = {
-            peer: now - self.contacts[met.name] for peer, met in self.met.items() if met.name in self.contacts
+            peer: now - self.last_contact_s[met.name]
+            for peer, met in self.last_responses.items()
+            if met.name in self.last_contact_s
         }
         standings = {
-            peer: {"standing": met.standing, "silent_s": silent.get(peer)} for peer, met in self.met.items()
+            peer: {"standing": met.standing, "silent_s": silent.get(peer)}
+            for peer, met in self.last_responses.items()
         }
         return {"role": self.role, "standing": self.ballot.standing, "members": standings}
 
-    def observe(self, term: int, now: float) -> None:
+    def observe_term(self, term: int, now: float) -> None:
         """Somebody acts on `term`."""
         if term > self.term:
             self.ballot = msgspec.structs.replace(self.ballot, term=term, voted_for="")
@@ -201,130 +210,136 @@
 
     def step_down(self, now: float) -> None:
         """No leader is known, and this one is none."""
-        self.role, self.leader, self.asking = FOLLOWER, None, None
-        self._rest(now)
+        self.role, self.leader, self.campaign = FOLLOWER, None, None
+        self._reset_election_timeout(now)
 
-    def _rest(self, now: float) -> None:
-        self.deadline = now + self.rng.uniform(self.timing.timeout_s, self.timing.timeout_most_s)
+    def _reset_election_timeout(self, now: float) -> None:
+        self.election_deadline_s = now + self.rng.uniform(self.timing.timeout_s, self.timing.timeout_most_s)
 
     # --- Time -------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Call]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         """What to send by now; to be called a few times in each `beat_s`."""
-        if now - self.ticked > 2.0 * self.timing.beat_s:
+        if now - self.last_tick_s > 2.0 * self.timing.beat_s:
             # This process stood still: what was sent to it meanwhile is read before it judges.
-            self.deadline = max(self.deadline, now + 2.0 * self.timing.beat_s)
-            self.excused = now + 2.0 * self.timing.beat_s
-        self.ticked = now
+            self.election_deadline_s = max(self.election_deadline_s, now + 2.0 * self.timing.beat_s)
+            self.grace_until_s = now + 2.0 * self.timing.beat_s
+        self.last_tick_s = now
         if self.role == LEADER:
-            return self._reign(now)
-        if now >= self.deadline:
+            return self._tick_leader(now)
+        if now >= self.election_deadline_s:
             self.leader = None
-            if self.voter and self.log().last >= self.ballot.floor:
-                return self._stand(now)
-            self._rest(now)
-        unmet = len(self.met) < len(self.peers) or (self.leader and self.peer(self.leader) is None)
-        if now >= self.probe_at and (unmet or not self.voter):
-            self.probe_at = now + self.rng.uniform(*self.timing.again_s)
-            return self._to_all(self._ask(self.term, True))
+            if self.is_voter and self.log_state().last >= self.ballot.floor:
+                return self._start_pre_vote(now)
+            self._reset_election_timeout(now)
+        unmet = len(self.last_responses) < len(self.peers) or (
+            self.leader and self.address_of(self.leader) is None
+        )
+        if now >= self.next_probe_s and (unmet or not self.is_voter):
+            self.next_probe_s = now + self.rng.uniform(*self.timing.again_s)
+            return self._broadcast(self._vote_request(self.term, True))
         return []
 
-    def _to_all(self, message: Message) -> list[Call]:
-        return [Call(peer, message) for peer in self.peers]
+    def _broadcast(self, message: Message) -> list[OutgoingMessage]:
+        return [OutgoingMessage(peer, message) for peer in self.peers]
 
-    def _ask(self, term: int, trial: bool) -> Ask:
-        log = self.log()
-        return Ask(self.name, log.lineage, self.members, term, log.last, trial, self.voter)
+    def _vote_request(self, term: int, trial: bool) -> VoteRequest:
+        log = self.log_state()
+        return VoteRequest(self.name, log.lineage, self.member_count, term, log.last, trial, self.is_voter)
 
-    def _stand(self, now: float) -> list[Call]:
+    def _start_pre_vote(self, now: float) -> list[OutgoingMessage]:
         """A pre-vote, for the term that would be next."""
         self.role, self.votes = CANDIDATE, set()
         # In small steps: a writer that operators appoint begins an era, and outdoes all of these.
         term = next_term(self.term, resumes=True, salt=self.rng.getrandbits(SALT_BITS))
-        self.asking = self._ask(term, True)
-        self.deadline = now + self.rng.uniform(*self.timing.again_s)
-        return self._to_all(self.asking)
+        self.campaign = self._vote_request(term, True)
+        self.election_deadline_s = now + self.rng.uniform(*self.timing.again_s)
+        return self._broadcast(self.campaign)
 
-    def _reign(self, now: float) -> list[Call]:
-        silent_s = now - max(self.began, self.confirmed_at())
-        unpolled_s = now - max(self.began, self._majority(self.polls))
+    def _tick_leader(self, now: float) -> list[OutgoingMessage]:
+        silent_s = now - max(self.leading_since_s, self.quorum_contact_s())
+        unpolled_s = now - max(self.leading_since_s, self._quorum_time_s(self.last_poll_s))
         lost = silent_s >= self.timing.timeout_s or unpolled_s >= self.timing.unpolled_s
-        if lost and now >= self.excused:
+        if lost and now >= self.grace_until_s:
             self.step_down(now)
             return []
-        if now < self.beat_at:
+        if now < self.next_heartbeat_s:
             return []
-        self.beat_at = now + self.timing.beat_s
-        self.serial += 1
-        log = self.log()
-        made = Beat(self.name, log.lineage, self.members, self.term, self.serial)
+        self.next_heartbeat_s = now + self.timing.beat_s
+        self.heartbeat_serial += 1
+        log = self.log_state()
+        made = Heartbeat(self.name, log.lineage, self.member_count, self.term, self.heartbeat_serial)
         return [
-            Call(peer, msgspec.structs.replace(made, promoted=self._promoted(peer, now)))
+            OutgoingMessage(peer, msgspec.structs.replace(made, promoted=self._promotable_learner(peer, now)))
             for peer in self.peers
         ]
 
-    def _promoted(self, peer: str, now: float) -> str:
+    def _promotable_learner(self, peer: str, now: float) -> str:
         """The name of the newcomer there, once it may vote."""
-        if (met := self.met.get(peer)) is None or met.standing != NEW:
+        if (met := self.last_responses.get(peer)) is None or met.standing != NEW:
             return ""
-        one = self.newcomers.setdefault(met.name, Newcomer(now))
-        if one.goal is None:
-            if now - one.since >= self.timing.newcomer_s:
-                one.goal, one.serial = self.log().last[1], self.serial - 1
+        one = self.learners.setdefault(met.name, Learner(now))
+        if one.target_index is None:
+            if now - one.since_s >= self.timing.newcomer_s:
+                one.target_index, one.heartbeat_serial = self.log_state().last[1], self.heartbeat_serial - 1
             return ""
-        return met.name if len(one.confirmed) >= self.needed and one.reached >= one.goal else ""
+        return (
+            met.name
+            if len(one.confirmed_by) >= self.quorum_peers and one.match_index >= one.target_index
+            else ""
+        )
 
     # --- What others ask --------------------------------------------------------------
 
-    def asked(self, ask: Ask, now: float) -> Reply:
+    def handle_vote_request(self, ask: VoteRequest, now: float) -> ElectionResponse:
         """A candidate's call. `PeerError` where it is no member's."""
-        self._admit(ask)
-        return self._reply(self._grants(ask, now))
+        self._check_sender(ask)
+        return self._response(self._grants_vote(ask, now))
 
-    def _grants(self, ask: Ask, now: float) -> bool:
-        led = self.leader is not None and now - self.heard < self.timing.timeout_s
+    def _grants_vote(self, ask: VoteRequest, now: float) -> bool:
+        led = self.leader is not None and now - self.last_heartbeat_s < self.timing.timeout_s
         if self.role == LEADER or led:
             return False  # and its term changes nothing here: the leader is well
-        fits = ask.voter and self.voter and ask.last >= max(self.log().last, self.ballot.floor)
+        fits = ask.voter and self.is_voter and ask.last >= max(self.log_state().last, self.ballot.floor)
         if ask.trial:
             return fits and ask.term > self.term
-        self.observe(ask.term, now)
+        self.observe_term(ask.term, now)
         if not fits or ask.term < self.term or self.ballot.voted_for not in ("", ask.name):
             return False
         self.ballot = msgspec.structs.replace(self.ballot, voted_for=ask.name)
-        self._rest(now)
+        self._reset_election_timeout(now)
         return True
 
-    def beaten(self, beat: Beat, now: float) -> Reply:
+    def handle_heartbeat(self, beat: Heartbeat, now: float) -> ElectionResponse:
         """A leader's sign of life. `PeerError` where it is no member's."""
-        self._admit(beat)
+        self._check_sender(beat)
         if beat.term < self.term:
-            return self._reply(False)
-        self.observe(beat.term, now)
+            return self._response(False)
+        self.observe_term(beat.term, now)
         if self.role != FOLLOWER:
             self.step_down(now)
-        self.leader, self.heard = beat.name, now
-        self._rest(now)
+        self.leader, self.last_heartbeat_s = beat.name, now
+        self._reset_election_timeout(now)
         if self.ballot.standing == FOUNDING:
             self.ballot = msgspec.structs.replace(self.ballot, standing=MEMBER)
         if beat.promoted == self.name and self.ballot.standing == NEW:
             self.ballot = msgspec.structs.replace(self.ballot, standing=MEMBER, voted_for=beat.name)
-        return self._reply(True)
+        return self._response(True)
 
-    def _reply(self, granted: bool) -> Reply:
-        log = self.log()
-        return Reply(self.name, log.lineage, self.term, log.last, self.ballot.standing, granted)
+    def _response(self, granted: bool) -> ElectionResponse:
+        log = self.log_state()
+        return ElectionResponse(self.name, log.lineage, self.term, log.last, self.ballot.standing, granted)
 
-    def _admit(self, message: Message) -> None:
+    def _check_sender(self, message: Message) -> None:
         """An empty log may become any log; two that are not empty have to be one."""
-        if message.members != self.members:
+        if message.members != self.member_count:
             raise PeerError(
-                f"{message.members} members there, {self.members} here",
+                f"{message.members} members there, {self.member_count} here",
                 "start all members with the same ones in --peers",
             )
         if message.name == self.name:
             raise PeerError("a member asks itself", "name only the other members in --peers")
-        if self.log().lineage and message.lineage and message.lineage != self.log().lineage:
+        if self.log_state().lineage and message.lineage and message.lineage != self.log_state().lineage:
             raise PeerError(
                 "the member's log is of another lineage",
                 "see which folder is the right one; start the other member with an empty one",
@@ -332,65 +347,67 @@
 
     # --- What others answer -----------------------------------------------------------
 
-    def replied(self, peer: str, message: Message, reply: Reply, now: float) -> list[Call]:
+    def handle_response(
+        self, peer: str, message: Message, reply: ElectionResponse, now: float
+    ) -> list[OutgoingMessage]:
         """A peer's answer to a message of this one; what to send next."""
-        lineage = self.log().lineage
+        lineage = self.log_state().lineage
         if reply.name == self.name or (lineage and reply.lineage not in ("", lineage)):
             return []
-        self.met[peer] = reply
+        self.last_responses[peer] = reply
         if reply.term > self.term:
-            self.observe(reply.term, now)
-        elif isinstance(message, Beat):
-            self._confirm(message, reply, now)
-        elif message is self.asking and reply.granted:
+            self.observe_term(reply.term, now)
+        elif isinstance(message, Heartbeat):
+            self._record_confirmation(message, reply, now)
+        elif message is self.campaign and reply.granted:
             self.votes.add(reply.name)
-            if len(self.votes) >= self.needed:
-                return self._won(now)
-        self._found(now)
+            if len(self.votes) >= self.quorum_peers:
+                return self._advance_campaign(now)
+        self._try_founding(now)
         return []
 
-    def _won(self, now: float) -> list[Call]:
-        assert self.asking is not None
-        if self.asking.trial:
-            self.ballot = msgspec.structs.replace(self.ballot, term=self.asking.term, voted_for=self.name)
-            self.votes, self.asking = set(), self._ask(self.term, False)
-            self._rest(now)
-            return self._to_all(self.asking)
-        self.role, self.leader, self.asking = LEADER, self.name, None
+    def _advance_campaign(self, now: float) -> list[OutgoingMessage]:
+        assert self.campaign is not None
+        if self.campaign.trial:
+            self.ballot = msgspec.structs.replace(self.ballot, term=self.campaign.term, voted_for=self.name)
+            self.votes, self.campaign = set(), self._vote_request(self.term, False)
+            self._reset_election_timeout(now)
+            return self._broadcast(self.campaign)
+        self.role, self.leader, self.campaign = LEADER, self.name, None
         self.ballot = msgspec.structs.replace(self.ballot, standing=MEMBER)
-        self.began, self.beat_at = now, now
-        self.contacts.clear()
-        self.polls.clear()
-        self.newcomers.clear()
-        return self._reign(now)
+        self.leading_since_s, self.next_heartbeat_s = now, now
+        self.last_contact_s.clear()
+        self.last_poll_s.clear()
+        self.learners.clear()
+        return self._tick_leader(now)
 
-    def _found(self, now: float) -> None:
+    def _try_founding(self, now: float) -> None:
         """With all members there, none of which ever had a leader, nothing can have been forgotten."""
-        met = self.met.values()
+        met = self.last_responses.values()
         all_met = len({one.name for one in met}) == len(self.peers)
-        lineages = {self.log().lineage, *(one.lineage for one in met)} - {""}
-        if self.voter or not all_met or len(lineages) > 1 or any(one.standing == MEMBER for one in met):
+        lineages = {self.log_state().lineage, *(one.lineage for one in met)} - {""}
+        if self.is_voter or not all_met or len(lineages) > 1 or any(one.standing == MEMBER for one in met):
             return
-        floor = max(self.log().last, *(one.last for one in met))
+        floor = max(self.log_state().last, *(one.last for one in met))
         self.ballot = msgspec.structs.replace(self.ballot, standing=FOUNDING, floor=floor)
-        self._rest(now)  # the others ask within that time, and found it too
+        self._reset_election_timeout(now)  # the others ask within that time, and found it too
 
-    def _confirm(self, beat: Beat, reply: Reply, now: float) -> None:
+    def _record_confirmation(self, beat: Heartbeat, reply: ElectionResponse, now: float) -> None:
         if self.role != LEADER or beat.term != self.term or not reply.granted:
             return
-        self.contacts[reply.name] = now
-        for one in self.newcomers.values():
-            if one.goal is not None and beat.serial > one.serial and reply.standing != NEW:
-                one.confirmed.add(reply.name)
+        self.last_contact_s[reply.name] = now
+        for one in self.learners.values():
+            if one.target_index is not None and beat.serial > one.heartbeat_serial and reply.standing != NEW:
+                one.confirmed_by.add(reply.name)
 
-    def polled(self, name: str, index: int, now: float) -> bool:
+    def record_poll(self, name: str, index: int, now: float) -> bool:
         """At a leader: the member of this name proved that it holds the log up to `index`;
         whether that counts towards a majority."""
         if self.role != LEADER:
             return False
-        if self.counts(name):
-            self.contacts[name] = self.polls[name] = now
+        if self.is_voting_member(name):
+            self.last_contact_s[name] = self.last_poll_s[name] = now
             return True
-        if (one := self.newcomers.get(name)) is not None:
-            one.reached = max(one.reached, index)
+        if (one := self.learners.get(name)) is not None:
+            one.match_index = max(one.match_index, index)
         return False
--- a/woadyard/registry/peers.py
+++ b/woadyard/registry/peers.py
@@ -18,32 +18,32 @@
 from woadyard.registry.replication import TERM_PATH, Standing
 from woadyard.registry.service import Registry
 
-EVERY_S, CALL_S = 1.0, 1.0
+POLL_INTERVAL_S, CALL_TIMEOUT_S = 1.0, 1.0
 LOG = logging.getLogger(__name__)
 
 
-class Peers:
+class PeerPoller:
     def __init__(self, registry: Registry, addresses: str, rng: random.Random) -> None:
         self.registry, self.rng = registry, rng
         self.addresses = [one.strip() for one in addresses.split(",") if one.strip()]
 
     async def run(self) -> None:
         while True:
-            await self.ask()
+            await self.poll_all()
             # Spread, so that peers that began together do not ask in step.
-            await asyncio.sleep(EVERY_S * self.rng.uniform(0.75, 1.25))
+            await asyncio.sleep(POLL_INTERVAL_S * self.rng.uniform(0.75, 1.25))
 
-    async def ask(self) -> None:
+    async def poll_all(self) -> None:
         """Ask all of them once, each at most `CALL_S`."""
-        await asyncio.gather(*(self._ask(one) for one in self.addresses))
+        await asyncio.gather(*(self._poll(one) for one in self.addresses))
 
-    async def _ask(self, peer: str) -> None:
+    async def _poll(self, peer: str) -> None:
         registry = self.registry
         lineage = registry.host.lineage
         headers = f"{TERM_HEADER}: {lineage}:{registry.seen}\r\n" if lineage else ""
         try:
             status, body = await fetch(
-                parse_address(peer), "GET", TERM_PATH, timeout_s=CALL_S, headers=headers
+                parse_address(peer), "GET", TERM_PATH, timeout_s=CALL_TIMEOUT_S, headers=headers
             )
             standing = msgspec.json.decode(body, type=Standing) if status == 200 else None
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
--- a/woadyard/registry/replication.py
+++ b/woadyard/registry/replication.py
@@ -62,6 +62,6 @@
         told = Standing(host.lineage, host.term, registry.seen, registry.leads, registry.writer, host.applied)
         if registry.election is None:
             return answer(told)
-        return answer({**msgspec.structs.asdict(told), **registry.election.told(time.monotonic())})
+        return answer({**msgspec.structs.asdict(told), **registry.election.status(time.monotonic())})
 
     return [web.get(LOG_PATH, at_writer(registry, log)), web.get(TERM_PATH, term)]
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -22,11 +22,11 @@
 from woadyard.errors import LogEntryError, StateError
 from woadyard.registry.book import Book, Record, Timed
 from woadyard.registry.books import books
-from woadyard.registry.copies import Copies
 from woadyard.registry.counts import Counts
 from woadyard.registry.election import Election
 from woadyard.registry.host import ERA_SHIFT, LEAD, TERM_MOST, Host, next_term
 from woadyard.registry.log import Journal
+from woadyard.registry.replication_progress import ReplicationProgress
 from woadyard.registry.waiters import COPIES_TOPIC, LOG_TOPIC, Waiters
 
 # A snapshot comes where the log is longer than the last one, and than this: so a book that
@@ -99,7 +99,7 @@
         self.seen = max(journal.seen(), self.host.term)  # the greatest term told of
         self.stale = False  # a replica that has not heard of its writer lately
         self.deposed = False
-        self.copies = Copies(copies)
+        self.copies = ReplicationProgress(copies)
         self.rules = Rules()  # of the audit
         self.waiters = Waiters()
         self.counts = Counts()
@@ -145,7 +145,9 @@
     def lead_elected(self, term: int) -> None:
         """Begin to write in a term that most members voted for. StateError of the disk."""
         lineage = self.host.lineage or secrets.token_hex(8)
-        self.copies = Copies(self.copies.needed)  # what was held in another reign says nothing
+        self.copies = ReplicationProgress(
+            self.copies.required_replicas
+        )  # what was held in another reign says nothing
         self.replay({"op": LEAD, "lineage": lineage, "term": term, "by": self.name, "at": self.clock()})
         self.led_from = self.host.applied
         self.writer, self.deposed, self.leaderless = None, False, False
@@ -180,15 +182,15 @@
         """A replica has shown that it holds the log up to `index`. Of members that elect
         the others' copies count alone."""
         now = time.monotonic()
-        if self.election is None or self.election.polled(replica, index, now):
-            self.copies.proven(replica, index, now)
+        if self.election is None or self.election.record_poll(replica, index, now):
+            self.copies.record_match(replica, index, now)
             self.waiters.wake(COPIES_TOPIC)
 
     def held(self) -> int:
         """The index up to which the replicas that have to are known to hold the log: what
         stands there outlives this process and its disk. -1 where an elected writer's own
         first record is not held yet: before that nothing is known (Raft, figure 8)."""
-        reach = self.copies.held(self.host.applied, time.monotonic())
+        reach = self.copies.advance_commit(self.host.applied, time.monotonic())
         return reach if reach >= self.led_from else -1
 
     async def settle(self, index: int, term: int | None = None) -> None:
@@ -196,11 +198,11 @@
         by the replicas that have to hold it, at once where that is none; `UnsettledError`
         after `SETTLE_S`."""
         term = self.host.term if term is None else term
-        if self.copies.needed and not await self.waiters.until(
+        if self.copies.required_replicas and not await self.waiters.until(
             COPIES_TOPIC, lambda: self.held() >= index or not self._leads_in(term), SETTLE_S
         ):
             kind = UnsettledError if self.election is None else MinorityError
-            raise kind(f"record {index} is not yet at {self.copies.needed} replicas")
+            raise kind(f"record {index} is not yet at {self.copies.required_replicas} replicas")
         if not self._leads_in(term):
             raise self._deposed(f"record {index} may be lost: another process leads")
 
@@ -266,7 +268,7 @@
     def _sure(self, election: Election) -> bool:
         """Whether most members followed just now: one cut off from them may be cut off from
         those that renew too, and ends no lease."""
-        return self.held() >= self.led_from and time.monotonic() - election.confirmed_at() < SURE_S
+        return self.held() >= self.led_from and time.monotonic() - election.quorum_contact_s() < SURE_S
 
     # --- Terms ------------------------------------------------------------------------
 
