--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -101,7 +101,7 @@
         )
         self.members = await asyncio.gather(*started)
         for one in self.members:
-            await one.wait_logged("standing among the members", standing="member")
+            await one.wait_logged("membership standing changed", standing="member")
 
     @property
     def running(self) -> list[Program]:
--- a/tests/election_world.py
+++ b/tests/election_world.py
@@ -15,10 +15,10 @@
     NEW,
     Ballot,
     Election,
-    ElectionResponse,
     LogState,
     Message,
-    OutgoingMessage,
+    Outgoing,
+    PeerResponse,
     Timing,
     VoteRequest,
 )
@@ -52,7 +52,7 @@
         log = self.disk.log
         return LogState("a" if log else "", (log[-1][0] if log else 0, len(log)))
 
-    def act(self, calls: list[OutgoingMessage]) -> None:
+    def act(self, calls: list[Outgoing]) -> None:
         """The ballot first, then the role, then what is sent: as the elector does."""
         election = self.election
         self.disk.ballot = election.ballot
@@ -78,7 +78,7 @@
         self.pending.append((len(self.disk.log), what))
         return True
 
-    def receive(self, message: Message) -> ElectionResponse:
+    def receive(self, message: Message) -> PeerResponse:
         if isinstance(message, VoteRequest):
             found = self.election.handle_vote_request(message, self.world.now)
         else:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -23,9 +23,9 @@
     NEW,
     Ballot,
     Election,
-    ElectionResponse,
     Heartbeat,
     LogState,
+    PeerResponse,
     VoteRequest,
 )
 
@@ -226,7 +226,7 @@
     return Election(name, addresses, ballot, lambda: LogState("a", (5, 9)), random.Random(1), 0.0)
 
 
-def elect(member: Election, reply: ElectionResponse) -> None:
+def elect(member: Election, reply: PeerResponse) -> None:
     """By this peer's yes to the pre-vote and to the vote."""
     now = 0.0
     while member.campaign is None:
@@ -263,7 +263,7 @@
     assert member.handle_vote_request(asked, 1.0).granted is granted
     assert member.ballot.voted_for == ("x" if granted and not asked.trial else "")
     assert make(standing=NEW).handle_vote_request(asked, 1.0).granted is False
-    told = Election("me", ["a", "b"], member.ballot, member.log_state, random.Random(2), 9.0)  # started anew
+    told = Election("me", ["a", "b"], member.ballot, member.get_log, random.Random(2), 9.0)  # started anew
     assert not told.handle_vote_request(ask(name="y"), 9.0).granted or not granted or asked.trial, (
         "one vote a term"
     )
@@ -285,8 +285,8 @@
 def test_a_newcomer_is_a_member_once_old_candidacies_are_over_most_confirm_and_it_holds_all() -> None:
     leader = make()
     met = {
-        "p0": ElectionResponse("x", "a", 5, (5, 9), MEMBER, True),
-        "p1": ElectionResponse("y", "", 5, (0, 0), NEW, True),
+        "p0": PeerResponse("x", "a", 5, (5, 9), MEMBER, True),
+        "p1": PeerResponse("y", "", 5, (0, 0), NEW, True),
     }
 
     def turn(now: float, *answering: str) -> str:
@@ -315,7 +315,7 @@
 
 
 def test_a_process_that_stood_still_hears_what_was_sent_before_it_judges() -> None:
-    reply = ElectionResponse("x", "a", 5, (5, 9), MEMBER, True)
+    reply = PeerResponse("x", "a", 5, (5, 9), MEMBER, True)
     leader, follower = make(), make(name="you")
     elect(leader, reply)
     leader.record_poll("x", 9, leader.leading_since_s)
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -44,7 +44,7 @@
             )
         )
         for one in self.all:
-            await one.wait_logged("standing among the members", standing="member")
+            await one.wait_logged("membership standing changed", standing="member")
         return self
 
     async def leader(self, among: list[Program] | None = None) -> Program:
--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -113,7 +113,7 @@
         assert await first.put("s-1") == 503, "a copy that is new does not count"
         await first.stop()
         await other.start()
-        met = await until(lambda: [one.standing for one in other.elector.election.last_responses.values()])
+        met = await until(lambda: [one.standing for one in other.elector.election.responses.values()])
         assert met == [NEW] and not wiped.elector.election.is_voter
         await until(lambda: other.elector.election.campaign)  # it stands, and the other has no vote
         assert not other.registry.leads and not wiped.registry.leads
--- a/woadyard/registry/ballot_file.py
+++ b/woadyard/registry/ballot_file.py
@@ -1,4 +1,4 @@
-"""A member's ballot on disk: its term and its vote, which a restart must not forget."""
+"""Stores a member's ballot, its term and vote, which must survive a restart."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from woadyard.registry.election import Ballot
 from woadyard.registry.log import replace
 
-HEADER = struct.Struct(">II")  # length and CRC-32 of the JSON behind it, as of a log's records
+HEADER = struct.Struct(">II")  # length and CRC-32 of the JSON that follows, as for log entries
 
 
 class BallotError(StateError):
-    """The file is damaged: which way this process voted is not known."""
+    """The ballot file is damaged, so this process can't tell for whom it has voted."""
 
     remedy = (
-        "move the folder away and start this process with an empty one: it takes the log from the "
-        "others, and votes again once it has it"
+        "move the data folder away and start this process with an empty one: it copies the log from the "
+        "other members and votes again once it holds all of it"
     )
 
 
@@ -31,7 +31,7 @@
         self.path = folder / "ballot"
 
     def read(self) -> Ballot:
-        """A new member's where there is no file yet."""
+        """Returns an empty ballot where there is no file yet; raises `BallotError` where it is damaged."""
         if not self.path.exists():
             return Ballot()
         data = self.path.read_bytes()
@@ -41,9 +41,9 @@
         try:
             return msgspec.json.decode(payload, type=Ballot)
         except msgspec.DecodeError as error:
-            raise BallotError(f"{self.path} holds no ballot: {error}") from None
+            raise BallotError(f"{self.path} holds no valid ballot: {error}") from None
 
     def write(self, ballot: Ballot) -> None:
-        """On disk when it returns; OSError where the disk refuses it."""
+        """Returns once the ballot is on disk; raises OSError where the disk fails."""
         payload = msgspec.json.encode(ballot)
         replace(self.path, HEADER.pack(len(payload), zlib.crc32(payload)) + payload)
--- a/woadyard/registry/election.py
+++ b/woadyard/registry/election.py
@@ -1,27 +1,23 @@
-"""Who writes: Raft's election (Ongaro and Ousterhout, 2014), fitted to the log's terms.
-
-Pure: no I/O and no clock. It is told times (s of the caller's monotonic clock), messages
-and answers, and says what to send; the role, the leader and the ballot are read off it.
-The caller keeps the ballot on disk before anything of the same turn is sent or answered.
-
-What it has to hold, stated before it was built, with 3 or 5 processes of one log:
-a writer that was killed or cut off has a successor, and a change asked for is in force at
-all watchers within 9 s (aim: 99 in 100 within 5 s); no answered write is lost; never do two
-writers both have their writes answered; no lease ends by the change of writers; the lesser
-side of a split answers no write and serves its list on; no election without need.
-
-How: a member that hears nothing of a leader for a drawn time asks all whether they would
-vote for it (pre-vote and stickiness; Ongaro's thesis, 2014, 9.6 and 4.2.3), and only then
-raises its term and asks for votes. A member votes once a term, for a log at least as far as
-its own by (term, index) of the last record. A leader that no majority answered for an
-election timeout steps down. Terms are salted (host.py), so of two that ask at once the
-greater term wins and no vote is split.
-
-A member whose folder is empty is `NEW` and may have forgotten its votes and records: it
-neither votes nor counts as a copy. It becomes a member where all members are there and none
-ever had an elected leader (`FOUNDING`), or by a leader's word: once no candidacy from before
-its start can still win, a majority without it confirmed the leader, and it holds all that the
-leader then held.
+"""Leader election after Raft (Ongaro and Ousterhout, 2014), with the salted terms of the registry's log.
+
+Pure: no I/O and no clock. The caller passes the time (`now`, s of its monotonic clock), messages and
+responses, gets back the messages to send, and stores the ballot on disk before it sends or answers.
+
+Requirements, for 3 or 5 processes of one log: a leader that is killed or cut off is replaced, and a
+requested change is in force at all watchers within 9 s (aim: 99 in 100 within 5 s); no acknowledged
+write is lost; two leaders never both acknowledge writes; a change of leader expires no lease; the
+minority side of a partition acknowledges no write and serves its list; no election without need.
+
+A member that receives no heartbeat for a random timeout first asks all others whether they would vote
+for it (pre-vote and leader stickiness; Ongaro's thesis, 2014, 9.6 and 4.2.3). Only if a majority would,
+it raises its term and requests votes. A member votes once a term, for a log at least as far as its own
+by (term, index) of the last entry. A leader that no majority answered for an election timeout steps
+down. Terms are salted (host.py): of two simultaneous candidates the greater term wins, no vote is split.
+
+A member with an empty folder is `NEW`: it may have forgotten votes and entries, and is a learner that
+neither votes nor counts towards a majority. It becomes a voting member where all members are present
+and none ever had an elected leader (`FOUNDING`), or by a leader's promotion: once no campaign from
+before its start can win, a majority without it confirmed the leader, and it holds all the leader did.
 """
 
 from __future__ import annotations
@@ -39,23 +35,23 @@
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
 NEW, FOUNDING, MEMBER = "new", "founding", "member"
-EntryPosition = tuple[int, int]  # term and index of a log's last record
+EntryPosition = tuple[int, int]  # term and index of a log entry
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """s. A leader is missed after a time drawn from `timeout_s` to `timeout_most_s`; a pre-vote
-    that fails costs nobody anything and is repeated after one drawn from `again_s`."""
+    """Intervals in s. The election timeout is drawn between `timeout_s` and `timeout_most_s`. A failed
+    pre-vote disturbs nobody and is repeated after a delay drawn from `again_s`."""
 
     timeout_s: float = 1.5
     timeout_most_s: float = 3.0
     beat_s: float = 0.3
     again_s: tuple[float, float] = (0.4, 1.0)
-    newcomer_s: float = 6.0  # twice the longest candidacy
-    unpolled_s: float = 5.0  # a leader that answers come to, and whose log nobody reads, steps down
+    newcomer_s: float = 6.0  # twice the longest campaign
+    unpolled_s: float = 5.0  # a leader whose log no majority polls steps down, even if it is answered
 
 
 class Ballot(msgspec.Struct, frozen=True):
-    """What outlives a restart. `floor`: nobody is voted for whose log ends before it."""
+    """The state that survives a restart. `floor`: no vote goes to a log that ends before it."""
 
     term: int = 0
     voted_for: str = ""
@@ -64,14 +60,14 @@
 
 
 class LogState(NamedTuple):
-    """A member's log: which one, and where it ends."""
+    """A member's log: its lineage and the position of its last entry."""
 
     lineage: str
     last: EntryPosition
 
 
 class VoteRequest(msgspec.Struct, frozen=True):
-    """A call for a vote, or (`trial`) whether there would be one. `voter`: the asker has a vote itself."""
+    """A candidate's request for a vote, or for a pre-vote (`trial`). `voter`: the sender may vote itself."""
 
     name: str
     lineage: str
@@ -83,7 +79,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A leader's sign of life; `promoted` names a newcomer that is a member from now on."""
+    """A leader's heartbeat; `promoted` names a learner that is a voting member from now on."""
 
     name: str
     lineage: str
@@ -93,8 +89,8 @@
     promoted: str = ""
 
 
-class ElectionResponse(msgspec.Struct, frozen=True):
-    """A member's answer to either, and where it stands."""
+class PeerResponse(msgspec.Struct, frozen=True):
+    """A member's response to a vote request or a heartbeat, with the state of its log."""
 
     name: str
     lineage: str
@@ -107,7 +103,7 @@
 Message = VoteRequest | Heartbeat
 
 
-class OutgoingMessage(NamedTuple):
+class Outgoing(NamedTuple):
     """A message to send to a peer."""
 
     peer: str
@@ -116,55 +112,46 @@
 
 @dataclass
 class Learner:
-    """At a leader: a member that lost its disk, or never had one."""
+    """A leader's progress record of a non-voting member, which has lost its disk or never had one."""
 
     since_s: float
-    target_index: int | None = None  # the index that it has to hold
-    heartbeat_serial: int = 0  # beats past this one confirm the leader
+    target: int | None = None  # log index that it has to reach
+    serial: int = 0  # heartbeats after this one confirm the leader
     confirmed_by: set[str] = field(default_factory=set)
-    match_index: int = 0
+    match_index: int = 0  # log index up to which its log is known to match
 
 
 class Election:
-    """One member's side. `peers` are the addresses of the others, `name` is this process's own."""
+    """One member's part in the election. `peers` are the addresses of the others, `name` is its own name."""
 
     def __init__(
         self,
         name: str,
         peers: Sequence[str],
         ballot: Ballot,
-        log_state: Callable[[], LogState],
+        get_log: Callable[[], LogState],
         rng: random.Random,
         now: float,
         timing: Timing | None = None,
     ) -> None:
-        self.name, self.peers, self.ballot, self.log_state, self.rng = (
-            name,
-            tuple(peers),
-            ballot,
-            log_state,
-            rng,
-        )
+        self.name, self.peers, self.ballot, self.get_log, self.rng = name, tuple(peers), ballot, get_log, rng
         self.timing = timing or Timing()
         self.member_count = len(self.peers) + 1
-        self.quorum_peers = self.member_count // 2  # others, so that with this one they are a majority
+        self.quorum_peers = self.member_count // 2  # how many peers form a majority with this member
         self.role = FOLLOWER
         self.leader: str | None = None
-        self.last_heartbeat_s = -math.inf  # of the leader
-        self.last_responses: dict[str, ElectionResponse] = {}  # the last answer, by peer
+        self.last_heartbeat_s = -math.inf  # of the current leader
+        self.responses: dict[str, PeerResponse] = {}  # by peer address
         self.votes: set[str] = set()
-        self.campaign: VoteRequest | None = None  # the candidacy under way
-        # A leader's: when each member last answered or polled, and when it last polled.
-        self.last_contact_s: dict[str, float] = {}
-        self.last_poll_s: dict[str, float] = {}
+        self.campaign: VoteRequest | None = None  # the vote request in progress
+        self.last_contact_s: dict[str, float] = {}  # at a leader, by member name: last response or poll
+        self.last_poll_s: dict[str, float] = {}  # the same, polls only
         self.learners: dict[str, Learner] = {}
-        self.leading_since_s, self.next_heartbeat_s, self.heartbeat_serial = -math.inf, 0.0, 0
+        self.leading_since_s, self.next_heartbeat_s, self.serial = -math.inf, 0.0, 0
         self.last_tick_s, self.grace_until_s = now, -math.inf
         self.next_probe_s = now
         self._reset_election_timeout(now)
 
-    # --- Where it stands --------------------------------------------------------------
-
     @property
     def term(self) -> int:
         return self.ballot.term
@@ -174,54 +161,52 @@
         return self.ballot.standing != NEW
 
     def address_of(self, name: str | None) -> str | None:
-        """The address at which the member of this name last answered."""
-        return next((peer for peer, met in self.last_responses.items() if met.name == name), None)
+        """The peer address from which the member of this name last responded."""
+        return next((peer for peer, member in self.responses.items() if member.name == name), None)
 
     def is_voting_member(self, name: str) -> bool:
-        """Whether what this member holds counts towards a majority."""
-        return any(met.name == name and met.standing != NEW for met in self.last_responses.values())
+        """Whether the entries that this member holds count towards a majority."""
+        return any(member.name == name and member.standing != NEW for member in self.responses.values())
 
     def quorum_contact_s(self) -> float:
-        """When a majority was last known to follow this leader."""
+        """The last time at which a majority is known to have followed this leader."""
         return self._quorum_time_s(self.last_contact_s)
 
-    def _quorum_time_s(self, times: dict[str, float]) -> float:
-        found = sorted((at for name, at in times.items() if self.is_voting_member(name)), reverse=True)
-        return found[self.quorum_peers - 1] if len(found) >= self.quorum_peers else -math.inf
+    def _quorum_time_s(self, times_s: dict[str, float]) -> float:
+        newest_s = sorted((at for name, at in times_s.items() if self.is_voting_member(name)), reverse=True)
+        return newest_s[self.quorum_peers - 1] if len(newest_s) >= self.quorum_peers else -math.inf
 
     def status(self, now: float) -> dict[str, Any]:
-        """For operators: its role and standing, and at a leader for how long each peer was silent."""
-        silent = {
-            peer: now - self.last_contact_s[met.name]
-            for peer, met in self.last_responses.items()
-            if met.name in self.last_contact_s
+        """For operators: role and standing, and at a leader the time since the last contact of each peer."""
+        silent_s = {
+            peer: now - self.last_contact_s[member.name]
+            for peer, member in self.responses.items()
+            if member.name in self.last_contact_s
         }
         standings = {
-            peer: {"standing": met.standing, "silent_s": silent.get(peer)}
-            for peer, met in self.last_responses.items()
+            peer: {"standing": member.standing, "silent_s": silent_s.get(peer)}
+            for peer, member in self.responses.items()
         }
         return {"role": self.role, "standing": self.ballot.standing, "members": standings}
 
     def observe_term(self, term: int, now: float) -> None:
-        """Somebody acts on `term`."""
+        """Adopts a greater term that another process acts on, and steps down."""
         if term > self.term:
             self.ballot = msgspec.structs.replace(self.ballot, term=term, voted_for="")
             self.step_down(now)
 
     def step_down(self, now: float) -> None:
-        """No leader is known, and this one is none."""
+        """Becomes a follower without a known leader."""
         self.role, self.leader, self.campaign = FOLLOWER, None, None
         self._reset_election_timeout(now)
 
     def _reset_election_timeout(self, now: float) -> None:
         self.election_deadline_s = now + self.rng.uniform(self.timing.timeout_s, self.timing.timeout_most_s)
 
-    # --- Time -------------------------------------------------------------------------
-
-    def tick(self, now: float) -> list[OutgoingMessage]:
-        """What to send by now; to be called a few times in each `beat_s`."""
+    def tick(self, now: float) -> list[Outgoing]:
+        """Returns the messages that are due; to be called a few times in each `beat_s`."""
         if now - self.last_tick_s > 2.0 * self.timing.beat_s:
-            # This process stood still: what was sent to it meanwhile is read before it judges.
+            # This process was paused: messages received meanwhile are read before any timeout takes effect.
             self.election_deadline_s = max(self.election_deadline_s, now + 2.0 * self.timing.beat_s)
             self.grace_until_s = now + 2.0 * self.timing.beat_s
         self.last_tick_s = now
@@ -229,144 +214,142 @@
             return self._tick_leader(now)
         if now >= self.election_deadline_s:
             self.leader = None
-            if self.is_voter and self.log_state().last >= self.ballot.floor:
+            if self.is_voter and self.get_log().last >= self.ballot.floor:
                 return self._start_pre_vote(now)
             self._reset_election_timeout(now)
-        unmet = len(self.last_responses) < len(self.peers) or (
+        must_probe = len(self.responses) < len(self.peers) or (
             self.leader and self.address_of(self.leader) is None
         )
-        if now >= self.next_probe_s and (unmet or not self.is_voter):
+        if now >= self.next_probe_s and (must_probe or not self.is_voter):
             self.next_probe_s = now + self.rng.uniform(*self.timing.again_s)
             return self._broadcast(self._vote_request(self.term, True))
         return []
 
-    def _broadcast(self, message: Message) -> list[OutgoingMessage]:
-        return [OutgoingMessage(peer, message) for peer in self.peers]
+    def _broadcast(self, message: Message) -> list[Outgoing]:
+        return [Outgoing(peer, message) for peer in self.peers]
 
     def _vote_request(self, term: int, trial: bool) -> VoteRequest:
-        log = self.log_state()
+        log = self.get_log()
         return VoteRequest(self.name, log.lineage, self.member_count, term, log.last, trial, self.is_voter)
 
-    def _start_pre_vote(self, now: float) -> list[OutgoingMessage]:
-        """A pre-vote, for the term that would be next."""
+    def _start_pre_vote(self, now: float) -> list[Outgoing]:
+        """Requests pre-votes for the next term."""
         self.role, self.votes = CANDIDATE, set()
-        # In small steps: a writer that operators appoint begins an era, and outdoes all of these.
+        # Elected terms stay within an era: a leader appointed by operators begins a new era, above them all.
         term = next_term(self.term, resumes=True, salt=self.rng.getrandbits(SALT_BITS))
         self.campaign = self._vote_request(term, True)
         self.election_deadline_s = now + self.rng.uniform(*self.timing.again_s)
         return self._broadcast(self.campaign)
 
-    def _tick_leader(self, now: float) -> list[OutgoingMessage]:
+    def _tick_leader(self, now: float) -> list[Outgoing]:
         silent_s = now - max(self.leading_since_s, self.quorum_contact_s())
         unpolled_s = now - max(self.leading_since_s, self._quorum_time_s(self.last_poll_s))
-        lost = silent_s >= self.timing.timeout_s or unpolled_s >= self.timing.unpolled_s
-        if lost and now >= self.grace_until_s:
+        has_lost_quorum = silent_s >= self.timing.timeout_s or unpolled_s >= self.timing.unpolled_s
+        if has_lost_quorum and now >= self.grace_until_s:
             self.step_down(now)
             return []
         if now < self.next_heartbeat_s:
             return []
         self.next_heartbeat_s = now + self.timing.beat_s
-        self.heartbeat_serial += 1
-        log = self.log_state()
-        made = Heartbeat(self.name, log.lineage, self.member_count, self.term, self.heartbeat_serial)
+        self.serial += 1
+        log = self.get_log()
+        heartbeat = Heartbeat(self.name, log.lineage, self.member_count, self.term, self.serial)
         return [
-            OutgoingMessage(peer, msgspec.structs.replace(made, promoted=self._promotable_learner(peer, now)))
+            Outgoing(peer, msgspec.structs.replace(heartbeat, promoted=self._promotion(peer, now)))
             for peer in self.peers
         ]
 
-    def _promotable_learner(self, peer: str, now: float) -> str:
-        """The name of the newcomer there, once it may vote."""
-        if (met := self.last_responses.get(peer)) is None or met.standing != NEW:
+    def _promotion(self, peer: str, now: float) -> str:
+        """The name of the learner at this address once it may vote, else an empty string."""
+        if (member := self.responses.get(peer)) is None or member.standing != NEW:
             return ""
-        one = self.learners.setdefault(met.name, Learner(now))
-        if one.target_index is None:
-            if now - one.since_s >= self.timing.newcomer_s:
-                one.target_index, one.heartbeat_serial = self.log_state().last[1], self.heartbeat_serial - 1
+        learner = self.learners.setdefault(member.name, Learner(now))
+        if learner.target is None:
+            if now - learner.since_s >= self.timing.newcomer_s:
+                learner.target, learner.serial = self.get_log().last[1], self.serial - 1
             return ""
         return (
-            met.name
-            if len(one.confirmed_by) >= self.quorum_peers and one.match_index >= one.target_index
+            member.name
+            if len(learner.confirmed_by) >= self.quorum_peers and learner.match_index >= learner.target
             else ""
         )
 
-    # --- What others ask --------------------------------------------------------------
-
-    def handle_vote_request(self, ask: VoteRequest, now: float) -> ElectionResponse:
-        """A candidate's call. `PeerError` where it is no member's."""
-        self._check_sender(ask)
-        return self._response(self._grants_vote(ask, now))
-
-    def _grants_vote(self, ask: VoteRequest, now: float) -> bool:
-        led = self.leader is not None and now - self.last_heartbeat_s < self.timing.timeout_s
-        if self.role == LEADER or led:
-            return False  # and its term changes nothing here: the leader is well
-        fits = ask.voter and self.is_voter and ask.last >= max(self.log_state().last, self.ballot.floor)
-        if ask.trial:
-            return fits and ask.term > self.term
-        self.observe_term(ask.term, now)
-        if not fits or ask.term < self.term or self.ballot.voted_for not in ("", ask.name):
+    def handle_vote_request(self, request: VoteRequest, now: float) -> PeerResponse:
+        """Answers a candidate. Raises `PeerError` where the sender is no member."""
+        self._check_sender(request)
+        return self._response(self._grants_vote(request, now))
+
+    def _grants_vote(self, request: VoteRequest, now: float) -> bool:
+        has_leader = self.leader is not None and now - self.last_heartbeat_s < self.timing.timeout_s
+        if self.role == LEADER or has_leader:
+            return False  # the term is not adopted either: a live leader is not disturbed
+        is_eligible = (
+            request.voter and self.is_voter and request.last >= max(self.get_log().last, self.ballot.floor)
+        )
+        if request.trial:
+            return is_eligible and request.term > self.term
+        self.observe_term(request.term, now)
+        if not is_eligible or request.term < self.term or self.ballot.voted_for not in ("", request.name):
             return False
-        self.ballot = msgspec.structs.replace(self.ballot, voted_for=ask.name)
+        self.ballot = msgspec.structs.replace(self.ballot, voted_for=request.name)
         self._reset_election_timeout(now)
         return True
 
-    def handle_heartbeat(self, beat: Heartbeat, now: float) -> ElectionResponse:
-        """A leader's sign of life. `PeerError` where it is no member's."""
-        self._check_sender(beat)
-        if beat.term < self.term:
+    def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> PeerResponse:
+        """Answers a leader. Raises `PeerError` where the sender is no member."""
+        self._check_sender(heartbeat)
+        if heartbeat.term < self.term:
             return self._response(False)
-        self.observe_term(beat.term, now)
+        self.observe_term(heartbeat.term, now)
         if self.role != FOLLOWER:
             self.step_down(now)
-        self.leader, self.last_heartbeat_s = beat.name, now
+        self.leader, self.last_heartbeat_s = heartbeat.name, now
         self._reset_election_timeout(now)
         if self.ballot.standing == FOUNDING:
             self.ballot = msgspec.structs.replace(self.ballot, standing=MEMBER)
-        if beat.promoted == self.name and self.ballot.standing == NEW:
-            self.ballot = msgspec.structs.replace(self.ballot, standing=MEMBER, voted_for=beat.name)
+        if heartbeat.promoted == self.name and self.ballot.standing == NEW:
+            self.ballot = msgspec.structs.replace(self.ballot, standing=MEMBER, voted_for=heartbeat.name)
         return self._response(True)
 
-    def _response(self, granted: bool) -> ElectionResponse:
-        log = self.log_state()
-        return ElectionResponse(self.name, log.lineage, self.term, log.last, self.ballot.standing, granted)
+    def _response(self, granted: bool) -> PeerResponse:
+        log = self.get_log()
+        return PeerResponse(self.name, log.lineage, self.term, log.last, self.ballot.standing, granted)
 
     def _check_sender(self, message: Message) -> None:
-        """An empty log may become any log; two that are not empty have to be one."""
+        """Raises `PeerError` unless the sender is a member; an empty log has no lineage and may join any."""
         if message.members != self.member_count:
             raise PeerError(
-                f"{message.members} members there, {self.member_count} here",
-                "start all members with the same ones in --peers",
+                f"the peer counts {message.members} members, this process {self.member_count}",
+                "start all members with the same set in --peers",
             )
         if message.name == self.name:
-            raise PeerError("a member asks itself", "name only the other members in --peers")
-        if self.log_state().lineage and message.lineage and message.lineage != self.log_state().lineage:
+            raise PeerError("a member received its own message", "name only the other members in --peers")
+        if self.get_log().lineage and message.lineage and message.lineage != self.get_log().lineage:
             raise PeerError(
-                "the member's log is of another lineage",
-                "see which folder is the right one; start the other member with an empty one",
+                "the peer's log is of another lineage",
+                "find out which data folder is the right one; start the other member with an empty folder",
             )
 
-    # --- What others answer -----------------------------------------------------------
-
     def handle_response(
-        self, peer: str, message: Message, reply: ElectionResponse, now: float
-    ) -> list[OutgoingMessage]:
-        """A peer's answer to a message of this one; what to send next."""
-        lineage = self.log_state().lineage
-        if reply.name == self.name or (lineage and reply.lineage not in ("", lineage)):
+        self, peer: str, message: Message, response: PeerResponse, now: float
+    ) -> list[Outgoing]:
+        """Handles a peer's response to a message of this member; returns the messages to send next."""
+        lineage = self.get_log().lineage
+        if response.name == self.name or (lineage and response.lineage not in ("", lineage)):
             return []
-        self.last_responses[peer] = reply
-        if reply.term > self.term:
-            self.observe_term(reply.term, now)
+        self.responses[peer] = response
+        if response.term > self.term:
+            self.observe_term(response.term, now)
         elif isinstance(message, Heartbeat):
-            self._record_confirmation(message, reply, now)
-        elif message is self.campaign and reply.granted:
-            self.votes.add(reply.name)
+            self._record_confirmation(message, response, now)
+        elif message is self.campaign and response.granted:
+            self.votes.add(response.name)
             if len(self.votes) >= self.quorum_peers:
                 return self._advance_campaign(now)
         self._try_founding(now)
         return []
 
-    def _advance_campaign(self, now: float) -> list[OutgoingMessage]:
+    def _advance_campaign(self, now: float) -> list[Outgoing]:
         assert self.campaign is not None
         if self.campaign.trial:
             self.ballot = msgspec.structs.replace(self.ballot, term=self.campaign.term, voted_for=self.name)
@@ -382,32 +365,36 @@
         return self._tick_leader(now)
 
     def _try_founding(self, now: float) -> None:
-        """With all members there, none of which ever had a leader, nothing can have been forgotten."""
-        met = self.last_responses.values()
-        all_met = len({one.name for one in met}) == len(self.peers)
-        lineages = {self.log_state().lineage, *(one.lineage for one in met)} - {""}
-        if self.is_voter or not all_met or len(lineages) > 1 or any(one.standing == MEMBER for one in met):
+        """Founds the cluster where all responded and none ever had a leader: nothing can be forgotten."""
+        members = self.responses.values()
+        all_present = len({member.name for member in members}) == len(self.peers)
+        lineages = {self.get_log().lineage, *(member.lineage for member in members)} - {""}
+        if (
+            self.is_voter
+            or not all_present
+            or len(lineages) > 1
+            or any(member.standing == MEMBER for member in members)
+        ):
             return
-        floor = max(self.log_state().last, *(one.last for one in met))
+        floor = max(self.get_log().last, *(member.last for member in members))
         self.ballot = msgspec.structs.replace(self.ballot, standing=FOUNDING, floor=floor)
-        self._reset_election_timeout(now)  # the others ask within that time, and found it too
+        self._reset_election_timeout(now)  # the others probe within that time, and found it too
 
-    def _record_confirmation(self, beat: Heartbeat, reply: ElectionResponse, now: float) -> None:
-        if self.role != LEADER or beat.term != self.term or not reply.granted:
+    def _record_confirmation(self, heartbeat: Heartbeat, response: PeerResponse, now: float) -> None:
+        if self.role != LEADER or heartbeat.term != self.term or not response.granted:
             return
-        self.last_contact_s[reply.name] = now
-        for one in self.learners.values():
-            if one.target_index is not None and beat.serial > one.heartbeat_serial and reply.standing != NEW:
-                one.confirmed_by.add(reply.name)
+        self.last_contact_s[response.name] = now
+        for learner in self.learners.values():
+            if learner.target is not None and heartbeat.serial > learner.serial and response.standing != NEW:
+                learner.confirmed_by.add(response.name)
 
     def record_poll(self, name: str, index: int, now: float) -> bool:
-        """At a leader: the member of this name proved that it holds the log up to `index`;
-        whether that counts towards a majority."""
+        """Records that a member holds the log up to `index`; whether that counts towards a majority."""
         if self.role != LEADER:
             return False
         if self.is_voting_member(name):
             self.last_contact_s[name] = self.last_poll_s[name] = now
             return True
-        if (one := self.learners.get(name)) is not None:
-            one.match_index = max(one.match_index, index)
+        if (learner := self.learners.get(name)) is not None:
+            learner.match_index = max(learner.match_index, index)
         return False
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -1,10 +1,10 @@
-"""A member's side of an election that does I/O: its timers, its calls to peers, its ballot.
+"""The I/O of the leader election: timers, calls to the peers, the stored ballot and the HTTP endpoints.
 
-- `POST /registry/election/vote`: a candidate's `Ask`; a `Reply`.
-- `POST /registry/election/beat`: a leader's `Beat`; a `Reply`.
+- `POST /registry/election/vote`: takes a candidate's `VoteRequest`, answers a `PeerResponse`.
+- `POST /registry/election/beat`: takes a leader's `Heartbeat`, answers a `PeerResponse`.
 
-It decides nothing: election.py does. In each turn the ballot is on disk before the role is
-changed, and both before anything is sent or answered.
+All decisions are made in election.py. In each turn the ballot is written to disk before the role
+changes, and both happen before anything is sent or answered.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from woadyard.registry.election import (
     LEADER,
     Election,
-    ElectionResponse,
     Heartbeat,
     LogState,
     Message,
-    OutgoingMessage,
+    Outgoing,
+    PeerResponse,
     Timing,
     VoteRequest,
 )
@@ -43,26 +43,28 @@
 
 VOTE_PATH, HEARTBEAT_PATH = "/registry/election/vote", "/registry/election/beat"
 TICK_INTERVAL_S, CALL_TIMEOUT_S = 0.05, 1.0
-# A member polls so often that its leader knows of it well within an election timeout.
+# Followers poll often enough for the leader to see them well within an election timeout.
 POLL_INTERVAL_S = 0.4
-MAX_PENDING_CALLS = 4  # under way at one peer: a cut link holds each until its time is over
+MAX_PENDING_CALLS = 4  # to one peer: with the link cut, each call stays pending until it times out
 LOG = logging.getLogger(__name__)
 M = TypeVar("M", VoteRequest, Heartbeat)
 
 
 def other_members(listen: str, peers: str) -> list[str]:
-    """The other members' addresses; ConfigError where there are none."""
-    found = [one.strip() for one in peers.split(",") if one.strip()]
-    others = [one for one in dict.fromkeys(found) if one != listen]
+    """Parses the addresses of the other members; raises ConfigError where there are none."""
+    addresses = [address.strip() for address in peers.split(",") if address.strip()]
+    others = [address for address in dict.fromkeys(addresses) if address != listen]
     if not others:
-        raise ConfigError("--elect needs the other members", "name them in --peers, HOST:PORT,HOST:PORT")
-    for one in others:
-        parse_address(one)
+        raise ConfigError(
+            "--elect requires at least one other member", "name the others in --peers HOST:PORT,HOST:PORT"
+        )
+    for address in others:
+        parse_address(address)
     return others
 
 
 class Elector:
-    """Runs the election of `registry`'s log among this process and `peers`."""
+    """Runs the leader election of `registry`'s log between this process and `peers`."""
 
     def __init__(
         self,
@@ -87,11 +89,13 @@
         self.follower = Follower(registry, rng, stale_s, poll_s=POLL_INTERVAL_S)
         self.follow_task: asyncio.Task[None] | None = None
         self.pending_calls: dict[str, set[asyncio.Task[None]]] = {peer: set() for peer in self.election.peers}
-        self.last_refusals: dict[str, str] = {}  # by peer: its last refusal, which is logged once
+        self.last_refusals: dict[str, str] = {}  # by peer: the last refusal, to log each one once
         self.elections_won = Counter(
-            "registry_elections_won", "Elections won here", registry=registry.counts.registry
+            "registry_elections_won", "Elections won by this member", registry=registry.counts.registry
+        )
+        leads = Gauge(
+            "registry_leads", "1 while this member is the leader", registry=registry.counts.registry
         )
-        leads = Gauge("registry_leads", "1 while this member writes", registry=registry.counts.registry)
         leads.set_function(lambda: float(registry.leads))
 
     def _log_state(self) -> LogState:
@@ -99,33 +103,37 @@
         return LogState(host.lineage, (host.term, host.applied))
 
     async def run(self) -> None:
-        """Until cancelled."""
-        self.registry.set_stale(True)  # until a writer's first word
+        """Ticks the election until cancelled."""
+        self.registry.set_stale(True)  # until the first message of a leader
         try:
             while True:
                 self._observe_registry_term()
                 self._apply_turn(self.election.tick(time.monotonic()))
                 if self.registry.leaderless:
-                    self.follower.look("no writer is elected")
+                    self.follower.look("no leader is elected")
                 await asyncio.sleep(TICK_INTERVAL_S)
         finally:
-            for task in [*(one for tasks in self.pending_calls.values() for one in tasks), self.follow_task]:
+            for task in [
+                *(call for calls in self.pending_calls.values() for call in calls),
+                self.follow_task,
+            ]:
                 if task is not None:
                     task.cancel()
 
     def _observe_registry_term(self) -> None:
-        """Clients and replicas may have told of a greater term."""
+        """Passes on a greater term that the registry has seen in calls of clients or followers."""
         self.election.observe_term(self.registry.seen, time.monotonic())
 
-    def _apply_turn(self, calls: Iterable[OutgoingMessage]) -> None:
-        """What a turn of the election comes to; nothing is sent where the ballot is not kept."""
+    def _apply_turn(self, messages: Iterable[Outgoing]) -> None:
+        """Stores the ballot, updates the role and sends the messages; sends nothing if the ballot can't be
+        stored."""
         try:
             self._save_ballot()
         except StateError as error:
-            LOG.error("the ballot can't be kept", extra=error.fields())
+            LOG.error("can't store the ballot", extra=error.fields())
             return
         self._update_role()
-        for peer, message in calls:
+        for peer, message in messages:
             if len(self.pending_calls[peer]) < MAX_PENDING_CALLS:
                 task = asyncio.get_running_loop().create_task(self._send(peer, message))
                 self.pending_calls[peer].add(task)
@@ -138,9 +146,9 @@
         try:
             self.ballot_file.write(ballot)
         except OSError as error:
-            raise StateError(f"can't write the ballot: {error}") from None
+            raise StateError(f"can't write the ballot file: {error}") from None
         if ballot.standing != self.saved_ballot.standing:
-            LOG.info("standing among the members", extra={"standing": ballot.standing})
+            LOG.info("membership standing changed", extra={"standing": ballot.standing})
         self.saved_ballot = ballot
         self.registry.hear(self.registry.host.lineage, ballot.term, "the election")
 
@@ -150,9 +158,9 @@
             if not registry.leads or registry.host.term != election.term:
                 self._become_leader()
             return
-        writer = election.address_of(election.leader)
-        if registry.leads or registry.writer != writer:
-            self._become_follower(writer)
+        leader_address = election.address_of(election.leader)
+        if registry.leads or registry.writer != leader_address:
+            self._become_follower(leader_address)
 
     def _become_leader(self) -> None:
         election, registry = self.election, self.registry
@@ -166,16 +174,17 @@
         self.elections_won.inc()
         LOG.info("elected: this process writes", extra=self._log_fields())
 
-    def _become_follower(self, writer: str | None) -> None:
+    def _become_follower(self, leader_address: str | None) -> None:
         self._stop_following()
         if self.registry.leads:
             LOG.warning("this process writes no more", extra=self._log_fields())
             self.follower.heard = time.monotonic()
-        self.registry.yield_to(writer)
+        self.registry.yield_to(leader_address)
         LOG.info(
-            "follows" if writer else "no writer is known", extra={**self._log_fields(), "writer": writer}
+            "follows" if leader_address else "no writer is known",
+            extra={**self._log_fields(), "writer": leader_address},
         )
-        if writer is not None:
+        if leader_address is not None:
             self.follower.backoff.reset()
             self.follow_task = asyncio.get_running_loop().create_task(self.follower.follow())
 
@@ -188,51 +197,54 @@
         host = self.registry.host
         return {"term": self.election.term, "log_term": host.term, "index": host.applied}
 
-    # --- Calls ------------------------------------------------------------------------
-
     async def _send(self, peer: str, message: Message) -> None:
         path = VOTE_PATH if isinstance(message, VoteRequest) else HEARTBEAT_PATH
-        raw = msgspec.json.encode(message)
+        request_body = msgspec.json.encode(message)
         try:
-            status, back = await fetch(parse_address(peer), "POST", path, raw, timeout_s=CALL_TIMEOUT_S)
+            status, response_body = await fetch(
+                parse_address(peer), "POST", path, request_body, timeout_s=CALL_TIMEOUT_S
+            )
             if status != HTTPStatus.OK:
-                self._log_refusal(peer, status, back)
+                self._log_refusal(peer, status, response_body)
                 return
-            reply: ElectionResponse = msgspec.json.decode(back, type=ElectionResponse)
+            response: PeerResponse = msgspec.json.decode(response_body, type=PeerResponse)
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
             return
-        if not self.registry.plausible(reply.term, peer):
+        if not self.registry.plausible(response.term, peer):
             return
         self._observe_registry_term()
-        self._apply_turn(self.election.handle_response(peer, message, reply, time.monotonic()))
+        self._apply_turn(self.election.handle_response(peer, message, response, time.monotonic()))
         self.last_refusals.pop(peer, None)
 
-    def _log_refusal(self, peer: str, status: int, back: bytes) -> None:
-        found = read_refusal(back)
-        if self.last_refusals.get(peer) != found.error:
-            self.last_refusals[peer] = found.error
-            fields = {"peer": peer, "status": status, "error": found.error, "remedy": found.remedy}
+    def _log_refusal(self, peer: str, status: int, response_body: bytes) -> None:
+        refusal = read_refusal(response_body)
+        if self.last_refusals.get(peer) != refusal.error:
+            self.last_refusals[peer] = refusal.error
+            fields = {"peer": peer, "status": status, "error": refusal.error, "remedy": refusal.remedy}
             LOG.error("a member refuses this one", extra=fields)
 
     async def handle_vote_request(self, request: web.Request) -> web.StreamResponse:
-        asked = await self._read_message(request, VoteRequest)
-        return self._respond(self.election.handle_vote_request(asked, time.monotonic()))
+        vote_request = await self._read_message(request, VoteRequest)
+        return self._respond(self.election.handle_vote_request(vote_request, time.monotonic()))
 
     async def handle_heartbeat(self, request: web.Request) -> web.StreamResponse:
-        beat = await self._read_message(request, Heartbeat)
-        return self._respond(self.election.handle_heartbeat(beat, time.monotonic()))
+        heartbeat = await self._read_message(request, Heartbeat)
+        return self._respond(self.election.handle_heartbeat(heartbeat, time.monotonic()))
 
-    async def _read_message(self, request: web.Request, kind: type[M]) -> M:
-        message = await body(request, kind)
+    async def _read_message(self, request: web.Request, message_type: type[M]) -> M:
+        message = await body(request, message_type)
         if not self.registry.plausible(message.term, f"{message.name} at {request.remote}"):
-            raise PeerError(f"term {message.term} can't be", "see that the member's folder is of this log")
+            raise PeerError(
+                f"term {message.term} is implausible",
+                "check that the member's data folder belongs to this log",
+            )
         self._observe_registry_term()
         return message
 
-    def _respond(self, reply: ElectionResponse) -> web.StreamResponse:
-        self._save_ballot()  # StateError, and the vote is not told
+    def _respond(self, response: PeerResponse) -> web.StreamResponse:
+        self._save_ballot()  # on a StateError no vote leaves this process
         self._update_role()
-        return answer(reply)
+        return answer(response)
 
     def routes(self) -> list[web.RouteDef]:
         return [
--- a/woadyard/registry/peers.py
+++ b/woadyard/registry/peers.py
@@ -1,7 +1,7 @@
-"""A process asks its peers, once a second, who leads: so two that both write find out.
+"""Polls the peers once a second for the current leader, so that two processes that both lead detect it.
 
-It tells each its own term, and hears theirs. One that lost its place, or its writer,
-follows the peer that leads; one about to lead follows where its log missed a term.
+Terms are exchanged in both directions. A process that was deposed, or lost its leader, follows the peer
+that leads; a process about to lead follows it if its own log misses a term.
 """
 
 from __future__ import annotations
@@ -23,19 +23,21 @@
 
 
 class PeerPoller:
+    """Polls the term endpoint of all peers; `addresses` are separated by commas."""
+
     def __init__(self, registry: Registry, addresses: str, rng: random.Random) -> None:
         self.registry, self.rng = registry, rng
-        self.addresses = [one.strip() for one in addresses.split(",") if one.strip()]
+        self.addresses = [address.strip() for address in addresses.split(",") if address.strip()]
 
     async def run(self) -> None:
         while True:
             await self.poll_all()
-            # Spread, so that peers that began together do not ask in step.
+            # Jitter, so that peers started together do not poll in step.
             await asyncio.sleep(POLL_INTERVAL_S * self.rng.uniform(0.75, 1.25))
 
     async def poll_all(self) -> None:
-        """Ask all of them once, each at most `CALL_S`."""
-        await asyncio.gather(*(self._poll(one) for one in self.addresses))
+        """Polls all peers once, each for at most `CALL_TIMEOUT_S`."""
+        await asyncio.gather(*(self._poll(address) for address in self.addresses))
 
     async def _poll(self, peer: str) -> None:
         registry = self.registry
@@ -51,7 +53,7 @@
         if standing is None or standing.lineage != lineage:
             return
         registry.hear(standing.lineage, standing.seen, f"peer {peer}")
-        lost = registry.deposed or registry.stale
-        if standing.leads and standing.term >= registry.seen and lost and registry.writer != peer:
-            LOG.warning("following the peer that leads", extra={"peer": peer, "term": standing.term})
+        has_no_leader = registry.deposed or registry.stale
+        if standing.leads and standing.term >= registry.seen and has_no_leader and registry.writer != peer:
+            LOG.warning("following the leading peer", extra={"peer": peer, "term": standing.term})
             registry.follow(peer)
