--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -37,7 +37,7 @@
     shared = {"listen": "127.0.0.1:0", "peers": f"127.0.0.1:{peers.port}", "interval-ms": 50,
               "verdict-bound-ms": BOUND_MS, "eject-share": 0.7, **more}  # fmt: skip
     sidecar = await lab.sidecar(name, endpoints, discovery, shared=shared, settings=settings)
-    line = await sidecar.said("sharing state")
+    line = await sidecar.wait_logged("sharing state")
     return sidecar, line["as"], line["port"]
 
 
@@ -70,12 +70,12 @@
     for _, origin, port in (accuser, *others):
         proxies.append(await lab.proxy(port))
         await register_peer(lab, services[1], origin, proxies[-1].port)
-    loads = [asyncio.ensure_future(sidecar.load()) for sidecar, _, _ in (accuser, partitioned)]
+    loads = [asyncio.ensure_future(sidecar.run_load()) for sidecar, _, _ in (accuser, partitioned)]
 
     async def wait_for_lowered(inside: int, at_partitioned: int) -> None:
         for sidecar, _, _ in others:
-            await sidecar.shows(f"woadyard_endpoints_lowered {inside}.0")
-        await partitioned[0].shows(f"woadyard_endpoints_lowered {at_partitioned}.0")
+            await sidecar.wait_metric(f"woadyard_endpoints_lowered {inside}.0")
+        await partitioned[0].wait_metric(f"woadyard_endpoints_lowered {at_partitioned}.0")
 
     await wait_for_lowered(2, 1)  # bad1 by two sidecars, bad2 by the one that will be partitioned
     for fault, inside, at_partitioned in ((DROP, 1, 0), (PASS, 2, 1)):
@@ -109,8 +109,8 @@
     sidecar, _, gossip_port = await start_sharing_sidecar(
         lab, "n0", registry, [*(await start_endpoints(lab, "bad1")).values()]
     )
-    await sidecar.said("gossip response rejected", peer="n9@1", level="WARNING")
-    await sidecar.shows("woadyard_endpoints_lowered 0.0")
+    await sidecar.wait_logged("gossip response rejected", peer="n9@1", level="WARNING")
+    await sidecar.wait_metric("woadyard_endpoints_lowered 0.0")
     reply = await lab.call(gossip_port, "POST", "/_gossip", {"from": "n9@1", "vector": {"n9@1": -1}})
     assert reply.status == 400
 
@@ -120,15 +120,15 @@
     settings = {"verdict-bound-ms": 60_000}
     first, origin, _ = await start_sharing_sidecar(lab, "n0", registry, entries, **settings)
     second, _, _ = await start_sharing_sidecar(lab, "n1", registry, entries, **settings)
-    load = asyncio.ensure_future(first.load())
-    await second.shows("woadyard_endpoints_lowered 1.0")
+    load = asyncio.ensure_future(first.run_load())
+    await second.wait_metric("woadyard_endpoints_lowered 1.0")
     load.cancel()
     state_file = second.folder / "woadyard-n1.shared"
     while not state_file.exists() or origin not in state_file.read_text():
         await asyncio.sleep(0.02)
     await lab.kill(first)
     await lab.restart(second)
-    await second.shows("woadyard_endpoints_lowered 1.0")
+    await second.wait_metric("woadyard_endpoints_lowered 1.0")
 
 
 class InFlightCounter:
@@ -163,11 +163,11 @@
     endpoints, sidecars, loads = [await lab.endpoint(counter.respond)], [], []
     for n in range(3):  # the first holds the whole limit when the others start
         sidecar, _, _ = await start_sharing_sidecar(lab, f"n{n}", registry, endpoints, **more)
-        loads.append(asyncio.ensure_future(sidecar.load(12)))
+        loads.append(asyncio.ensure_future(sidecar.run_load(12)))
         sidecars.append(sidecar)
-    await registry.shows("registry_holders 3.0")
+    await registry.wait_metric("registry_holders 3.0")
     for sidecar in sidecars:
-        await sidecar.shows("woadyard_shares 2.0")
+        await sidecar.wait_metric("woadyard_shares 2.0")
     await lab.kill(sidecars[0])
     assert counter.most[False] == limit
     counter.most[True] = 0
@@ -196,12 +196,12 @@
         """Return the endpoints of 20 sessions, each sent to both sidecars."""
         names = []
         for sidecar in sidecars:
-            await sidecar.shows(f"woadyard_list_version {version}.0")
+            await sidecar.wait_metric(f"woadyard_list_version {version}.0")
         for session in range(20):
             for endpoint in endpoints.values():
                 endpoint.received.clear()
             for sidecar in sidecars:
-                response = await sidecar.ask(
+                response = await sidecar.request(
                     rid=f"a{session}-{version}-{sidecar.name}", headers=f"X-Session: u{session}\r\n"
                 )
                 assert response.start_line.split()[1] == "200"
--- a/woadyard/registry/replication.py
+++ b/woadyard/registry/replication.py
@@ -71,6 +71,6 @@
         )
         if registry.election is None:
             return json_response(told)
-        return json_response({**msgspec.structs.asdict(told), **registry.election.told(time.monotonic())})
+        return json_response({**msgspec.structs.asdict(told), **registry.election.status(time.monotonic())})
 
     return [web.get(LOG_PATH, leader_only(registry, log)), web.get(TERM_PATH, term)]
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -20,11 +20,11 @@
 
 from woadyard.audit.straggler import Rules
 from woadyard.errors import LogEntryError, StateError
-from woadyard.registry.copies import Copies
 from woadyard.registry.election import Election
 from woadyard.registry.log import Journal
 from woadyard.registry.metrics import RegistryMetrics
 from woadyard.registry.replicated_state import ERA_SHIFT, LEAD, MAX_TERM, ReplicatedState, next_term
+from woadyard.registry.replication_progress import ReplicationProgress
 from woadyard.registry.state_machine import LogEntry, StateMachine, TimerDriven
 from woadyard.registry.state_machines import create_state_machines
 from woadyard.registry.waiters import LOG_TOPIC, REPLICATION_TOPIC, Waiters
@@ -48,10 +48,7 @@
 class DeposedError(StateError):
     """Another process has, or had, the writer's place."""
 
-    remedy = (
-        "start this process with --follow the one that leads now; if none does, the one with "
-        "the most records with --take-over"
-    )
+    remedy = "start this process with --follow the one that leads now; if none does, the one with the most records with --take-over"
 
 
 class NoLeaderError(DeposedError):
@@ -106,7 +103,7 @@
         self.highest_term = max(journal.read_highest_term(), self.log_state.term)  # the greatest term told of
         self.is_stale = False  # a replica that has not heard of its writer lately
         self.is_deposed = False
-        self.replica_progress = Copies(required_replicas)
+        self.replica_progress = ReplicationProgress(required_replicas)
         self.straggler_rules = Rules()  # of the audit
         self.waiters = Waiters()
         self.metrics = RegistryMetrics()
@@ -154,8 +151,8 @@
     def become_elected_leader(self, term: int) -> None:
         """Begin to write in a term that most members voted for. StateError of the disk."""
         lineage = self.log_state.lineage or secrets.token_hex(8)
-        self.replica_progress = Copies(
-            self.replica_progress.needed
+        self.replica_progress = ReplicationProgress(
+            self.replica_progress.required_replicas
         )  # what was held in another reign says nothing
         self.append_and_apply(
             {"op": LEAD, "lineage": lineage, "term": term, "by": self.member_id, "at": self.clock_us()}
@@ -193,15 +190,15 @@
         """A replica has shown that it holds the log up to `index`. Of members that elect
         the others' copies count alone."""
         now = time.monotonic()
-        if self.election is None or self.election.polled(replica, index, now):
-            self.replica_progress.proven(replica, index, now)
+        if self.election is None or self.election.record_poll(replica, index, now):
+            self.replica_progress.record_match(replica, index, now)
             self.waiters.notify(REPLICATION_TOPIC)
 
     def replicated_index(self) -> int:
         """The index up to which the replicas that have to are known to hold the log: what
         stands there outlives this process and its disk. -1 where an elected writer's own
         first record is not held yet: before that nothing is known (Raft, figure 8)."""
-        reach = self.replica_progress.held(self.log_state.applied_index, time.monotonic())
+        reach = self.replica_progress.advance_commit(self.log_state.applied_index, time.monotonic())
         return reach if reach >= self.elected_index else -1
 
     async def wait_replicated(self, index: int, term: int | None = None) -> None:
@@ -209,13 +206,13 @@
         by the replicas that have to hold it, at once where that is none; `UnsettledError`
         after `SETTLE_S`."""
         term = self.log_state.term if term is None else term
-        if self.replica_progress.needed and not await self.waiters.wait_until(
+        if self.replica_progress.required_replicas and not await self.waiters.wait_until(
             REPLICATION_TOPIC,
             lambda: self.replicated_index() >= index or not self._leads_in(term),
             REPLICATION_TIMEOUT_S,
         ):
             kind = NotReplicatedError if self.election is None else NoMajorityError
-            raise kind(f"record {index} is not yet at {self.replica_progress.needed} replicas")
+            raise kind(f"record {index} is not yet at {self.replica_progress.required_replicas} replicas")
         if not self._leads_in(term):
             raise self._deposed(f"record {index} may be lost: another process leads")
 
@@ -283,7 +280,7 @@
         those that renew too, and ends no lease."""
         return (
             self.replicated_index() >= self.elected_index
-            and time.monotonic() - election.confirmed_at() < QUORUM_CONTACT_S
+            and time.monotonic() - election.quorum_contact_s() < QUORUM_CONTACT_S
         )
 
     # --- Terms ------------------------------------------------------------------------
