--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -29,9 +29,9 @@
 from tests.process import free_port
 from tests.sockets import Endpoint, FakeDiscovery
 from tests.test_registry import register, service
-from woadyard.audit import AuditSettings, Position, Spans
+from woadyard.audit import AuditSettings, Position, SpanRecorder
 from woadyard.audit.ledger import AuditBook
-from woadyard.audit.questions import out_of_use, version_of, who_acted
+from woadyard.audit.queries import check_out_of_use, parse_version_filter, spans_acted_on
 from woadyard.interface import LIST_DELTA, Send
 from woadyard.net import fetch, reporter
 from woadyard.net.reporter import Orders, Reporter, now_us
@@ -104,7 +104,7 @@
                 await asyncio.sleep(1.0 / RATE)
                 for one in fleet:
                     one.attempt_started(now_us(), Send(second * RATE + tick, 1, 0))
-                    one.spans.ended(second * RATE + tick, 1, True)
+                    one.spans.record_attempt_end(second * RATE + tick, 1, True)
         took = time.perf_counter() - began
         used = cpu_s(process.pid) - cpu
         for one in fleet:
@@ -122,25 +122,25 @@
 
 def ledger() -> dict[str, Any]:
     book, at = AuditBook(), 0
-    fleet = [Spans(f"n{n}", "run", 0, Position("log", 1, 0, "s", build="b")) for n in range(SIDECARS)]
+    fleet = [SpanRecorder(f"n{n}", "run", 0, Position("log", 1, 0, "s", build="b")) for n in range(SIDECARS)]
     began = time.perf_counter()
     for minute in range(MINUTES):
         at = minute * 60_000_000
         batch = []
         for n, spans in enumerate(fleet):
-            spans.act(at, Position("log", 1, minute + 1, "s", build="b"))
+            spans.set_position(at, Position("log", 1, minute + 1, "s", build="b"))
             for request in range(3):
-                spans.attempt(at + request, request, 1)
-                spans.ended(request, 1, True)
-            batch.append(spans.report(at + n))
+                spans.record_attempt(at + request, request, 1)
+                spans.record_attempt_end(request, 1, True)
+            batch.append(spans.build_report(at + n))
         book.apply({"op": "reports", "reports": msgspec.to_builtins(batch), "at": at})
         for spans in fleet:
-            spans.acked(book.runs[f"{spans.name}@run"].taken)
+            spans.acknowledge(book.runs[f"{spans.name}@run"].received_numbers)
     applied = time.perf_counter() - began
     times: dict[str, float] = {}
     asked: dict[str, Callable[[], object]] = {
-        "who_acted_ms": lambda: who_acted(book, version_of({"generation": str(MINUTES - 9)})),
-        "out_of_use_ms": lambda: out_of_use(book, Position("log", 1, MINUTES - 9)),
+        "who_acted_ms": lambda: spans_acted_on(book, parse_version_filter({"generation": str(MINUTES - 9)})),
+        "out_of_use_ms": lambda: check_out_of_use(book, Position("log", 1, MINUTES - 9)),
         "dump_ms": lambda: json.dumps(book.dump()),  # as a snapshot does
     }
     for name, ask in asked.items():
@@ -150,10 +150,10 @@
             ask()
             turns.append((time.perf_counter() - began) * 1e3)
         times[name] = round(statistics.median(turns), 1)
-    found = who_acted(book, version_of({"generation": str(MINUTES - 9)}))
+    found = spans_acted_on(book, parse_version_filter({"generation": str(MINUTES - 9)}))
     return {
-        "sidecars": SIDECARS, "minutes": MINUTES, "rows": sum(run.size for run in book.runs.values()),
-        "compacted": book.compacted, "dump_mb": round(len(msgspec.json.encode(book.dump())) / 1e6, 2),
+        "sidecars": SIDECARS, "minutes": MINUTES, "rows": sum(run.row_count for run in book.runs.values()),
+        "compacted": book.compacted_rows, "dump_mb": round(len(msgspec.json.encode(book.dump())) / 1e6, 2),
         "us_a_report": round(applied / SIDECARS / MINUTES * 1e6, 1), "sidecars_found": len(found["sidecars"]),
         **times,
     }  # fmt: skip
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -25,7 +25,7 @@
 from benchmarks.scale import listings, points, state, usage
 from benchmarks.scale.points import Point
 from tests.lab import Lab, Program
-from woadyard.audit.ledger import ROWS_MOST
+from woadyard.audit.ledger import MAX_ROWS
 from woadyard.lists.book import PUT, RENEW
 from woadyard.lists.service import PATH
 from woadyard.registry.book import Record
@@ -47,7 +47,7 @@
     run: str
     size: int
     turn: int
-    rows_most: int = ROWS_MOST  # of the audit's ledger
+    rows_most: int = MAX_ROWS  # of the audit's ledger
 
     def add(self, role: str, phase: str, found: Mapping[str, float], note: str = "") -> None:
         made = [
@@ -93,11 +93,11 @@
         """What each has to tell on an ordinary second: its open span went on."""
         some = []
         for spans in fleet[:many]:
-            spans.attempt(n * 1_000_000, n, 1)
-            spans.ended(n, 1, True)
-            some.append(spans.report(n * 1_000_000 + 500))
+            spans.record_attempt(n * 1_000_000, n, 1)
+            spans.record_attempt_end(n, 1, True)
+            some.append(spans.build_report(n * 1_000_000 + 500))
         for spans in fleet[:many]:
-            spans.acked([spans.n])
+            spans.acknowledge([spans.last_report_number])
         return state.reports(some)
 
     notes.add("log", "renewal", record_cost(registry, renewal))
@@ -210,7 +210,7 @@
 
 
 def measure(
-    out: Path = OUT, sizes: Sequence[int] = SIZES, turns: int = TURNS, rows_most: int = ROWS_MOST
+    out: Path = OUT, sizes: Sequence[int] = SIZES, turns: int = TURNS, rows_most: int = MAX_ROWS
 ) -> None:
     """Appends the points of each turn and size as they are measured."""
     run = usage.run_name()
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -58,7 +58,7 @@
     first_sent: dict[int, float]
 
     async def _report(self, within_s: float, final: bool = False) -> bool:
-        began = self.first_sent[self.spans.n + 1] = time.monotonic()
+        began = self.first_sent[self.spans.last_report_number + 1] = time.monotonic()
         done = await super()._report(within_s, final)
         self.tally.sent += 1
         if done:
@@ -136,7 +136,7 @@
         while not self.still:
             self.attempts += 1
             self.reporter.attempt_started(now_us(), Send(self.attempts, 1, 0))
-            self.reporter.spans.ended(self.attempts, 1, True)
+            self.reporter.spans.record_attempt_end(self.attempts, 1, True)
             await asyncio.sleep(ATTEMPT_S)
 
     def in_force(self, version: int) -> float:
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from benchmarks.scale import listings
-from woadyard.audit import Position, Spans
-from woadyard.audit.ledger import REPORTS, ROWS_MOST, RUN_ROWS_LEAST, AuditBook
+from woadyard.audit import Position, SpanRecorder
+from woadyard.audit.ledger import MAX_ROWS, MIN_ROWS_PER_RUN, REPORTS_OP, AuditBook
 from woadyard.audit.messages import Report, Row
 from woadyard.limits import HOLD
 from woadyard.lists.book import PUT, RENEW
@@ -47,20 +47,20 @@
 def report(registry: Registry, name: str, rows: int) -> Report:
     """A sidecar's report of `rows` lists that it acted on, a second each, the last still open."""
     whole = [
-        Row(k, position(registry, k + 1).text(), at, at + 999, 310, 0, 0, at + 2, at + 997)
+        Row(k, position(registry, k + 1).to_text(), at, at + 999, 310, 0, 0, at + 2, at + 997)
         for k, at in enumerate(range(0, 1_000 * rows, 1_000))
     ]  # fmt: skip
-    at = position(registry, rows).text()
+    at = position(registry, rows).to_text()
     return Report(name, "c0ffee123456", 1, 1, 1_000 * rows, rows - 1, at, whole)
 
 
-def spoken(registry: Registry, name: str) -> Spans:
+def spoken(registry: Registry, name: str) -> SpanRecorder:
     """A sidecar's side of the reports, on the list as it is."""
-    return Spans(name, "c0ffee123456", 0, position(registry, 1))
+    return SpanRecorder(name, "c0ffee123456", 0, position(registry, 1))
 
 
 def reports(told: list[Report]) -> Record:
-    return {"book": AuditBook.name, "op": REPORTS, "reports": msgspec.to_builtins(told)}
+    return {"book": AuditBook.name, "op": REPORTS_OP, "reports": msgspec.to_builtins(told)}
 
 
 def hold(at: int, listed: list[str], seq: int = 1) -> dict[str, Any]:
@@ -72,7 +72,7 @@
     }  # fmt: skip
 
 
-def made(folder: Path, size: int, shape: str, rows_most: int = ROWS_MOST) -> Registry:
+def made(folder: Path, size: int, shape: str, rows_most: int = MAX_ROWS) -> Registry:
     """A registry with that state, `rows_most` in its audit, on a running loop; its snapshot is
     fresh and its log empty."""
     registry = Registry(Journal(folder))
@@ -85,7 +85,7 @@
             known = [one["instanceId"] for one in listed]
             for at in range(size):
                 registry.commit(hold(at, known))
-            rows = max(RUN_ROWS_LEAST, rows_most // size)
+            rows = max(MIN_ROWS_PER_RUN, rows_most // size)
             for at in range(0, size, REPORTS_AT_ONCE):
                 some = known[at : at + REPORTS_AT_ONCE]
                 registry.commit(reports([report(registry, name, rows) for name in some]))
--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -27,15 +27,15 @@
 
 
 @dataclass
-class Member:
+class FleetSidecar:
     """One sidecar: its socket, its process, and the links of its watch and its reports."""
 
     name: str
     listener: socket.socket  # held here, so that its port stays its own over a restart
     links: dict[str, list[FaultProxy]]
     process: Process | None = None
-    asks: int = 0
-    answers: Counter[int] = field(default_factory=Counter)
+    request_count: int = 0
+    response_counts: Counter[int] = field(default_factory=Counter)
 
     @property
     def port(self) -> int:
@@ -54,22 +54,24 @@
                     writer.transport.abort()
 
 
-class Fleet:
+class AuditFleet:
     """Started by `async with`; ended, processes and all, however its body ends."""
 
     def __init__(self, folder: Path, size: int = 5, seed: int = 1, **config: Any) -> None:
         self.folder, self.size, self.rng, self.config = folder, size, random.Random(seed), config
         self.stack = contextlib.AsyncExitStack()
-        self.endpoints = [Endpoint(self._serve) for _ in range(3)]
-        self.counted: Counter[tuple[str, str]] = Counter()  # by sidecar and position, as endpoints saw
+        self.endpoints = [Endpoint(self._handle_request) for _ in range(3)]
+        self.endpoint_counts: Counter[tuple[str, str]] = (
+            Counter()
+        )  # by sidecar and position, as endpoints saw
         self.arrivals: list[tuple[int, str, str]] = []  # ms of the wall clock, sidecar, position
         self.ports = [0, 0]  # of writer and replica
         self.services: list[Process | None] = [None, None]
-        self.members: list[Member] = []
-        self.traffic = True
-        self.changes = 0
+        self.sidecars: list[FleetSidecar] = []
+        self.is_sending = True
+        self.change_count = 0
 
-    async def __aenter__(self) -> Fleet:
+    async def __aenter__(self) -> AuditFleet:
         try:
             await self._open()
         except BaseException:  # also where the test ran out of time: no process stays
@@ -82,43 +84,45 @@
         (self.folder / "rules.json").write_text(json.dumps(RULES))
         for one in self.endpoints:
             self.stack.callback((await one.start()).close)
-        await self.serve(0)
-        await self.serve(1, "--follow", f"127.0.0.1:{self.ports[0]}")
+        await self.start_service(0)
+        await self.start_service(1, "--follow", f"127.0.0.1:{self.ports[0]}")
         for n, one in enumerate(self.endpoints):
-            await self.write("PUT", f"{PATH}/s-{n}?ttl_ms=600000", one.entry(f"s-{n}"))
+            await self.write_entry("PUT", f"{PATH}/s-{n}?ttl_ms=600000", one.entry(f"s-{n}"))
         for n in range(self.size):
-            links = {kind: [await self._link(port) for port in self.ports] for kind in ("watch", "report")}
+            links = {
+                kind: [await self._start_proxy(port) for port in self.ports] for kind in ("watch", "report")
+            }
             listener = socket.create_server(("127.0.0.1", 0), backlog=256)
             self.stack.callback(listener.close)
-            self.members.append(Member(f"n{n}", listener, links))
-        await asyncio.gather(*(self.start(member) for member in self.members))
-        for member in self.members:
-            self.task(self._ask(member))
-        while not all(member.answers[200] for member in self.members):
+            self.sidecars.append(FleetSidecar(f"n{n}", listener, links))
+        await asyncio.gather(*(self.start_sidecar(member) for member in self.sidecars))
+        for member in self.sidecars:
+            self.add_task(self._send_requests(member))
+        while not all(member.response_counts[200] for member in self.sidecars):
             await asyncio.sleep(0.02)  # their first list has come
-        for member in self.members:
-            member.answers.clear()
+        for member in self.sidecars:
+            member.response_counts.clear()
 
     async def __aexit__(self, *exc: Any) -> None:
         await self.stack.__aexit__(*exc)
 
-    def task(self, work: Any) -> None:
+    def add_task(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.stack.callback(task.cancel)
 
     async def _kill_all(self) -> None:
-        for process in [*self.services, *(one.process for one in self.members)]:
+        for process in [*self.services, *(one.process for one in self.sidecars)]:
             if process is not None and process.returncode is None:
                 await self.kill(process)
 
-    async def _link(self, port: int) -> FaultProxy:
+    async def _start_proxy(self, port: int) -> FaultProxy:
         link = FaultProxy(target=port)
         self.stack.callback((await link.start()).close)
         return link
 
     # --- Processes --------------------------------------------------------------------
 
-    async def serve(self, which: int, *more: str) -> None:
+    async def start_service(self, which: int, *more: str) -> None:
         """The service's process, once it listens; what it logs goes into a file."""
         log = self.folder / f"service-{which}.log"
         before = log.read_text().count('"listening"') if log.exists() else 0
@@ -132,11 +136,11 @@
             await asyncio.sleep(0.02)
         said = [json.loads(line) for line in log.read_text().splitlines()]
         self.ports[which] = next(one["port"] for one in reversed(said) if one["event"] == "listening")
-        for member in self.members:
+        for member in self.sidecars:
             for links in member.links.values():
                 links[which].target = self.ports[which]
 
-    async def start(self, one: Member) -> None:
+    async def start_sidecar(self, one: FleetSidecar) -> None:
         addresses = {
             kind: ",".join(f"127.0.0.1:{link.port}" for link in links) for kind, links in one.links.items()
         }
@@ -164,23 +168,23 @@
 
     # --- Traffic and changes ----------------------------------------------------------
 
-    async def _serve(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
+    async def _handle_request(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
         name, position = message.headers["x-caller"], message.headers["x-acted-on"]
-        self.counted[name, position] += 1
+        self.endpoint_counts[name, position] += 1
         self.arrivals.append((time.time_ns() // 1_000_000, name, position))
         writer.write(http_response())
 
-    async def _ask(self, one: Member) -> None:
+    async def _send_requests(self, one: FleetSidecar) -> None:
         """Requests at the sidecar, about 50 a second, each on a connection of its own."""
         while True:
             await asyncio.sleep(0.02)
-            if self.traffic:
-                one.asks += 1
-                raw = http_request(headers=f"X-Caller: {one.name}\r\n", rid=f"{one.name}-{one.asks}")
-                one.answers[await self._call(one, raw)] += 1
-                one.answers.pop(0, None)
+            if self.is_sending:
+                one.request_count += 1
+                raw = http_request(headers=f"X-Caller: {one.name}\r\n", rid=f"{one.name}-{one.request_count}")
+                one.response_counts[await self._send_request(one, raw)] += 1
+                one.response_counts.pop(0, None)
 
-    async def _call(self, one: Member, raw: bytes) -> int:
+    async def _send_request(self, one: FleetSidecar, raw: bytes) -> int:
         """The answer's status; 0 where there is none, as of a process that was killed."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(6):
@@ -192,58 +196,62 @@
                     writer.close()
         return 0
 
-    async def write(self, method: str, target: str, entry: dict[str, Any], which: int = 0) -> int:
+    async def write_entry(self, method: str, target: str, entry: dict[str, Any], which: int = 0) -> int:
         status, told = await ask(self.ports[which], method, target, json.dumps(entry).encode())
         assert status == 200, told
         return int(told["generation"])
 
-    async def change(self, which: int = 0) -> int:
+    async def change_list(self, which: int = 0) -> int:
         """A new generation of the list: an endpoint that gets nothing changes its weight."""
-        self.changes += 1
-        entry = {**self.endpoints[0].entry("s-9"), "lifecycle": "draining", "weight": float(self.changes)}
-        return await self.write("PUT", f"{PATH}/s-9?ttl_ms=600000", entry, which)
+        self.change_count += 1
+        entry = {
+            **self.endpoints[0].entry("s-9"),
+            "lifecycle": "draining",
+            "weight": float(self.change_count),
+        }
+        return await self.write_entry("PUT", f"{PATH}/s-9?ttl_ms=600000", entry, which)
 
-    async def disturb(self, seconds: float, kinds: tuple[str, ...] = ("watch", "report")) -> None:
+    async def inject_faults(self, seconds: float, kinds: tuple[str, ...] = ("watch", "report")) -> None:
         """Faults on links by chance, each for a second or so, and a change of the list each second;
         all links are whole again at the end."""
         for _ in range(int(seconds)):
             with contextlib.suppress(OSError):
-                await self.change()
-            for one in self.members:
+                await self.change_list()
+            for one in self.sidecars:
                 kind = self.rng.choice(kinds)
                 fault = self.rng.choice(("drop", "cut", "reset", "delay", "deaf", "none"))
                 mode = {"drop": DROP, "cut": CUT, "reset": RESET}.get(fault, PASS)
                 delay_s = self.rng.uniform(0.1, 3.0) if fault == "delay" else 0.0
                 one.fault(kind, mode, delay_s, fault == "deaf")
             await asyncio.sleep(1.0)
-        for one in self.members:
+        for one in self.sidecars:
             for kind in kinds:
                 one.fault(kind)
 
     # --- The ledger -------------------------------------------------------------------
 
-    async def told(self, what: str, which: int = 0) -> Any:
+    async def query_audit(self, what: str, which: int = 0) -> Any:
         _, told = await ask(self.ports[which], "GET", f"{AUDIT}/{what}")
         return told
 
-    async def ledger(self, which: int = 0) -> Counter[tuple[str, str]]:
+    async def reported_counts(self, which: int = 0) -> Counter[tuple[str, str]]:
         """Attempts that reached an endpoint, by sidecar and position, as reported."""
         found: Counter[tuple[str, str]] = Counter()
-        for build in {position.rpartition(".")[2] for _, position in self.counted}:
-            told = await self.told(f"acted?build={build}", which)
+        for build in {position.rpartition(".")[2] for _, position in self.endpoint_counts}:
+            told = await self.query_audit(f"acted?build={build}", which)
             for span in told["spans"]:
                 found[span["name"], span["position"]] += span["attempts"] - span["unsent"]
         return Counter({key: count for key, count in found.items() if count})
 
-    async def until(self, true: Callable[[], Any], every_s: float = 0.05) -> Any:
+    async def wait_for(self, true: Callable[[], Any], every_s: float = 0.05) -> Any:
         """What `true` comes to, once it is anything; the test's own time is the only bound."""
         while not (found := await true()):
             await asyncio.sleep(every_s)
         return found
 
     async def state(self, name: str) -> str:
-        told = await self.told("behind")
+        told = await self.query_audit("behind")
         return next((str(one["state"]) for one in told["behind"] if one["name"] == name), "current")
 
-    async def health(self, one: Member) -> int:
-        return await self._call(one, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+    async def health(self, one: FleetSidecar) -> int:
+        return await self._send_request(one, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/test_audit_faults.py
+++ b/tests/test_audit_faults.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.audit_fleet import Fleet, Member
+from tests.audit_fleet import AuditFleet, FleetSidecar
 from tests.faults import DROP
 from tests.sockets import run_test
 from tests.test_registry import ask
@@ -19,52 +19,55 @@
 SLACK_MS = 100  # between an endpoint's clock and the service's estimate of a sidecar's
 
 
-async def quiet(fleet: Fleet) -> None:
+async def quiet(fleet: AuditFleet) -> None:
     """Traffic ends, and all that is under way."""
-    fleet.traffic = False
+    fleet.is_sending = False
     await asyncio.sleep(0.5)
 
 
-async def settled(fleet: Fleet, which: int = 0) -> None:
+async def settled(fleet: AuditFleet, which: int = 0) -> None:
     """What endpoints counted is the ledger's, in the end and exactly."""
     await quiet(fleet)
 
     async def same() -> bool:
-        return await fleet.ledger(which) == fleet.counted
+        return await fleet.reported_counts(which) == fleet.endpoint_counts
 
     try:
         async with asyncio.timeout(20):
-            await fleet.until(same)
+            await fleet.wait_for(same)
     except TimeoutError:
-        assert await fleet.ledger(which) == fleet.counted
+        assert await fleet.reported_counts(which) == fleet.endpoint_counts
 
 
 def test_over_any_faults_of_links_the_ledger_counts_what_the_endpoints_counted(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Fleet(tmp_path) as fleet:
-            await fleet.disturb(SECONDS)
+        async with AuditFleet(tmp_path) as fleet:
+            await fleet.inject_faults(SECONDS)
             await settled(fleet)
-            assert len({position for _, position in fleet.counted}) > 3 and fleet.counted.total() > 100
-            for one in fleet.members:
-                gaps = (await fleet.told(f"gaps?name={one.name}"))["gaps"]
+            assert (
+                len({position for _, position in fleet.endpoint_counts}) > 3
+                and fleet.endpoint_counts.total() > 100
+            )
+            for one in fleet.sidecars:
+                gaps = (await fleet.query_audit(f"gaps?name={one.name}"))["gaps"]
                 assert len(gaps) == 1 and gaps[0][1] is None  # only what is not reported yet
 
     run_test(main())
 
 
 def test_what_kills_of_sidecars_lose_lies_in_gaps_that_the_ledger_declares(tmp_path: Path) -> None:
-    async def killing(fleet: Fleet, victims: list[Member]) -> None:
+    async def killing(fleet: AuditFleet, victims: list[FleetSidecar]) -> None:
         for one in victims:
             await asyncio.sleep(SECONDS / 4)
             await fleet.kill(one.process)
             await asyncio.sleep(0.3)
-            await fleet.start(one)
+            await fleet.start_sidecar(one)
 
     async def main() -> None:
-        async with Fleet(tmp_path, seed=2) as fleet:
-            await asyncio.gather(fleet.disturb(SECONDS), killing(fleet, fleet.members[:2]))
+        async with AuditFleet(tmp_path, seed=2) as fleet:
+            await asyncio.gather(fleet.inject_faults(SECONDS), killing(fleet, fleet.sidecars[:2]))
             await asyncio.sleep(2)
-            for one in fleet.members:
+            for one in fleet.sidecars:
                 one.fault("report")
             await quiet(fleet)
             outside: Counter[tuple[str, str]] = Counter()
@@ -72,19 +75,23 @@
 
             async def whole() -> bool:
                 outside.clear()
-                for one in fleet.members:
-                    gaps[one.name] = (await fleet.told(f"gaps?name={one.name}"))["gaps"]
+                for one in fleet.sidecars:
+                    gaps[one.name] = (await fleet.query_audit(f"gaps?name={one.name}"))["gaps"]
                 for at, name, position in fleet.arrivals:
                     bounds = [(a - SLACK_MS, b + SLACK_MS) for a, b in gaps[name] if b is not None]
                     outside[name, position] += not any(a <= at <= b for a, b in bounds)
-                ledger = await fleet.ledger()
-                return all(outside[key] <= ledger[key] <= fleet.counted[key] for key in fleet.counted)
-
-            await fleet.until(whole)
-            assert [len(gaps[one.name]) for one in fleet.members] == [2, 2, 1, 1, 1]
-            exact = await fleet.ledger()
+                ledger = await fleet.reported_counts()
+                return all(
+                    outside[key] <= ledger[key] <= fleet.endpoint_counts[key] for key in fleet.endpoint_counts
+                )
+
+            await fleet.wait_for(whole)
+            assert [len(gaps[one.name]) for one in fleet.sidecars] == [2, 2, 1, 1, 1]
+            exact = await fleet.reported_counts()
             assert all(
-                exact[key] == fleet.counted[key] for key in fleet.counted if key[0] in ("n2", "n3", "n4")
+                exact[key] == fleet.endpoint_counts[key]
+                for key in fleet.endpoint_counts
+                if key[0] in ("n2", "n3", "n4")
             )
 
     run_test(main())
@@ -94,19 +101,19 @@
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with Fleet(tmp_path) as fleet:
+        async with AuditFleet(tmp_path) as fleet:
             for _ in range(3):
-                await fleet.change()
+                await fleet.change_list()
                 await asyncio.sleep(0.5)
             await fleet.kill(fleet.services[0])
             await asyncio.sleep(0.5)
             await fleet.kill(fleet.services[1])
-            await fleet.serve(1)  # without --follow: it writes from now on
+            await fleet.start_service(1)  # without --follow: it writes from now on
             for _ in range(3):
-                await fleet.change(which=1)
+                await fleet.change_list(which=1)
                 await asyncio.sleep(0.5)
             await settled(fleet, which=1)
-            told = await fleet.told("out-of-use?generation=6", which=1)  # 7 and on by the new writer
+            told = await fleet.query_audit("out-of-use?generation=6", which=1)  # 7 and on by the new writer
             assert told["out_of_use"], told
 
     run_test(main())
@@ -114,16 +121,16 @@
 
 def test_one_whose_watch_is_dropped_is_brought_up_by_its_report(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Fleet(tmp_path) as fleet:
-            one = fleet.members[0]
+        async with AuditFleet(tmp_path) as fleet:
+            one = fleet.sidecars[0]
             one.fault("watch", DROP)
-            changed, generation = time.time_ns() // 1_000_000, await fleet.change()
+            changed, generation = time.time_ns() // 1_000_000, await fleet.change_list()
 
             async def acted() -> list[Any]:
-                spans = (await fleet.told(f"acted?generation={generation}"))["spans"]
+                spans = (await fleet.query_audit(f"acted?generation={generation}"))["spans"]
                 return [span for span in spans if span["name"] == one.name]
 
-            span = (await fleet.until(acted))[0]
+            span = (await fleet.wait_for(acted))[0]
             assert 1400 < span["from"] - changed < 1500 + 2000  # behind-ms, and 2 s
             assert await fleet.state(one.name) == "current"
             log = (fleet.folder / one.name / "log").read_text()
@@ -134,8 +141,8 @@
 
 def test_one_whose_bring_ups_fail_is_shut_out_with_its_lease_and_comes_back(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Fleet(tmp_path) as fleet:
-            one, seq = fleet.members[0], 0
+        async with AuditFleet(tmp_path) as fleet:
+            one, seq = fleet.sidecars[0], 0
 
             async def hold(name: str, ttl_ms: int) -> tuple[int, Any]:
                 nonlocal seq
@@ -149,7 +156,7 @@
 
             one.fault("watch", DROP)
             one.fault("report", deaf=True)
-            await fleet.change()
+            await fleet.change_list()
             while not await is_out():
                 renewed = await hold("n0@x", 4000)  # until it may not
                 if renewed[0] == 200:  # it may be shut out between the look and the call
@@ -160,46 +167,46 @@
             assert (await hold("n1@x", 60_000))[1]["grants"] == {"7": 0}, "its lease runs still"
             while (await hold("n1@x", 60_000))[1]["grants"] != {"7": 10}:
                 await asyncio.sleep(0.1)
-            assert one.answers.keys() == {200}, "it can't be told, so it serves on"
+            assert one.response_counts.keys() == {200}, "it can't be told, so it serves on"
             one.fault("report")
 
             async def is_current() -> bool:
                 return await fleet.state(one.name) == "current"
 
-            await fleet.until(is_current)
+            await fleet.wait_for(is_current)
             log = fleet.folder / one.name / "log"
             while "let in again" not in log.read_text():
                 await asyncio.sleep(0.05)
-            assert one.answers[503] > 0, "told, it turned requests away meanwhile"
+            assert one.response_counts[503] > 0, "told, it turned requests away meanwhile"
             assert await fleet.health(one) == 200 and (await hold("n0@x", 4000))[0] == 200
-            assert [other.answers.keys() for other in fleet.members[1:]] == [{200}] * 4
+            assert [other.response_counts.keys() for other in fleet.sidecars[1:]] == [{200}] * 4
 
     run_test(main())
 
 
 def test_where_most_are_behind_the_fleet_is_held_and_no_request_is_refused(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Fleet(tmp_path) as fleet:
-            frozen = fleet.members[:3]
+        async with AuditFleet(tmp_path) as fleet:
+            frozen = fleet.sidecars[:3]
             for one in frozen:
                 one.fault("watch", DROP)
                 one.fault("report", deaf=True)
-            await fleet.change()
+            await fleet.change_list()
 
             async def held() -> bool:
-                return bool((await fleet.told("behind"))["held"])
+                return bool((await fleet.query_audit("behind"))["held"])
 
             async def free() -> bool:
-                return not await held() and not (await fleet.told("behind"))["behind"]
+                return not await held() and not (await fleet.query_audit("behind"))["behind"]
 
-            await fleet.until(held)
+            await fleet.wait_for(held)
             await asyncio.sleep(6)  # shut-out-ms
             assert await held()
             for one in frozen:
                 one.fault("watch")
                 one.fault("report")
-            await fleet.until(free)
-            assert [one.answers.keys() for one in fleet.members] == [{200}] * 5
+            await fleet.wait_for(free)
+            assert [one.response_counts.keys() for one in fleet.sidecars] == [{200}] * 5
             log = (fleet.folder / "service-0.log").read_text()
             assert "held: too many" in log and "sidecar shut out" not in log
 
--- a/tests/test_audit_ledger.py
+++ b/tests/test_audit_ledger.py
@@ -12,10 +12,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from woadyard.audit import Position, Report, Spans
+from woadyard.audit import Position, Report, SpanRecorder
 from woadyard.audit.ledger import AuditBook
-from woadyard.audit.position import parse
-from woadyard.audit.questions import at, gaps, out_of_use, version_of, who_acted
+from woadyard.audit.position import parse_position
+from woadyard.audit.queries import (
+    check_out_of_use,
+    parse_version_filter,
+    reporting_gaps,
+    spans_acted_on,
+    state_at,
+)
 from woadyard.audit.run import Run
 from woadyard.errors import LogEntryError, PeerError
 
@@ -32,7 +38,7 @@
 
 def seen(run: Run) -> dict[str, Any]:
     """What a reader can tell of a run; by which report a row came is none of it."""
-    told = replace(run, taken=set()).dump()
+    told = replace(run, received_numbers=set()).dump()
     return {**told, "rows": sorted(row[1:] for row in told["rows"])}
 
 
@@ -42,7 +48,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.request, self.generation = 1_000_000, 0, 1
-        self.spans = Spans("n1", "r1", self.now, FIRST, most=8)
+        self.spans = SpanRecorder("n1", "r1", self.now, FIRST, max_spans=8)
         self.truth: dict[str, list[int]] = {}
         self.out: list[tuple[int, str]] = []
         self.due: list[dict[str, Any]] = []  # on the way to the messy ledger
@@ -58,7 +64,7 @@
     @rule()
     def attempt(self) -> None:
         self.request += 1
-        header = self.spans.attempt(self.now, self.request, 7)
+        header = self.spans.record_attempt(self.now, self.request, 7)
         position = header.split(b": ")[1].strip().decode()
         self._count(0, position)
         self.out.append((self.request, position))
@@ -67,30 +73,30 @@
     def end(self, reached: bool, which: int) -> None:
         if self.out:
             request, position = self.out.pop(which % len(self.out))
-            self.spans.ended(request, 7, reached)
+            self.spans.record_attempt_end(request, 7, reached)
             if not reached:
                 self._count(2, position)
 
     @rule()
     def refuse(self) -> None:
-        self.spans.refused(self.now)
-        self._count(1, self.spans.position.text())
+        self.spans.record_refusal(self.now)
+        self._count(1, self.spans.position.to_text())
 
     @rule(by=st.integers(1, 3))
     def listed(self, by: int) -> None:
         self.now += 1000
         self.generation += by
-        self.spans.act(self.now, moved(self.generation))
+        self.spans.set_position(self.now, moved(self.generation))
 
     @rule(fate=st.sampled_from(["lost", "unanswered", "answered", "twice"]))
     def report(self, fate: str) -> None:
-        report = self.spans.report(self.now)
+        report = self.spans.build_report(self.now)
         told = record(report, at_ms=report.now + 5)
         if fate != "lost":
             self.orderly.apply(told)
             self.due += [told] * (2 if fate == "twice" else 1)
         if fate in ("lost", "unanswered"):
-            self.spans.failed(report.n)
+            self.spans.report_failed(report.n)
 
     @rule(which=st.integers(0, 50), again=st.booleans())
     def deliver(self, which: int, again: bool) -> None:
@@ -102,8 +108,8 @@
 
     @rule()
     def ack(self) -> None:
-        if run := self.messy.latest("n1"):
-            self.spans.acked(run.taken)
+        if run := self.messy.latest_run("n1"):
+            self.spans.acknowledge(run.received_numbers)
 
     @rule()
     def restart(self) -> None:
@@ -113,82 +119,82 @@
 
     @invariant()
     def bounded(self) -> None:
-        assert len(self.spans.kept) <= 8 + len(self.out)
+        assert len(self.spans.retained) <= 8 + len(self.out)
 
     def teardown(self) -> None:
-        last = self.spans.report(self.now)
+        last = self.spans.build_report(self.now)
         told = record(last, at_ms=last.now + 5)
         self.orderly.apply(told)
         for one in [*self.due, told]:
             self.messy.apply(one)
         run, whole = self.messy.runs["n1@r1"], self.orderly.runs["n1@r1"]
         assert seen(run) == seen(whole)
-        totals = run.totals()
-        if self.spans.merged:  # what was merged has lost its position, none of its counts
+        totals = run.totals_by_position()
+        if self.spans.merge_count:  # what was merged has lost its position, none of its counts
             assert [sum(one) for one in zip(*totals.values(), strict=True)] == [
                 sum(one) for one in zip(*(self.truth or {"": [0, 0, 0]}).values(), strict=True)
             ]
         else:
             assert {k: list(v) for k, v in totals.items() if any(v)} == self.truth
-        assert gaps(self.messy, "n1") == [(run.base + run.heard, None)]
-        self.spans.acked(run.taken)
-        assert len(self.spans.kept) <= 1 + len(self.out)  # acked: nothing is kept twice
+        assert reporting_gaps(self.messy, "n1") == [(run.base + run.heard, None)]
+        self.spans.acknowledge(run.received_numbers)
+        assert len(self.spans.retained) <= 1 + len(self.out)  # acked: nothing is kept twice
 
 
 TestReports = Reports.TestCase
 TestReports.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def ledger_of(spans: Spans, *at_ms: int) -> AuditBook:
+def ledger_of(spans: SpanRecorder, *at_ms: int) -> AuditBook:
     book = AuditBook()
     for now in at_ms:
-        book.apply(record(spans.report(now * 1000), at_ms=now + 100_000))
+        book.apply(record(spans.build_report(now * 1000), at_ms=now + 100_000))
     return book
 
 
 def test_a_killed_run_leaves_a_gap_until_the_next_and_what_ended_well_leaves_none() -> None:
     book = AuditBook()
     for run, began, last, final in (("a", 0, 900, False), ("b", 2000, 2900, True), ("c", 5000, 5500, False)):
-        spans = Spans("n1", run, began * 1000, FIRST)
-        spans.attempt((began + 10) * 1000, 1, 1)
-        book.apply(record(spans.report(last * 1000, final), at_ms=100_000 + last))
-    assert gaps(book, "n1") == [(100_900, 102_000), (105_500, None)]
-    states = [at(book, "n1", 100_000 + when)["state"] for when in (-1, 5, 950, 2100, 3000, 5400, 9999)]
+        spans = SpanRecorder("n1", run, began * 1000, FIRST)
+        spans.record_attempt((began + 10) * 1000, 1, 1)
+        book.apply(record(spans.build_report(last * 1000, final), at_ms=100_000 + last))
+    assert reporting_gaps(book, "n1") == [(100_900, 102_000), (105_500, None)]
+    states = [state_at(book, "n1", 100_000 + when)["state"] for when in (-1, 5, 950, 2100, 3000, 5400, 9999)]
     assert states == ["not running", "acted", "gap", "acted", "not running", "acted", "gap"]
     book.apply({"op": "over", "key": "n1@c", "at": 106_000_000})
-    assert gaps(book, "n1")[-1] == (105_500, 106_000)
-    assert at(book, "n1", 109_999)["state"] == "not running"
+    assert reporting_gaps(book, "n1")[-1] == (105_500, 106_000)
+    assert state_at(book, "n1", 109_999)["state"] == "not running"
 
 
 def test_who_acted_tells_the_spans_of_a_version_and_out_of_use_waits_for_what_is_under_way() -> None:
-    spans = Spans("n1", "a", 0, FIRST)
-    spans.attempt(10_000, 1, 1)
-    spans.act(50_000, moved(2))
+    spans = SpanRecorder("n1", "a", 0, FIRST)
+    spans.record_attempt(10_000, 1, 1)
+    spans.set_position(50_000, moved(2))
     book = ledger_of(spans, 60)
-    told = who_acted(book, version_of({"generation": "1", "lineage": "log"}))
+    told = spans_acted_on(book, parse_version_filter({"generation": "1", "lineage": "log"}))
     assert told["sidecars"] == {"n1": {"attempts": 1, "refusals": 0, "unsent": 0}}
     assert (told["spans"][0]["from"], told["spans"][0]["to"]) == (100_000, 100_050)
-    assert not out_of_use(book, FIRST)["out_of_use"]  # an attempt begun on it is out still
-    spans.ended(1, 1, True)
-    book.apply(record(spans.report(70_000), at_ms=100_070))
-    assert out_of_use(book, FIRST)["out_of_use"]
-    assert [one["name"] for one in out_of_use(book, moved(2))["used_by"]] == ["n1"]
+    assert not check_out_of_use(book, FIRST)["out_of_use"]  # an attempt begun on it is out still
+    spans.record_attempt_end(1, 1, True)
+    book.apply(record(spans.build_report(70_000), at_ms=100_070))
+    assert check_out_of_use(book, FIRST)["out_of_use"]
+    assert [one["name"] for one in check_out_of_use(book, moved(2))["used_by"]] == ["n1"]
 
 
 def test_a_ledger_keeps_to_its_size_and_says_what_it_summed_up() -> None:
-    book, spans = AuditBook(rows_most=64), Spans("n1", "a", 0, FIRST)
+    book, spans = AuditBook(max_rows=64), SpanRecorder("n1", "a", 0, FIRST)
     for turn in range(1, 500):
         now = turn * 1_000_000
-        spans.attempt(now, turn, 1)
-        spans.ended(turn, 1, True)
-        spans.act(now + 1, moved(turn + 1))
-        book.apply(record(spans.report(now + 2), at_ms=turn * 1000))
-        spans.acked(book.runs["n1@a"].taken)
+        spans.record_attempt(now, turn, 1)
+        spans.record_attempt_end(turn, 1, True)
+        spans.set_position(now + 1, moved(turn + 1))
+        book.apply(record(spans.build_report(now + 2), at_ms=turn * 1000))
+        spans.acknowledge(book.runs["n1@a"].received_numbers)
     run = book.runs["n1@a"]
-    assert run.size <= 64 and book.compacted > 400
-    assert sum(attempts for attempts, _, _ in run.totals().values()) == 499
-    assert at(book, "n1", run.base + 5_000)["merged"] > 400  # in a sum, and said so
-    assert at(book, "n1", run.base + 498_500)["position"] == moved(499).text()
+    assert run.row_count <= 64 and book.compacted_rows > 400
+    assert sum(attempts for attempts, _, _ in run.totals_by_position().values()) == 499
+    assert state_at(book, "n1", run.base + 5_000)["merged"] > 400  # in a sum, and said so
+    assert state_at(book, "n1", run.base + 498_500)["position"] == moved(499).to_text()
 
 
 @pytest.mark.parametrize(
@@ -205,7 +211,7 @@
     ],
 )
 def test_a_bad_record_is_refused_and_changes_nothing(bad: dict[str, Any]) -> None:
-    book = ledger_of(Spans("n1", "a", 0, FIRST), 5)
+    book = ledger_of(SpanRecorder("n1", "a", 0, FIRST), 5)
     before = json.dumps(book.dump())
     for act in (book.check, book.apply):
         with pytest.raises(LogEntryError):
@@ -217,9 +223,9 @@
 
 def test_a_position_reads_what_it_wrote_and_nothing_else() -> None:
     whole = Position("a1", 2, 30, "ff00", 4, 5, "0-1-0")
-    assert parse(whole.text()) == whole and parse(Position().text()) == Position()
+    assert parse_position(whole.to_text()) == whole and parse_position(Position().to_text()) == Position()
     for bad in ("", "a.b", "a.1.2.s.1.1", "a.-1.2.s.1.1.b", "a.1.x.s.1.1.b", "a\r\n.1.2.s.1.1.b"):
         with pytest.raises(PeerError):
-            parse(bad)
-    assert moved(2).older(moved(3)) and not moved(3).older(moved(3))
-    assert Position("log", 1, 9).older(Position("log", 2, 3))  # the greater term is the newer list
+            parse_position(bad)
+    assert moved(2).is_older_than(moved(3)) and not moved(3).is_older_than(moved(3))
+    assert Position("log", 1, 9).is_older_than(Position("log", 2, 3))  # the greater term is the newer list
--- a/tests/test_audit_service.py
+++ b/tests/test_audit_service.py
@@ -11,7 +11,7 @@
 
 from tests.sockets import run_test
 from tests.test_registry import ask
-from woadyard.audit import Position, Report, Spans
+from woadyard.audit import Position, Report, SpanRecorder
 from woadyard.registry.http import serve
 from woadyard.registry.log import Journal
 from woadyard.registry.service import Registry
@@ -31,15 +31,15 @@
         async def post(raw: bytes) -> tuple[int, Any]:
             return await ask(port, "POST", REPORT, raw)
 
-        def told(spans: Spans, at_ms: int) -> Report:
-            spans.attempt(at_ms * 1000, at_ms, 1)
-            return spans.report(at_ms * 1000)
+        def told(spans: SpanRecorder, at_ms: int) -> Report:
+            spans.record_attempt(at_ms * 1000, at_ms, 1)
+            return spans.build_report(at_ms * 1000)
 
-        old, new = Spans("n1", "a", 0, HERE), Spans("n1", "b", 0, HERE)
+        old, new = SpanRecorder("n1", "a", 0, HERE), SpanRecorder("n1", "b", 0, HERE)
         reports = [told(old, 10), told(old, 20), told(new, 5), told(new, 15)]
         first = msgspec.json.encode(reports[0])
         bad_ones = [b"", b"[" * 100_000, b"{}", b"\xff", first[:-9], first.replace(b'"n":1', b'"n":-1')]
-        bad_ones += [first.replace(HERE.text().encode(), b"a.b"), first.replace(b"[0,", b"[1e400,")]
+        bad_ones += [first.replace(HERE.to_text().encode(), b"a.b"), first.replace(b"[0,", b"[1e400,")]
         for bad in bad_ones:
             status, text = await post(bad)
             assert status == 400 and "remedy" in text, (bad[:60], text)
--- a/woadyard/audit/messages.py
+++ b/woadyard/audit/messages.py
@@ -15,7 +15,7 @@
 
 Count = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-ROWS_MOST = 1024  # in one report
+MAX_REPORT_ROWS = 1024  # in one report
 T = TypeVar("T")
 
 
@@ -24,7 +24,7 @@
 
     service: str  # HOST:PORT of the list service, replicas with commas between
     every_ms: Annotated[int, msgspec.Meta(ge=50, le=60_000)] = 1000
-    spans: Annotated[int, msgspec.Meta(ge=8, le=ROWS_MOST)] = 512  # kept while nobody takes them
+    spans: Annotated[int, msgspec.Meta(ge=8, le=MAX_REPORT_ROWS)] = 512  # kept while nobody takes them
     out_ms: Annotated[int, msgspec.Meta(ge=1000)] = 10_000  # a shut-out holds so long without a word
 
 
@@ -56,7 +56,7 @@
     now: Count
     open: Count  # the span that goes on
     position: Annotated[str, msgspec.Meta(max_length=200)]  # of that span
-    rows: Annotated[list[Row], msgspec.Meta(max_length=ROWS_MOST)] = []
+    rows: Annotated[list[Row], msgspec.Meta(max_length=MAX_REPORT_ROWS)] = []
     oldest: Count | None = None  # the oldest span with attempts under way, where not the open one
     final: bool = False  # nothing follows
     evidence: Any = None  # of experiments, for their own book
@@ -82,7 +82,7 @@
         raise ConfigError(f"audit: {error}") from None
 
 
-def read(raw: bytes, kind: type[T]) -> T:
+def decode_message(raw: bytes, kind: type[T]) -> T:
     """PeerError, one line, on anything but one whole `kind`."""
     try:
         return msgspec.json.decode(raw, type=kind)
--- a/woadyard/audit/position.py
+++ b/woadyard/audit/position.py
@@ -11,7 +11,7 @@
 
 from woadyard.errors import PeerError
 
-HEADER = b"X-Acted-On"
+POSITION_HEADER = b"X-Acted-On"
 REPORT_PATH = "/registry/audit/report"
 _FIELD = re.compile(r"[A-Za-z0-9_-]{0,40}")
 
@@ -30,17 +30,17 @@
     experiment: int = 0
     build: str = ""
 
-    def text(self) -> str:
+    def to_text(self) -> str:
         """As in the header and in reports: the fields with points between."""
         return (
             f"{self.lineage}.{self.term}.{self.generation}.{self.settings}"
             f".{self.plan}.{self.experiment}.{self.build}"
         )
 
-    def header(self) -> bytes:
-        return b"%b: %b\r\n" % (HEADER, self.text().encode())
+    def header_line(self) -> bytes:
+        return b"%b: %b\r\n" % (POSITION_HEADER, self.to_text().encode())
 
-    def older(self, head: Position) -> bool:
+    def is_older_than(self, head: Position) -> bool:
         """Whether the list here is older than the head's, or of another log. Settings and build
         have no order, and a plan's stages give each sidecar a head of its own."""
         if self.lineage != head.lineage:
@@ -48,7 +48,7 @@
         return (self.term, self.generation) < (head.term, head.generation)
 
 
-def parse(text: str) -> Position:
+def parse_position(text: str) -> Position:
     """PeerError on what `Position.text` never wrote."""
     fields = text.split(".")
     if len(fields) != 7 or not all(_FIELD.fullmatch(one) for one in fields):
@@ -60,12 +60,12 @@
     return Position(lineage, int(term), int(generation), settings, int(plan), int(experiment), build)
 
 
-def digest(raw: Any) -> str:
+def settings_digest(raw: Any) -> str:
     """Of settings as JSON values: the same for the same settings, however they are laid out."""
     told = json.dumps(raw, sort_keys=True, separators=(",", ":")).encode()
     return hashlib.blake2b(told, digest_size=4).hexdigest()
 
 
-def token(text: str) -> str:
+def sanitize_field(text: str) -> str:
     """A text as it may stand in a position."""
     return re.sub(r"[^A-Za-z0-9_-]", "-", text)[:40]
--- a/woadyard/audit/service.py
+++ b/woadyard/audit/service.py
@@ -22,12 +22,12 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.audit import questions
-from woadyard.audit.ledger import OVER, AuditBook
-from woadyard.audit.messages import Report, read
-from woadyard.audit.position import REPORT_PATH, Position, parse
-from woadyard.audit.watchman import Watchman
-from woadyard.audit.writing import Batches
+from woadyard.audit import queries
+from woadyard.audit.ledger import OVER_OP, AuditBook
+from woadyard.audit.messages import Report, decode_message
+from woadyard.audit.monitor import FleetMonitor
+from woadyard.audit.position import REPORT_PATH, Position, parse_position
+from woadyard.audit.report_batcher import ReportBatcher
 from woadyard.errors import PeerError
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
@@ -35,29 +35,29 @@
 from woadyard.registry.service import Registry
 
 PATH = "/registry/audit"
-FORWARD_S = 1.5  # less than a sidecar waits
+FORWARD_TIMEOUT_S = 1.5  # less than a sidecar waits
 
 
-class Named(msgspec.Struct):
+class NameQuery(msgspec.Struct):
     name: str
 
 
-class At(msgspec.Struct):
+class AtQuery(msgspec.Struct):
     name: str
     time: int | None = None
 
 
-class Key(msgspec.Struct):
+class KeyQuery(msgspec.Struct):
     key: str
 
 
-class Audit:
+class AuditService:
     """The handlers of the calls, on one registry."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
-        self.batches = Batches(registry)
-        self.watchman = Watchman(registry)
+        self.report_batcher = ReportBatcher(registry)
+        self.monitor = FleetMonitor(registry)
 
     @property
     def book(self) -> AuditBook:
@@ -66,47 +66,49 @@
     async def report(self, request: web.Request) -> web.StreamResponse:
         raw = await request.read()
         if self.registry.writer is not None:
-            return await self._send_on(request, raw)
-        report = read(raw, Report)
-        position = parse(report.position)
+            return await self._forward_to_leader(request, raw)
+        report = decode_message(raw, Report)
+        position = parse_position(report.position)
         for row in report.rows:
             if row.position:
-                parse(row.position)
+                parse_position(row.position)
         self.registry.hear(position.lineage, position.term, f"a report of {report.name}")
-        await self.batches.write(report)
-        told = self.watchman.judge(report, position)
-        told.acks = self.batches.acks(report)
+        await self.report_batcher.write(report)
+        told = self.monitor.evaluate(report, position)
+        told.acks = self.report_batcher.safe_numbers(report)
         return answer(told)
 
-    async def _send_on(self, request: web.Request, raw: bytes) -> web.StreamResponse:
+    async def _forward_to_leader(self, request: web.Request, raw: bytes) -> web.StreamResponse:
         writer = self.registry.writer
         assert writer is not None
         try:
             if "sent-on" in request.query:
                 raise FetchError("the process that this one follows is a replica too")
             target = f"{REPORT_PATH}?sent-on=1"
-            status, back = await fetch(parse_address(writer), "POST", target, raw, timeout_s=FORWARD_S)
+            status, back = await fetch(
+                parse_address(writer), "POST", target, raw, timeout_s=FORWARD_TIMEOUT_S
+            )
         except FetchError as error:
             remedy = "report to another replica; see whether the writer runs"
             return refusal(HTTPStatus.BAD_GATEWAY, f"the writer is not reached: {error}", remedy)
         return web.Response(status=status, body=back, content_type="application/json")
 
     async def acted(self, request: web.Request) -> web.StreamResponse:
-        return answer(questions.who_acted(self.book, questions.version_of(dict(request.query))))
+        return answer(queries.spans_acted_on(self.book, queries.parse_version_filter(dict(request.query))))
 
     async def at(self, request: web.Request) -> web.StreamResponse:
-        asked = query(request, At)
+        asked = query(request, AtQuery)
         when = self.registry.clock() // 1000 if asked.time is None else asked.time
-        return answer(questions.at(self.book, asked.name, when))
+        return answer(queries.state_at(self.book, asked.name, when))
 
     async def gaps(self, request: web.Request) -> web.StreamResponse:
-        return answer({"gaps": questions.gaps(self.book, query(request, Named).name)})
+        return answer({"gaps": queries.reporting_gaps(self.book, query(request, NameQuery).name)})
 
     async def behind(self, request: web.Request) -> web.StreamResponse:
-        return answer(self.watchman.behind())
+        return answer(self.monitor.describe_behind())
 
     async def out_of_use(self, request: web.Request) -> web.StreamResponse:
-        head = self.watchman.head()
+        head = self.monitor.head_position()
         defaults = {"lineage": head.lineage, "term": str(head.term)}
         told = {**defaults, **request.query}
         if strange := sorted(told.keys() - {"lineage", "term", "generation"}):
@@ -117,27 +119,27 @@
             version = Position(told["lineage"], int(told["term"]), int(told["generation"]))
         except ValueError:
             raise PeerError("a term and a generation are numbers", "ask for ?generation=V") from None
-        return answer(questions.out_of_use(self.book, version))
+        return answer(queries.check_out_of_use(self.book, version))
 
     async def over(self, request: web.Request) -> web.StreamResponse:
-        key = query(request, Key).key
-        self.registry.commit({"book": AuditBook.name, "op": OVER, "key": key})
-        self.watchman.fleet.forget(key)
+        key = query(request, KeyQuery).key
+        self.registry.commit({"book": AuditBook.name, "op": OVER_OP, "key": key})
+        self.monitor.fleet.forget(key)
         return answer({"over": key})
 
 
-_AUDITS: WeakKeyDictionary[Registry, Audit] = WeakKeyDictionary()
+_SERVICES: WeakKeyDictionary[Registry, AuditService] = WeakKeyDictionary()
 
 
-def audit_of(registry: Registry) -> Audit:
+def audit_service_for(registry: Registry) -> AuditService:
     """The one of this registry: other books' services give it directives and take evidence."""
-    if registry not in _AUDITS:
-        _AUDITS[registry] = Audit(registry)
-    return _AUDITS[registry]
+    if registry not in _SERVICES:
+        _SERVICES[registry] = AuditService(registry)
+    return _SERVICES[registry]
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    calls = audit_of(registry)
+    calls = audit_service_for(registry)
     return [
         web.post(REPORT_PATH, calls.report),
         web.get(PATH + "/acted", calls.acted),
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -18,11 +18,11 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.audit import questions
+from woadyard.audit import queries
 from woadyard.audit.ledger import AuditBook
 from woadyard.audit.messages import Report
-from woadyard.audit.position import parse
-from woadyard.audit.service import audit_of
+from woadyard.audit.position import parse_position
+from woadyard.audit.service import audit_service_for
 from woadyard.errors import PeerError, PlanError
 from woadyard.experiment.book import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsBook
 from woadyard.experiment.conductor import Conductor
@@ -48,9 +48,9 @@
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
         self.conductor = Conductor(registry, self.missing, self.older)
-        audit = audit_of(registry)
-        audit.batches.sinks.append(self.sink)
-        audit.watchman.directives["experiment"] = self.directive
+        audit = audit_service_for(registry)
+        audit.report_batcher.sinks.append(self.sink)
+        audit.monitor.directives["experiment"] = self.directive
 
     @property
     def book(self) -> ExperimentsBook:
@@ -74,7 +74,7 @@
                 LOG.warning("evidence not taken", extra={"sidecar": report.name, **error.fields()})
                 continue
             source = f"{report.name}@{report.run}"
-            told.append([source, report.evidence, book.shut_out(report.name)])
+            told.append([source, report.evidence, book.is_shut_out(report.name)])
         return [{"book": ExperimentsBook.name, "op": EVIDENCE, "reports": told}] if told else []
 
     def directive(self, name: str) -> dict[str, Any] | None:
@@ -84,15 +84,15 @@
     def missing(self) -> float:
         """The share of the sidecars that run whose evidence is not there."""
         book, now = self.registry.book(AuditBook), self.registry.clock() // 1000
-        live = questions.live(book)
-        gone = [one for one in live if now - one.heard_at > SILENT_MS or book.shut_out(one.name)]
+        live = queries.live_runs(book)
+        gone = [one for one in live if now - one.heard_at > SILENT_MS or book.is_shut_out(one.name)]
         return len(gone) / len(live) if live else 1.0
 
     def older(self, revision: int) -> list[str]:
         """Sidecars that serve and don't act on this revision yet."""
         book = self.registry.book(AuditBook)
-        live = [one for one in questions.live(book) if not book.shut_out(one.name)]
-        return [one.name for one in live if parse(one.position).experiment < revision]
+        live = [one for one in queries.live_runs(book) if not book.is_shut_out(one.name)]
+        return [one.name for one in live if parse_position(one.position).experiment < revision]
 
     # --- Calls ------------------------------------------------------------------------
 
--- a/woadyard/limits/service.py
+++ b/woadyard/limits/service.py
@@ -38,7 +38,7 @@
 
 def routes(registry: Registry) -> list[web.RouteDef]:
     async def hold(request: web.Request) -> web.StreamResponse:
-        if registry.book(AuditBook).holder_out(request.match_info["name"]):
+        if registry.book(AuditBook).is_holder_shut_out(request.match_info["name"]):
             # What it holds lapses with its lease, never earlier.
             remedy = "it gets shares again once it acts on the list of by now"
             return refusal(409, "shut out by the audit", remedy)
--- a/woadyard/net/auditing.py
+++ b/woadyard/net/auditing.py
@@ -10,7 +10,7 @@
 
 import woadyard
 from woadyard.audit import AuditSettings
-from woadyard.audit.position import token
+from woadyard.audit.position import sanitize_field
 from woadyard.errors import PeerError
 from woadyard.interface import Split
 from woadyard.net.discovery import Discovery
@@ -44,7 +44,12 @@
     trials = trials_of(driver, orders)
     # Not the seed's chance: processes of one file must not report in step.
     reporter = Reporter(
-        settings, name, token(woadyard.__version__), lambda: discovery.latest_term, orders, random.Random()
+        settings,
+        name,
+        sanitize_field(woadyard.__version__),
+        lambda: discovery.latest_term,
+        orders,
+        random.Random(),
     )
     driver.add_observer(reporter)
     trials.held = lambda: reporter.experiment(0)
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -20,9 +20,9 @@
 
 import msgspec
 
-from woadyard.audit.messages import Answer, AuditSettings, read
-from woadyard.audit.position import REPORT_PATH, Position, digest
-from woadyard.audit.spans import Spans
+from woadyard.audit.messages import Answer, AuditSettings, decode_message
+from woadyard.audit.position import REPORT_PATH, Position, settings_digest
+from woadyard.audit.spans import SpanRecorder
 from woadyard.audit.straggler import BROUGHT_UP, SHUT_OUT
 from woadyard.errors import ConfigError, PeerError
 from woadyard.interface import MOOT, Arrival, Outcome, Send, Settings
@@ -66,7 +66,7 @@
         self.replicas = [parse_address(one.strip()) for one in settings.service.split(",")]
         self.turn = rng.randrange(len(self.replicas))
         self.position = Position(build=build)
-        self.spans = Spans(name, secrets.token_hex(6), now_us(), self.position, settings.spans)
+        self.spans = SpanRecorder(name, secrets.token_hex(6), now_us(), self.position, settings.spans)
         self.backoff = Backoff(rng, RETRY_S, RETRY_MOST_S)
         self.moved = asyncio.Event()
         self.heard = now_us()  # the last answer
@@ -81,27 +81,27 @@
         pass
 
     def attempt_started(self, now: int, action: Send) -> bytes:
-        return self.spans.attempt(now, action.request, action.endpoint)
+        return self.spans.record_attempt(now, action.request, action.endpoint)
 
     def attempt_ended(self, now: int, event: Outcome) -> None:
-        self.spans.ended(event.request, event.endpoint, event.outcome != MOOT)
+        self.spans.record_attempt_end(event.request, event.endpoint, event.outcome != MOOT)
 
     def unsent(self, request: int, endpoint: int) -> None:
         """An attempt is about to end of which no byte was written."""
-        self.spans.ended(request, endpoint, False)
+        self.spans.record_attempt_end(request, endpoint, False)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
         pass
 
     def request_refused(self, now: int, request: int) -> None:
-        self.spans.refused(now)
+        self.spans.record_refusal(now)
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         lineage, term = self.named()
         self._act(now, lineage=lineage, term=term, generation=version)
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
-        self._act(now, settings=digest(raw))
+        self._act(now, settings=settings_digest(raw))
 
     def experiment(self, revision: int) -> None:
         """Acted on from now on; 0: none, and the next answer brings what there is."""
@@ -109,7 +109,7 @@
 
     def _act(self, now: int, **changes: Any) -> None:
         self.position = msgspec.structs.replace(self.position, **changes)
-        if self.spans.act(now, self.position):
+        if self.spans.set_position(now, self.position):
             self.moved.set()
 
     # --- Reports ----------------------------------------------------------------------
@@ -144,7 +144,7 @@
 
     async def _report(self, within_s: float, final: bool = False) -> bool:
         self.moved.clear()
-        report = self.spans.report(now_us(), final)
+        report = self.spans.build_report(now_us(), final)
         report.evidence = self.orders.evidence()
         raw = msgspec.json.encode(report)
         try:
@@ -154,15 +154,15 @@
                 raise PeerError(
                     f"the service answers {status}: {back[:200].decode(errors='replace').strip()}"
                 )
-            answer = read(back, Answer)
+            answer = decode_message(back, Answer)
         except (FetchError, PeerError) as error:
-            self.spans.failed(report.n)
+            self.spans.report_failed(report.n)
             if isinstance(error, PeerError):
                 self._say("report not taken", error)
             return False
         self.told.clear()
         self.heard = now_us()
-        self.spans.acked(answer.acks)
+        self.spans.acknowledge(answer.acks)
         self.orders.acked(answer.acks)
         self._obey(answer)
         return True
--- a/woadyard/registry/command.py
+++ b/woadyard/registry/command.py
@@ -12,7 +12,7 @@
 import msgspec
 import uvloop
 
-from woadyard.audit.straggler import Rules
+from woadyard.audit.straggler import StragglerRules
 from woadyard.errors import ConfigError, WoadyardError
 from woadyard.net.config import parse_address, parse_addresses
 from woadyard.ops import logs
@@ -74,10 +74,10 @@
             one.cancel()
 
 
-def read_rules(path: Path) -> Rules:
+def read_rules(path: Path) -> StragglerRules:
     """The audit's; ConfigError where the file holds none."""
     try:
-        return msgspec.json.decode(path.read_bytes(), type=Rules)
+        return msgspec.json.decode(path.read_bytes(), type=StragglerRules)
     except (OSError, msgspec.DecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from woadyard.audit.straggler import Rules
+from woadyard.audit.straggler import StragglerRules
 from woadyard.errors import LogEntryError, StateError
 from woadyard.registry.book import Book, Record, Timed
 from woadyard.registry.books import books
@@ -100,7 +100,7 @@
         self.stale = False  # a replica that has not heard of its writer lately
         self.deposed = False
         self.copies = Copies(copies)
-        self.rules = Rules()  # of the audit
+        self.rules = StragglerRules()  # of the audit
         self.waiters = Waiters()
         self.counts = Counts()
         self._count()
--- a/woadyard/whatif/planner.py
+++ b/woadyard/whatif/planner.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from woadyard.audit.ledger import AuditBook
-from woadyard.audit.position import parse
-from woadyard.audit.questions import live
+from woadyard.audit.position import parse_position
+from woadyard.audit.queries import live_runs
 from woadyard.errors import LogEntryError, StateError, TraceError, WoadyardError
 from woadyard.lists import ListBook
 from woadyard.registry.service import Registry
@@ -55,8 +55,8 @@
     """The plan revision that each live sidecar acts on, by the audit's ledger."""
     if AuditBook.name not in registry.books:
         return {}
-    runs = sorted(live(registry.book(AuditBook)), key=lambda run: run.heard_at)
-    return {run.name: parse(run.position).plan for run in runs if run.position}
+    runs = sorted(live_runs(registry.book(AuditBook)), key=lambda run: run.heard_at)
+    return {run.name: parse_position(run.position).plan for run in runs if run.position}
 
 
 class Planner:
--- a/woadyard/whatif/service.py
+++ b/woadyard/whatif/service.py
@@ -16,7 +16,7 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.audit.service import audit_of
+from woadyard.audit.service import audit_service_for
 from woadyard.errors import LogEntryError
 from woadyard.registry.answers import Handler, answer, at_writer, body
 from woadyard.registry.service import Registry
@@ -73,7 +73,7 @@
 
         return handle
 
-    audit_of(registry).watchman.directives["plan"] = lambda sidecar: book().directive(sidecar)
+    audit_service_for(registry).monitor.directives["plan"] = lambda sidecar: book().directive(sidecar)
     found = [web.get(PATH, told), web.post(PATH, at_writer(registry, propose))]
     found.append(web.post(PATH + "/{revision}/go", at_writer(registry, go)))
     for op in ("again", "force", "halt", "withdraw"):
