--- a/woadyard/audit/__init__.py
+++ b/woadyard/audit/__init__.py
@@ -1,10 +1,11 @@
-"""The audit: which sidecar acted on which version, and what is done about stragglers.
+"""Fleet audit: records which sidecar acted on which version, and handles sidecars that fall behind.
 
-A sidecar keeps spans of time, each on one position, with what it decided in them (`spans`), and
-reports them to the list service (`messages`; the sending is `woadyard.net.reporter`). There the
-reports become a book of the replicated log (`ledger`, `run`), which answers `queries`, and a
-state machine mends or shuts out those left behind (`straggler`). All of that is pure;
-`service` has the routes and is loaded by the list service alone.
+A sidecar divides its run into spans, each on one position (the versions it acted on), counts its
+decisions in them (`spans`) and reports them to the list service (`messages`; `woadyard.net.reporter`
+sends them). The list service replicates the reports as a state machine of its log (`ledger`, `run`),
+answers queries over it (`queries`), and sends the list to sidecars that are behind or shuts them
+out (`straggler`). These modules do no I/O. `monitor`, `report_batcher` and `service` (the HTTP
+routes) are loaded by the list service alone.
 """
 
 from woadyard.audit.messages import Answer, AuditSettings, Report, Row
--- a/woadyard/audit/ledger.py
+++ b/woadyard/audit/ledger.py
@@ -1,9 +1,11 @@
-"""The book `audit`: every sidecar's runs, with their spans, gaps and states.
+"""The audit's state machine: the runs of every sidecar, with their spans, gaps and states.
 
-Records: `{"op": "reports", "reports": [...]}` (those that came within some ms, as one write),
-`{"op": "state", "key": NAME@RUN, "state": ...}` (a straggler's, decided by the writer) and
-`{"op": "over", "key": ...}` (an operator knows that a run is gone without a last word).
-Pure; the times in records are the writer's µs.
+Log entries:
+- `{"op": "reports", "reports": [...]}`: the reports received within a few ms, written as one entry.
+- `{"op": "state", "key": NAME@RUN, "state": ...}`: the state of a run, decided by the leader.
+- `{"op": "over", "key": NAME@RUN}`: an operator declares that a run ended without a final report.
+
+Does no I/O. The times in entries are µs of the leader's clock.
 """
 
 from __future__ import annotations
@@ -19,14 +21,18 @@
 from woadyard.errors import LogEntryError, PeerError
 from woadyard.registry.book import Record
 
-MAX_ROWS = 65_536  # of all runs together; a sidecar's part of it is what is left by the others
+MAX_ROWS = 65_536  # over all runs; divided equally among them
 MIN_ROWS_PER_RUN = 32
 MAX_RUNS = 2_048
 REPORTS_OP, STATE_OP, OVER_OP = "reports", "state", "over"
 
 
 class AuditBook:
-    """`compacted` counts the rows that became part of a sum, `forgotten` the runs that went whole."""
+    """The replicated state of the audit.
+
+    `compacted_rows` counts rows that were merged into a sum, `forgotten_runs` the runs that were
+    dropped to keep to `max_runs`.
+    """
 
     name = "audit"
 
@@ -36,42 +42,42 @@
         self.runs_by_name: dict[str, list[Run]] = {}
         self.compacted_rows = self.forgotten_runs = 0
 
-    # --- The book ---------------------------------------------------------------------
+    # --- State machine ----------------------------------------------------------------
 
     def check(self, record: Record) -> None:
         self._validate(record)
 
     def _validate(self, record: Record) -> list[Report]:
-        op, at = record.get("op"), record.get("at", 0)
-        if type(at) is not int or at < 0:
-            raise LogEntryError("a record's time is no number")
+        op, at_us = record.get("op"), record.get("at", 0)
+        if type(at_us) is not int or at_us < 0:
+            raise LogEntryError("the entry's time is not a non-negative integer")
         if op == REPORTS_OP:
             try:
                 reports = msgspec.convert(record.get("reports"), list[Report])
-                for position in {row.position for one in reports for row in one.rows if row.position}:
+                for position in {row.position for report in reports for row in report.rows if row.position}:
                     parse_position(position)
-                for one in reports:
-                    parse_position(one.position)
+                for report in reports:
+                    parse_position(report.position)
             except (msgspec.ValidationError, PeerError) as error:
-                raise LogEntryError(f"no reports: {error}") from None
+                raise LogEntryError(f"invalid reports: {error}") from None
             return reports
         if op not in (STATE_OP, OVER_OP):
-            raise LogEntryError(f"the audit has no {op!r}")
+            raise LogEntryError(f"unknown operation of the audit: {op!r}")
         if str(record.get("key")) not in self.runs:
-            raise LogEntryError(f"no such run: {record.get('key')!r}")
+            raise LogEntryError(f"unknown run: {record.get('key')!r}")
         if op == STATE_OP and record.get("state") not in STATES:
-            raise LogEntryError(f"no such state: {record.get('state')!r}")
+            raise LogEntryError(f"unknown state of a run: {record.get('state')!r}")
         return []
 
     def apply(self, record: Record) -> bool:
-        reports, at = self._validate(record), int(record.get("at", 0)) // 1000
+        reports, at_ms = self._validate(record), int(record.get("at", 0)) // 1000
         if record["op"] == STATE_OP:
             self.runs[record["key"]].state = record["state"]
             return True
         if record["op"] == OVER_OP:
-            self.runs[record["key"]].over_at = at
+            self.runs[record["key"]].over_at = at_ms
             return True
-        changed = [self._get_or_add_run(report).add_report(report, at) for report in reports]
+        changed = [self._get_or_add_run(report).add_report(report, at_ms) for report in reports]
         for report in reports:
             self._enforce_limits(self.runs[f"{report.name}@{report.run}"])
         return any(changed)
@@ -89,7 +95,7 @@
     def _enforce_limits(self, run: Run) -> None:
         self.compacted_rows += run.compact(max(MIN_ROWS_PER_RUN, self.max_rows // len(self.runs)))
         while len(self.runs) > self.max_runs:
-            oldest = min(self.runs.values(), key=lambda one: (one.heard_at, one.key))
+            oldest = min(self.runs.values(), key=lambda candidate: (candidate.heard_at, candidate.key))
             del self.runs[oldest.key]
             self.runs_by_name[oldest.name].remove(oldest)
             if not self.runs_by_name[oldest.name]:
@@ -102,29 +108,30 @@
 
     def load(self, raw: Any) -> None:
         try:
-            runs = [Run.load(one) for one in raw["runs"]]
+            runs = [Run.load(raw_run) for raw_run in raw["runs"]]
             counts = int(raw["compacted"]), int(raw["forgotten"])
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise LogEntryError(f"no dump of the audit: {error!r}") from None
+            raise LogEntryError(f"invalid dump of the audit: {error!r}") from None
         self.runs, self.runs_by_name = {}, {}
         for run in runs:
             self._add_run(run)
         self.compacted_rows, self.forgotten_runs = counts
 
-    # --- Its readers ------------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------
 
     def latest_run(self, name: str) -> Run | None:
-        """The run of this name that began last."""
+        """The most recently started run of a sidecar."""
         return max(self.runs_by_name.get(name, ()), key=lambda one: one.base, default=None)
 
     def is_shut_out(self, name: str) -> bool:
-        """Whether a sidecar of this name is shut out: it gets no grants, and counts nowhere."""
+        """Whether the sidecar is shut out: it is granted no share of a limit, and is counted nowhere."""
         run = self.latest_run(name)
         return run is not None and run.state == SHUT_OUT and run.ended_ms is None
 
     def shut_out_names(self) -> list[str]:
+        """Names of the sidecars that are shut out, sorted."""
         return sorted(name for name in self.runs_by_name if self.is_shut_out(name))
 
     def is_holder_shut_out(self, holder: str) -> bool:
-        """The same of one that holds shares, `NAME` or `NAME@...`."""
+        """Whether the sidecar of a holder of shares, `NAME` or `NAME@...`, is shut out."""
         return self.is_shut_out(holder.partition("@")[0])
--- a/woadyard/audit/messages.py
+++ b/woadyard/audit/messages.py
@@ -1,8 +1,8 @@
-"""What a sidecar and the ledger tell each other, as JSON; and the sidecar's settings.
+"""JSON messages between a sidecar and the audit's service, and the sidecar's audit settings.
 
-Times are ms since the sidecar's start, by its own steady clock: no clock of the two machines
-need agree. A report is numbered; what it tells of a span is the span's sum so far, so that a
-report may come twice, late or never: the greatest number that told of a span has its counts.
+Times are ms since the sidecar's start, by its own monotonic clock, so the clocks of the two machines
+need not agree. Reports are numbered, and each row has the cumulative counts of its span, so reports
+may be duplicated, reordered or lost: the row from the report with the greatest number is current.
 """
 
 from __future__ import annotations
@@ -15,24 +15,27 @@
 
 Count = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-MAX_REPORT_ROWS = 1024  # in one report
+MAX_REPORT_ROWS = 1024
 T = TypeVar("T")
 
 
 class AuditSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename="kebab"):
-    """The configuration's `audit`."""
+    """The `audit` section of the configuration."""
 
-    service: str  # HOST:PORT of the list service, replicas with commas between
+    service: str  # HOST:PORT of the list service's replicas, separated by commas
     every_ms: Annotated[int, msgspec.Meta(ge=50, le=60_000)] = 1000
-    spans: Annotated[int, msgspec.Meta(ge=8, le=MAX_REPORT_ROWS)] = 512  # kept while nobody takes them
-    out_ms: Annotated[int, msgspec.Meta(ge=1000)] = 10_000  # a shut-out holds so long without a word
+    spans: Annotated[int, msgspec.Meta(ge=8, le=MAX_REPORT_ROWS)] = 512  # retained until acknowledged
+    out_ms: Annotated[int, msgspec.Meta(ge=1000)] = 10_000  # without an answer, a shut-out lapses then
 
 
 class Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True, gc=False):
-    """One span: number `k`, or where `of` > 1 the sum of that many, up to `k`, with no position.
+    """One span, or the sum of several merged spans.
 
-    The open span's position is the report's, and empty here. `until` -1: it goes on. `first` and
-    `last` decision in it, -1 where there was none."""
+    `k` is the span's number. Where `of` > 1 the row is the sum of that many spans, up to number `k`,
+    and has no position. The position of the open span is the report's, and empty here. `until` is -1
+    while the span is open. `first` and `last` are the times of the first and last decision in it,
+    -1 where there was none.
+    """
 
     k: Count
     position: Annotated[str, msgspec.Meta(max_length=200)]
@@ -40,42 +43,48 @@
     until: Annotated[int, msgspec.Meta(ge=-1, lt=2**53)]
     attempts: Count
     refusals: Count = 0
-    unsent: Count = 0  # of the attempts: never reached an endpoint, as none could be connected to
+    unsent: Count = 0  # attempts, counted above, that reached no endpoint: none accepted a connection
     first: Annotated[int, msgspec.Meta(ge=-1, lt=2**53)] = -1
     last: Annotated[int, msgspec.Meta(ge=-1, lt=2**53)] = -1
     of: Annotated[int, msgspec.Meta(ge=1, lt=2**53)] = 1
 
 
 class Report(msgspec.Struct, omit_defaults=True):
-    """`n` counts up from 1; `low` is the least number whose answer is still waited for."""
+    """What a sidecar acted on since its last report.
+
+    `n` counts up from 1; `low` is the lowest number that is not acknowledged yet.
+    """
 
     name: Name
     run: Annotated[str, msgspec.Meta(pattern="^[A-Za-z0-9_-]{1,64}$")]
     n: Annotated[int, msgspec.Meta(ge=1, lt=2**53)]
     low: Count
     now: Count
-    open: Count  # the span that goes on
-    position: Annotated[str, msgspec.Meta(max_length=200)]  # of that span
+    open: Count  # number of the open span
+    position: Annotated[str, msgspec.Meta(max_length=200)]  # of the open span
     rows: Annotated[list[Row], msgspec.Meta(max_length=MAX_REPORT_ROWS)] = []
-    oldest: Count | None = None  # the oldest span with attempts under way, where not the open one
-    final: bool = False  # nothing follows
-    evidence: Any = None  # of experiments, for their own book
+    oldest: Count | None = None  # the oldest span with attempts in flight, if not the open one
+    final: bool = False  # the last report of this run
+    evidence: Any = None  # of experiments; handled by their own state machine
 
 
 class Answer(msgspec.Struct, omit_defaults=True, rename={"whole": "list"}):
-    """`acks`: numbers from `low` on that no crash of one process can lose any more."""
+    """The service's answer to a report.
+
+    `acks` are the report numbers, from `low` on, that the crash of one process can no longer lose.
+    """
 
     acks: list[int]
-    head: str = ""  # position of the list's head, where the reporter is behind
+    head: str = ""  # position of the newest list, if the sidecar is behind
     state: str = "current"
-    whole: Any = None  # the list, where the reporter is behind
-    plan: Any = None  # whole directives, where the reporter's revision is another
+    whole: Any = None  # the full list, if the sidecar is behind
+    plan: Any = None  # full directive, if the sidecar acts on another revision
     experiment: Any = None
-    out: list[str] = []  # names of sidecars that are shut out: nobody takes their verdicts
+    out: list[str] = []  # names of sidecars that are shut out; their verdicts are ignored
 
 
 def read_settings(raw: Any) -> AuditSettings:
-    """The file's `audit`; ConfigError where it is none."""
+    """Validate the `audit` section of the configuration file; raises ConfigError if it is invalid."""
     try:
         return msgspec.convert(raw, AuditSettings)
     except msgspec.ValidationError as error:
@@ -83,8 +92,8 @@
 
 
 def decode_message(raw: bytes, kind: type[T]) -> T:
-    """PeerError, one line, on anything but one whole `kind`."""
+    """Decode one JSON message; raises PeerError, with a one-line text, if it is not a valid `kind`."""
     try:
         return msgspec.json.decode(raw, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise PeerError(f"no {kind.__name__.lower()}: {error}") from None
+        raise PeerError(f"invalid {kind.__name__.lower()}: {error}") from None
--- a/woadyard/audit/position.py
+++ b/woadyard/audit/position.py
@@ -1,4 +1,4 @@
-"""Where a sidecar stands: the versions of all that it decides by."""
+"""The position of a sidecar: the versions of everything that its decisions depend on."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class Position(msgspec.Struct, frozen=True):
-    """The list (log, writer's term, generation), settings (a digest), plan, experiment, program.
+    """Versions of the list (lineage, term and generation), settings, plan, experiment and program.
 
-    Term 0 and an empty lineage: the list's service tells none. Revision 0: no plan, no experiment.
+    `settings` is a digest. An empty lineage and term 0 mean that discovery reported neither.
+    `plan` and `experiment` are revisions; 0 means that there is none.
     """
 
     lineage: str = ""
@@ -31,41 +32,45 @@
     build: str = ""
 
     def to_text(self) -> str:
-        """As in the header and in reports: the fields with points between."""
+        """The fields joined by dots, as in the header and in reports."""
         return (
             f"{self.lineage}.{self.term}.{self.generation}.{self.settings}"
             f".{self.plan}.{self.experiment}.{self.build}"
         )
 
     def header_line(self) -> bytes:
+        """The HTTP header line that tells an endpoint this position."""
         return b"%b: %b\r\n" % (POSITION_HEADER, self.to_text().encode())
 
     def is_older_than(self, head: Position) -> bool:
-        """Whether the list here is older than the head's, or of another log. Settings and build
-        have no order, and a plan's stages give each sidecar a head of its own."""
+        """Whether this list is older than the head's, or belongs to another log.
+
+        Only the list is compared: settings and builds have no order, and the stages of a plan
+        give each sidecar a head of its own.
+        """
         if self.lineage != head.lineage:
             return True
         return (self.term, self.generation) < (head.term, head.generation)
 
 
 def parse_position(text: str) -> Position:
-    """PeerError on what `Position.text` never wrote."""
+    """Parse the output of `Position.to_text`; raises PeerError on any other text."""
     fields = text.split(".")
-    if len(fields) != 7 or not all(_FIELD.fullmatch(one) for one in fields):
-        raise PeerError(f"no position: {text[:80]!r}")
+    if len(fields) != 7 or not all(_FIELD.fullmatch(field) for field in fields):
+        raise PeerError(f"malformed position: {text[:80]!r}")
     lineage, term, generation, settings, plan, experiment, build = fields
     numbers = [term, generation, plan, experiment]
-    if not all(one.isascii() and one.isdecimal() and len(one) < 19 for one in numbers):
-        raise PeerError(f"no position: {text[:80]!r}")
+    if not all(number.isascii() and number.isdecimal() and len(number) < 19 for number in numbers):
+        raise PeerError(f"malformed position: {text[:80]!r}")
     return Position(lineage, int(term), int(generation), settings, int(plan), int(experiment), build)
 
 
 def settings_digest(raw: Any) -> str:
-    """Of settings as JSON values: the same for the same settings, however they are laid out."""
-    told = json.dumps(raw, sort_keys=True, separators=(",", ":")).encode()
-    return hashlib.blake2b(told, digest_size=4).hexdigest()
+    """A digest of settings given as JSON values, independent of key order and whitespace."""
+    canonical = json.dumps(raw, sort_keys=True, separators=(",", ":")).encode()
+    return hashlib.blake2b(canonical, digest_size=4).hexdigest()
 
 
 def sanitize_field(text: str) -> str:
-    """A text as it may stand in a position."""
+    """Replace characters that a position field may not contain, and truncate to its length."""
     return re.sub(r"[^A-Za-z0-9_-]", "-", text)[:40]
