--- a/woadyard/audit/report_batcher.py
+++ b/woadyard/audit/report_batcher.py
@@ -1,7 +1,7 @@
-"""Reports into the log: those that come within some ms as one record, one fsync.
+"""Writes reports to the log: those received within a few ms as one entry, with one fsync.
 
-Other books may take a part of a report (an experiment's evidence): a sink returns the records
-to write for a batch, and the batch is durable only with them.
+Other state machines may use a part of a report (the evidence of experiments): a sink returns the
+log entries to write for a batch, and the batch counts as written only with them.
 """
 
 from __future__ import annotations
@@ -19,60 +19,69 @@
 
 BATCH_DELAY_S = 0.01
 MAX_BATCH_REPORTS = 256
-MAX_INDEXES_PER_RUN = 64  # numbers of a run whose index is remembered; older ones are replicated for long
+MAX_INDEXES_PER_RUN = 64  # reports whose index is kept; older ones have long been replicated
 
 EvidenceSink = Callable[[Sequence[Report]], Sequence[Record]]
 
 
 class ReportBatcher:
+    """Collects reports into batches, and knows at which index of the log each was written."""
+
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
         self.sinks: list[EvidenceSink] = []
         self.pending: list[Report] = []
         self.batch_written: asyncio.Future[None] | None = None
-        self.log_indexes: dict[str, dict[int, int]] = {}  # by run: index in the log of its last numbers
+        self.log_indexes: dict[str, dict[int, int]] = {}  # by run and report number
 
     async def write(self, report: Report) -> None:
-        """Returns once the report is in the log; the log's error where it can't be."""
+        """Return once the report is in the log; raises the log's error if it cannot be written."""
         loop = asyncio.get_running_loop()
         if self.batch_written is None:
             self.batch_written = loop.create_future()
             loop.call_later(BATCH_DELAY_S, self._flush)
         self.pending.append(report)
-        done = self.batch_written
+        batch_written = self.batch_written
         if len(self.pending) >= MAX_BATCH_REPORTS:
             self._flush()
-        await asyncio.shield(done)
+        await asyncio.shield(batch_written)
 
     def _flush(self) -> None:
-        batch, done = self.pending, self.batch_written
-        if done is None or not batch:
+        batch, batch_written = self.pending, self.batch_written
+        if batch_written is None or not batch:
             return
         self.pending, self.batch_written = [], None
         try:
             for sink in self.sinks:
                 for record in sink(batch):
                     self.registry.commit(record)
-            told = [msgspec.structs.replace(one, evidence=None) for one in batch]
-            reports = msgspec.to_builtins(told)
+            stripped = [msgspec.structs.replace(report, evidence=None) for report in batch]
+            reports = msgspec.to_builtins(stripped)
             index = self.registry.commit({"book": AuditBook.name, "op": REPORTS_OP, "reports": reports})
         except WoadyardError as error:
-            done.set_exception(error)
-            done.exception()  # its callers may be gone
+            batch_written.set_exception(error)
+            batch_written.exception()  # marks it as retrieved: the callers may have been cancelled
             return
-        for one in batch:
-            kept = self.log_indexes.setdefault(f"{one.name}@{one.run}", {})
-            kept[one.n] = index
-            if len(kept) > MAX_INDEXES_PER_RUN:
-                del kept[min(kept)]
-            if one.final:
-                del self.log_indexes[f"{one.name}@{one.run}"]
-        done.set_result(None)
+        for report in batch:
+            indexes = self.log_indexes.setdefault(f"{report.name}@{report.run}", {})
+            indexes[report.n] = index
+            if len(indexes) > MAX_INDEXES_PER_RUN:
+                del indexes[min(indexes)]
+            if report.final:
+                del self.log_indexes[f"{report.name}@{report.run}"]
+        batch_written.set_result(None)
 
     def safe_numbers(self, report: Report) -> list[int]:
-        """The reporter's numbers that a crash of one process can't lose any more. What is not
-        remembered here was written before this process led: its log came from the last one's."""
+        """The run's report numbers that the crash of one process can no longer lose.
+
+        Numbers without a known index were written before this process became leader, and its log
+        has them from the previous leader.
+        """
         key = f"{report.name}@{report.run}"
-        safe, kept = self.registry.held(), self.log_indexes.get(key, {})
+        safe_index, indexes = self.registry.held(), self.log_indexes.get(key, {})
         run = self.registry.book(AuditBook).runs.get(key)
-        return sorted(n for n in (run.received_numbers if run is not None else ()) if kept.get(n, 0) <= safe)
+        return sorted(
+            number
+            for number in (run.received_numbers if run is not None else ())
+            if indexes.get(number, 0) <= safe_index
+        )
--- a/woadyard/audit/straggler.py
+++ b/woadyard/audit/straggler.py
@@ -1,11 +1,11 @@
-"""Those left behind by the head: told the list, and at last shut out, with hysteresis.
+"""Tracks runs that act on an outdated list: sends them the list, and eventually shuts them out.
 
-One `Straggler` a run: `current -> behind -> brought up -> (current | shut out) -> current`. It
-moves only on what is heard of its position, never on silence, so a service that is away shuts
-nobody out. `Fleet` has the share that may be shut out at once: where more are behind, the list
-or the service is at fault, the fleet is `held`, and nobody is shut out.
+Each run is a `TrackedRun`: `current -> behind -> brought up -> (current | shut out) -> current`, with
+hysteresis. Its state changes only on received reports, never on silence, so an unavailable service
+shuts nobody out. `Fleet` bounds the share of runs shut out at once: if more are behind, the list or
+the service is assumed to be at fault, the fleet is held, and no run is shut out.
 
-Pure; times are ms.
+Does no I/O; times are ms.
 """
 
 from __future__ import annotations
@@ -21,29 +21,32 @@
 
 CURRENT, BEHIND, BROUGHT_UP, SHUT_OUT = "current", "behind", "brought up", "shut out"
 STATES = (CURRENT, BEHIND, BROUGHT_UP, SHUT_OUT)
-MAX_HEADS = 4_096  # heads remembered; one that is older than all of them counts as of the first
-REPORTS_TO_READMIT = 2  # reports in a row that take one back that was shut out
+MAX_HEADS = 4_096  # heads remembered; an older position counts as replaced by the oldest of them
+REPORTS_TO_READMIT = 2  # consecutive reports at the head that end a shut-out
 
 
 class StragglerRules(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename="kebab"):
-    """`behind_ms`: a position may be replaced for so long before it is behind."""
+    """When a run counts as behind, and when it is shut out."""
 
-    behind_ms: Annotated[int, msgspec.Meta(gt=0)] = 6_000
-    shut_out_ms: Annotated[int, msgspec.Meta(gt=0)] = 15_000  # behind for so long, or ...
-    bring_ups: Annotated[int, msgspec.Meta(gt=0)] = 8  # ... told the list so often, in vain
-    shut_out_share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.1  # of the fleet; at least one
-    silent_ms: Annotated[int, msgspec.Meta(gt=0)] = 15_000  # not heard for so long: of no fleet
+    behind_ms: Annotated[int, msgspec.Meta(gt=0)] = 6_000  # time since its position was replaced
+    shut_out_ms: Annotated[int, msgspec.Meta(gt=0)] = 15_000  # time behind, or ...
+    bring_ups: Annotated[int, msgspec.Meta(gt=0)] = 8  # ... times the list was sent without effect
+    shut_out_share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = (
+        0.1  # of the fleet, at most; at least one
+    )
+    silent_ms: Annotated[int, msgspec.Meta(gt=0)] = 15_000  # a run without a report since then is not counted
 
 
 class HeadHistory:
-    """When each list became the head: how long a position has been replaced."""
+    """When each recent list became the head, to tell for how long a position has been outdated."""
 
     def __init__(self) -> None:
         self.head = Position()
         self.versions: deque[tuple[int, int]] = deque(maxlen=MAX_HEADS)  # term and generation
         self.since_ms: deque[int] = deque(maxlen=MAX_HEADS)
 
-    def record_head(self, head: Position, now: int) -> None:
+    def record_head(self, head: Position, now_ms: int) -> None:
+        """Note the head at `now_ms`; a head of another lineage clears the history."""
         if head == self.head:
             return
         if head.lineage != self.head.lineage:
@@ -51,49 +54,51 @@
             self.since_ms.clear()
         self.head = head
         self.versions.append((head.term, head.generation))
-        self.since_ms.append(now)
+        self.since_ms.append(now_ms)
 
-    def replaced_for_ms(self, position: Position, now: int) -> int:
-        """For how long by `now` there has been a newer list, ms; 0 at the head."""
+    def replaced_for_ms(self, position: Position, now_ms: int) -> int:
+        """How long there has been a list newer than this position, ms; 0 at the head."""
         if not position.is_older_than(self.head) or not self.versions:
             return 0
-        at = 0
+        index = 0
         if position.lineage == self.head.lineage:
-            at = bisect_right(self.versions, (position.term, position.generation))
-        return max(1, now - self.since_ms[at])
+            index = bisect_right(self.versions, (position.term, position.generation))
+        return max(1, now_ms - self.since_ms[index])
 
 
 @dataclass
 class TrackedRun:
+    """The state of one run relative to the head of the list."""
+
     state: str = CURRENT
-    behind_since_ms: int = 0  # of being behind
-    bring_up_count: int = 0  # bring-ups
-    reports_at_head: int = 0  # reports in a row
+    behind_since_ms: int = 0
+    bring_up_count: int = 0  # times the list was sent since it is behind
+    reports_at_head: int = 0  # consecutive
     last_report_ms: int = 0
     is_overdue: bool = False
 
-    def is_bring_up_failing(self, now: int, rules: StragglerRules) -> bool:
-        """Whether it was told the list and is behind still; one that it mends says so soon."""
+    def is_bring_up_failing(self, now_ms: int, rules: StragglerRules) -> bool:
+        """Whether it is still behind after the list was sent; a run that recovers reports so soon."""
         return self.state == BROUGHT_UP and (
-            self.bring_up_count > 1 or 2 * (now - self.last_report_ms) > rules.behind_ms
+            self.bring_up_count > 1 or 2 * (now_ms - self.last_report_ms) > rules.behind_ms
         )
 
-    def record_report(self, lag: int, now: int, rules: StragglerRules) -> None:
-        """A report whose position has been replaced for `lag` ms."""
-        self.last_report_ms = now
-        near = lag * 2 <= rules.behind_ms  # hysteresis: back at half of what puts it behind
-        self.reports_at_head = self.reports_at_head + 1 if near else 0
+    def record_report(self, lag_ms: int, now_ms: int, rules: StragglerRules) -> None:
+        """Update the state on a report whose position has been outdated for `lag_ms`."""
+        self.last_report_ms = now_ms
+        is_near = lag_ms * 2 <= rules.behind_ms  # hysteresis: half of the lag that counts as behind
+        self.reports_at_head = self.reports_at_head + 1 if is_near else 0
         if self.state == CURRENT:
-            if lag > rules.behind_ms:
-                self.state, self.behind_since_ms, self.bring_up_count = BEHIND, now, 0
+            if lag_ms > rules.behind_ms:
+                self.state, self.behind_since_ms, self.bring_up_count = BEHIND, now_ms, 0
         elif self.reports_at_head >= (REPORTS_TO_READMIT if self.state == SHUT_OUT else 1):
             self.state, self.is_overdue = CURRENT, False
         elif self.state == BROUGHT_UP:
-            late = now - self.behind_since_ms >= rules.shut_out_ms
-            self.is_overdue = late or self.bring_up_count >= rules.bring_ups
+            is_late = now_ms - self.behind_since_ms >= rules.shut_out_ms
+            self.is_overdue = is_late or self.bring_up_count >= rules.bring_ups
 
     def begin_bring_up(self) -> bool:
-        """Whether the answer brings the list along."""
+        """Whether the answer must include the list; counts the bring-up if so."""
         if self.state == CURRENT:
             return False
         self.bring_up_count += 1
@@ -104,38 +109,42 @@
 
 @dataclass
 class Fleet:
+    """The tracked runs, and whether so many are behind that shutting out is suspended."""
+
     rules: StragglerRules = field(default_factory=StragglerRules)
     tracked_runs: dict[str, TrackedRun] = field(default_factory=dict)
     is_held: bool = False
-    last_excess_ms: int = 0  # since when no more than may be shut out are behind
-
-    def record_report(self, key: str, lag: int, now: int) -> TrackedRun:
-        """One report, and what it comes to; see `Straggler.state` before and after."""
-        one = self.tracked_runs.setdefault(key, TrackedRun())
-        one.record_report(lag, now, self.rules)
-        if self.is_held or one.state != CURRENT:
-            self.update_hold(now)
-        if one.is_overdue and not self.is_held and one.state == BROUGHT_UP:
-            one.state, one.reports_at_head = SHUT_OUT, 0
-        return one
-
-    def update_hold(self, now: int) -> None:
-        """Whether so many are behind that the fault is not theirs."""
+    last_excess_ms: int = 0  # when more runs than may be shut out were last behind
+
+    def record_report(self, key: str, lag_ms: int, now_ms: int) -> TrackedRun:
+        """Update a run on a report, and shut it out if it is overdue; returns the run."""
+        run = self.tracked_runs.setdefault(key, TrackedRun())
+        run.record_report(lag_ms, now_ms, self.rules)
+        if self.is_held or run.state != CURRENT:
+            self.update_hold(now_ms)
+        if run.is_overdue and not self.is_held and run.state == BROUGHT_UP:
+            run.state, run.reports_at_head = SHUT_OUT, 0
+        return run
+
+    def update_hold(self, now_ms: int) -> None:
+        """Hold the fleet if so many runs are behind that they are not at fault; release it later."""
         live = [
-            one for one in self.tracked_runs.values()
-            if now - one.last_report_ms <= self.rules.silent_ms or one.state == SHUT_OUT
+            run for run in self.tracked_runs.values()
+            if now_ms - run.last_report_ms <= self.rules.silent_ms or run.state == SHUT_OUT
         ]  # fmt: skip
-        # One that its first bring-up mends says nothing of the others.
-        lagging = [one for one in live if one.state == SHUT_OUT or one.is_bring_up_failing(now, self.rules)]
-        most = max(1, int(self.rules.shut_out_share * len(live)))
-        if len(lagging) > most:
-            self.is_held, self.last_excess_ms = True, now
-            for one in lagging:
-                if one.state == SHUT_OUT:
-                    one.state = BROUGHT_UP
-        elif self.is_held and now - self.last_excess_ms > self.rules.behind_ms:
+        # A run that recovers after its first bring-up is no sign of a common fault.
+        lagging = [
+            run for run in live if run.state == SHUT_OUT or run.is_bring_up_failing(now_ms, self.rules)
+        ]
+        max_shut_out = max(1, int(self.rules.shut_out_share * len(live)))
+        if len(lagging) > max_shut_out:
+            self.is_held, self.last_excess_ms = True, now_ms
+            for run in lagging:
+                if run.state == SHUT_OUT:
+                    run.state = BROUGHT_UP
+        elif self.is_held and now_ms - self.last_excess_ms > self.rules.behind_ms:
             self.is_held = False
 
     def forget(self, key: str) -> None:
-        """Its run is over."""
+        """Stop tracking a run that ended."""
         self.tracked_runs.pop(key, None)
