--- a/woadyard/audit/monitor.py
+++ b/woadyard/audit/monitor.py
@@ -93,13 +93,13 @@
         return answer
 
     def full_list(self) -> dict[str, Any]:
-        """The full list, as discovery sends it."""
+        """The current list, with its lineage."""
         return {**self.registry.book(ListBook).listing(), "lineage": self.registry.host.lineage}
 
     def _directive_lag_ms(
         self, key: str, kind: str, directive: dict[str, Any] | None, position: Position, now_ms: int
     ) -> int:
-        """How long a sidecar has not acted on its directive, counted from when this leader had it."""
+        """How long a sidecar has not acted on its directive, since this leader first saw that."""
         if directive is None or getattr(position, kind) == directive["revision"]:
             self.directives_due.pop((key, kind), None)
             return 0
--- a/woadyard/audit/service.py
+++ b/woadyard/audit/service.py
@@ -1,17 +1,17 @@
-"""The calls of the audit at the list service; loaded by nothing else.
-
-- `POST /registry/audit/report`: a sidecar's `Report`; its `Answer`. Any replica takes it and sends
-  it on to the writer, so a sidecar need reach only one.
-- `GET /registry/audit/acted?generation=V&...`: who acted on a version, from when to when, with how
-  many attempts. Any of `lineage term generation settings plan experiment build`.
-- `GET /registry/audit/at?name=X&time=MS`: what X acted on then; without `time`, now.
-- `GET /registry/audit/gaps?name=X`: when X may have acted and nobody heard.
-- `GET /registry/audit/behind`: who is not at the head, by how much; and whether the fleet is held.
-- `GET /registry/audit/out-of-use?generation=V`: whether list V and all before it are out of use.
-- `POST /registry/audit/over?key=NAME@RUN`: an operator knows that this run is gone.
-
-Reports that come within some ms are one record. A number is acked once no crash of one process
-can lose it: it is in the writer's log, and where a replica follows, in the replica's too.
+"""HTTP routes of the audit; loaded by the list service only.
+
+- `POST /registry/audit/report`: receives a sidecar's `Report`, returns its `Answer`. A follower
+  forwards it to the leader, so a sidecar needs to reach only one replica.
+- `GET /registry/audit/acted?generation=V&...`: which sidecars acted on a version, when, and with how
+  many attempts. Takes any of `lineage term generation settings plan experiment build`.
+- `GET /registry/audit/at?name=X&time=MS`: what sidecar X acted on at that time; now, without `time`.
+- `GET /registry/audit/gaps?name=X`: periods in which sidecar X may have acted without a report.
+- `GET /registry/audit/behind`: sidecars not at the head, by how much, and whether the fleet is held.
+- `GET /registry/audit/out-of-use?generation=V`: whether list V and all older ones are out of use.
+- `POST /registry/audit/over?key=NAME@RUN`: an operator declares that this run has ended.
+
+Reports received within a few ms are one log entry. A report is acknowledged once the crash of one
+process cannot lose it: it is in the leader's log and, if a follower is required, in the follower's.
 """
 
 from __future__ import annotations
@@ -35,24 +35,30 @@
 from woadyard.registry.service import Registry
 
 PATH = "/registry/audit"
-FORWARD_TIMEOUT_S = 1.5  # less than a sidecar waits
+FORWARD_TIMEOUT_S = 1.5  # below the timeout of a sidecar's report
 
 
 class NameQuery(msgspec.Struct):
+    """Query of the routes about one sidecar."""
+
     name: str
 
 
 class AtQuery(msgspec.Struct):
+    """Query of `at`; `time` is ms of the service's clock, now if absent."""
+
     name: str
     time: int | None = None
 
 
 class KeyQuery(msgspec.Struct):
+    """Query of `over`; `key` is NAME@RUN."""
+
     key: str
 
 
 class AuditService:
-    """The handlers of the calls, on one registry."""
+    """The handlers of the routes, for one registry."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
@@ -60,7 +66,7 @@
         self.monitor = FleetMonitor(registry)
 
     @property
-    def book(self) -> AuditBook:
+    def audit_state(self) -> AuditBook:
         return self.registry.book(AuditBook)
 
     async def report(self, request: web.Request) -> web.StreamResponse:
@@ -74,35 +80,37 @@
                 parse_position(row.position)
         self.registry.hear(position.lineage, position.term, f"a report of {report.name}")
         await self.report_batcher.write(report)
-        told = self.monitor.evaluate(report, position)
-        told.acks = self.report_batcher.safe_numbers(report)
-        return answer(told)
+        report_answer = self.monitor.evaluate(report, position)
+        report_answer.acks = self.report_batcher.safe_numbers(report)
+        return answer(report_answer)
 
     async def _forward_to_leader(self, request: web.Request, raw: bytes) -> web.StreamResponse:
-        writer = self.registry.writer
-        assert writer is not None
+        leader_address = self.registry.writer
+        assert leader_address is not None
         try:
             if "sent-on" in request.query:
-                raise FetchError("the process that this one follows is a replica too")
+                raise FetchError("the process that this one follows is a follower too")
             target = f"{REPORT_PATH}?sent-on=1"
-            status, back = await fetch(
-                parse_address(writer), "POST", target, raw, timeout_s=FORWARD_TIMEOUT_S
+            status, response_body = await fetch(
+                parse_address(leader_address), "POST", target, raw, timeout_s=FORWARD_TIMEOUT_S
             )
         except FetchError as error:
-            remedy = "report to another replica; see whether the writer runs"
-            return refusal(HTTPStatus.BAD_GATEWAY, f"the writer is not reached: {error}", remedy)
-        return web.Response(status=status, body=back, content_type="application/json")
+            remedy = "report to another replica; check whether the leader is running"
+            return refusal(HTTPStatus.BAD_GATEWAY, f"the leader cannot be reached: {error}", remedy)
+        return web.Response(status=status, body=response_body, content_type="application/json")
 
     async def acted(self, request: web.Request) -> web.StreamResponse:
-        return answer(queries.spans_acted_on(self.book, queries.parse_version_filter(dict(request.query))))
+        return answer(
+            queries.spans_acted_on(self.audit_state, queries.parse_version_filter(dict(request.query)))
+        )
 
     async def at(self, request: web.Request) -> web.StreamResponse:
-        asked = query(request, AtQuery)
-        when = self.registry.clock() // 1000 if asked.time is None else asked.time
-        return answer(queries.state_at(self.book, asked.name, when))
+        at_query = query(request, AtQuery)
+        time_ms = self.registry.clock() // 1000 if at_query.time is None else at_query.time
+        return answer(queries.state_at(self.audit_state, at_query.name, time_ms))
 
     async def gaps(self, request: web.Request) -> web.StreamResponse:
-        return answer({"gaps": queries.reporting_gaps(self.book, query(request, NameQuery).name)})
+        return answer({"gaps": queries.reporting_gaps(self.audit_state, query(request, NameQuery).name)})
 
     async def behind(self, request: web.Request) -> web.StreamResponse:
         return answer(self.monitor.describe_behind())
@@ -110,16 +118,18 @@
     async def out_of_use(self, request: web.Request) -> web.StreamResponse:
         head = self.monitor.head_position()
         defaults = {"lineage": head.lineage, "term": str(head.term)}
-        told = {**defaults, **request.query}
-        if strange := sorted(told.keys() - {"lineage", "term", "generation"}):
-            raise PeerError(f"a list has no {strange[0]!r}", "ask by generation, and term where it is old")
-        if "generation" not in told:
-            raise PeerError("no generation is named", "ask for ?generation=V")
+        parameters = {**defaults, **request.query}
+        if unknown := sorted(parameters.keys() - {"lineage", "term", "generation"}):
+            raise PeerError(
+                f"unknown field of a list: {unknown[0]!r}", "name a generation, and the term of an older list"
+            )
+        if "generation" not in parameters:
+            raise PeerError("the query names no generation", "add ?generation=V")
         try:
-            version = Position(told["lineage"], int(told["term"]), int(told["generation"]))
+            version = Position(parameters["lineage"], int(parameters["term"]), int(parameters["generation"]))
         except ValueError:
-            raise PeerError("a term and a generation are numbers", "ask for ?generation=V") from None
-        return answer(queries.check_out_of_use(self.book, version))
+            raise PeerError("term and generation must be numbers", "use ?generation=V") from None
+        return answer(queries.check_out_of_use(self.audit_state, version))
 
     async def over(self, request: web.Request) -> web.StreamResponse:
         key = query(request, KeyQuery).key
@@ -132,20 +142,21 @@
 
 
 def audit_service_for(registry: Registry) -> AuditService:
-    """The one of this registry: other books' services give it directives and take evidence."""
+    """The service of this registry; other state machines add their directives and evidence sinks."""
     if registry not in _SERVICES:
         _SERVICES[registry] = AuditService(registry)
     return _SERVICES[registry]
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    calls = audit_service_for(registry)
+    """The routes of the audit on this registry."""
+    service = audit_service_for(registry)
     return [
-        web.post(REPORT_PATH, calls.report),
-        web.get(PATH + "/acted", calls.acted),
-        web.get(PATH + "/at", calls.at),
-        web.get(PATH + "/gaps", calls.gaps),
-        web.get(PATH + "/behind", at_writer(registry, calls.behind)),
-        web.get(PATH + "/out-of-use", calls.out_of_use),
-        web.post(PATH + "/over", at_writer(registry, calls.over)),
+        web.post(REPORT_PATH, service.report),
+        web.get(PATH + "/acted", service.acted),
+        web.get(PATH + "/at", service.at),
+        web.get(PATH + "/gaps", service.gaps),
+        web.get(PATH + "/behind", at_writer(registry, service.behind)),
+        web.get(PATH + "/out-of-use", service.out_of_use),
+        web.post(PATH + "/over", at_writer(registry, service.over)),
     ]
--- a/woadyard/audit/straggler.py
+++ b/woadyard/audit/straggler.py
@@ -31,9 +31,7 @@
     behind_ms: Annotated[int, msgspec.Meta(gt=0)] = 6_000  # time since its position was replaced
     shut_out_ms: Annotated[int, msgspec.Meta(gt=0)] = 15_000  # time behind, or ...
     bring_ups: Annotated[int, msgspec.Meta(gt=0)] = 8  # ... times the list was sent without effect
-    shut_out_share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = (
-        0.1  # of the fleet, at most; at least one
-    )
+    shut_out_share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.1  # of the fleet; at least one run
     silent_ms: Annotated[int, msgspec.Meta(gt=0)] = 15_000  # a run without a report since then is not counted
 
 
