--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at endpoints, from the module's word to their one outcome."""
+"""Runs attempts at endpoints, from the balancer's `Send` action to their one outcome each."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 
 
 class AttemptRunner:
+    """Starts, times out, cancels and completes attempts, and reports their outcomes."""
+
     def __init__(
         self,
-        turns: EventDispatcher,
+        dispatcher: EventDispatcher,
         requests: Requests,
-        places: EndpointTable,
-        force: ActiveSettings,
+        listed_endpoints: EndpointTable,
+        active_settings: ActiveSettings,
         upstream: Upstream,
     ) -> None:
-        self.dispatcher, self.requests, self.listed_endpoints = turns, requests, places
-        self.in_force, self.upstream = force, upstream
+        self.dispatcher, self.requests, self.listed_endpoints = dispatcher, requests, listed_endpoints
+        self.active_settings, self.upstream = active_settings, upstream
         requests.stop_attempt = self.stop
-        # The audit is told of attempts that no endpoint saw: request and endpoint.
+        # Called with request and endpoint for each attempt that wrote no byte (for the audit).
         self.on_unsent: Callable[[int, int], None] | None = None
-        self.invariants = InvariantChecker(force, places, turns.metrics)
+        self.invariants = InvariantChecker(active_settings, listed_endpoints, dispatcher.metrics)
         upstream.on_outcome, upstream.may_start, upstream.begin_relay = (
             self.record_outcome,
             self.may_start,
@@ -37,28 +39,30 @@
         upstream.on_written = self.invariants.check_written
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
+        """Whether the first byte of the attempt may be written now (µs)."""
         if not attempt.call.is_open or now >= min(attempt.timeout_at_us, attempt.start_by_us):
             return False
-        if not attempt.call.client.check_connected():  # where the client has left, that ends the call
+        if not attempt.call.client.check_connected():  # a client that has disconnected ends the request here
             return False
         return self.listed_endpoints.may_start(attempt.endpoint, now)
 
     def send(self, action: Send) -> None:
+        """Start an attempt; one that may not start ends as MOOT at once."""
         now, call = now_us(), self.requests.calls.get(action.request)
         if call is None:
             return
-        left = action.timeout_us or call.expires_us - now
-        until = min(call.expires_us, now + left)
-        attempt = Attempt(call, len(call.attempts), action.endpoint, now, until, action.start_by)
+        wait_us = action.timeout_us or call.expires_us - now
+        timeout_at_us = min(call.expires_us, now + wait_us)
+        attempt = Attempt(call, len(call.attempts), action.endpoint, now, timeout_at_us, action.start_by)
         call.attempts.append(attempt)
         self.dispatcher.metrics.attempt_sent(attempt.index)
         if (observer := self.dispatcher.observer) is not None:
             attempt.extra_headers = observer.attempt_started(now, action)
-        if self.in_force.locality is not None:
-            place = self.listed_endpoints.by_number.get(action.endpoint)
-            if place is not None:
-                self.dispatcher.metrics.zone_attempt_sent(place.zone)
-        if attempt.index >= self.in_force.settings.max_attempts or not self.may_start(attempt, now):
+        if self.active_settings.locality is not None:
+            listed_endpoint = self.listed_endpoints.by_number.get(action.endpoint)
+            if listed_endpoint is not None:
+                self.dispatcher.metrics.zone_attempt_sent(listed_endpoint.zone)
+        if attempt.index >= self.active_settings.settings.max_attempts or not self.may_start(attempt, now):
             self.record_outcome(attempt, MOOT, None, b"")
             return
         if attempt.timeout_at_us < call.expires_us:
@@ -66,36 +70,42 @@
         self.upstream.send(attempt)
 
     def cancel(self, request: int, copy: int) -> None:
+        """Cancel one attempt of a request, given by its attempt index."""
         if (call := self.requests.calls.get(request)) is not None:
             self.stop(call.attempts[copy], CANCELLED)
 
     def stop(self, attempt: Attempt, outcome: int) -> None:
-        """Wait for it no longer."""
+        """Stop waiting for an attempt and record this outcome."""
         if attempt.in_flight:
             never_left = self.upstream.cancel(attempt)
-            # The wait for a connection that is not there yet, or takes no more, proves that it never ran.
+            # A timeout while connecting, or while the connection accepts no more bytes, proves that
+            # the endpoint never ran the request.
             proven = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
             self.record_outcome(attempt, proven, None, b"")
 
-    def begin_relay(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
-        """An answer too large to hold has begun: it is the caller's from now on,
-        and neither the attempt's time nor the caller's runs any longer."""
+    def begin_relay(self, attempt: Attempt, response: Response, length: int | None) -> bool:
+        """Start streaming a response that is too large to buffer; false if nobody waits for it.
+
+        It is the client's final response, so the timeouts of the attempt and the request end.
+        """
         call = attempt.call
         if not call.is_open or not attempt.in_flight or attempt.connection is None:
             return False
         call.streaming_attempt, attempt.head_us = attempt, now_us() - attempt.sent_us
-        self.requests.record_response(call, answer.status)
+        self.requests.record_response(call, response.status)
         for timer in (call.timer, attempt.timer):
             if timer is not None:
                 timer.cancel()
         call.timer = attempt.timer = None
         event = Outcome(call.id, attempt.index, attempt.endpoint, OK, attempt.head_us)
         self.dispatcher.dispatch(self.dispatcher.balancer.head, event, call=call)
-        call.client.begin_response(answer, length, attempt.connection)
+        call.client.begin_response(response, length, attempt.connection)
         return True
 
-    def record_outcome(self, attempt: Attempt, outcome: int, answer: Response | None, load: bytes) -> None:
-        """The one outcome of an attempt."""
+    def record_outcome(
+        self, attempt: Attempt, outcome: int, response: Response | None, load_report: bytes
+    ) -> None:
+        """Complete an attempt and report its outcome; any later outcome is ignored."""
         if not attempt.in_flight:
             return
         attempt.in_flight, attempt.outcome = False, outcome
@@ -104,8 +114,8 @@
             attempt.timer = None
         call = attempt.call
         self.dispatcher.metrics.attempt_ended(outcome, now_us() - attempt.sent_us)
-        if outcome == OK and answer is not None and call.is_open:
-            self.requests.send_response(call, answer)
+        if outcome == OK and response is not None and call.is_open:
+            self.requests.send_response(call, response)
         if call.streaming_attempt is attempt and call.is_open:
             self.requests.close(call)
             call.client.end_response(outcome == OK)
@@ -117,7 +127,7 @@
             outcome,
             attempt.head_us or now - attempt.sent_us,
             over,
-            self.in_force.name_index.parse_report(load),
+            self.active_settings.name_index.parse_report(load_report),
             call.upload is not None and call.upload.partly_sent,
         )
         if self.on_unsent is not None and not attempt.was_written:
