--- a/tests/test_audit_service.py
+++ b/tests/test_audit_service.py
@@ -1,4 +1,4 @@
-"""The audit's calls against bad reports, and a service whose clock is off."""
+"""Tests of the audit's routes: invalid reports, and a service whose clock is wrong."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 HERE = Position("aa", 1, 1, "s", build="b")
 
 
-def test_bad_old_and_repeated_reports_count_nothing_twice_whatever_the_clock_says(tmp_path: Path) -> None:
+def test_invalid_old_and_repeated_reports_count_nothing_twice_with_a_wrong_clock(tmp_path: Path) -> None:
     async def main() -> None:
         registry = Registry(Journal(tmp_path), clock=lambda: time.time_ns() // 1000 - 5_000_000)
         registry.lead()
@@ -31,25 +31,31 @@
         async def post(raw: bytes) -> tuple[int, Any]:
             return await ask(port, "POST", REPORT, raw)
 
-        def told(spans: SpanRecorder, at_ms: int) -> Report:
-            spans.record_attempt(at_ms * 1000, at_ms, 1)
-            return spans.build_report(at_ms * 1000)
+        def report_attempt(recorder: SpanRecorder, at_ms: int) -> Report:
+            recorder.record_attempt(at_ms * 1000, at_ms, 1)
+            return recorder.build_report(at_ms * 1000)
 
         old, new = SpanRecorder("n1", "a", 0, HERE), SpanRecorder("n1", "b", 0, HERE)
-        reports = [told(old, 10), told(old, 20), told(new, 5), told(new, 15)]
+        reports = [
+            report_attempt(old, 10),
+            report_attempt(old, 20),
+            report_attempt(new, 5),
+            report_attempt(new, 15),
+        ]
         first = msgspec.json.encode(reports[0])
-        bad_ones = [b"", b"[" * 100_000, b"{}", b"\xff", first[:-9], first.replace(b'"n":1', b'"n":-1')]
-        bad_ones += [first.replace(HERE.to_text().encode(), b"a.b"), first.replace(b"[0,", b"[1e400,")]
-        for bad in bad_ones:
-            status, text = await post(bad)
-            assert status == 400 and "remedy" in text, (bad[:60], text)
-        assert registry.host.applied == 1, "nothing of them is in the log"
-        for n in (3, 1, 0, 3, 2, 1, 2):  # the old incarnation's come late, and all of them twice
+        invalid = [b"", b"[" * 100_000, b"{}", b"\xff", first[:-9], first.replace(b'"n":1', b'"n":-1')]
+        invalid += [first.replace(HERE.to_text().encode(), b"a.b"), first.replace(b"[0,", b"[1e400,")]
+        for invalid_report in invalid:
+            status, text = await post(invalid_report)
+            assert status == 400 and "remedy" in text, (invalid_report[:60], text)
+        assert registry.host.applied == 1, "none of them is in the log"
+        for n in (3, 1, 0, 3, 2, 1, 2):  # the old run's arrive late, and most of them twice
             status, answer = await post(msgspec.json.encode(reports[n]))
             assert status == 200 and reports[n].n in answer["acks"]
         sums = (await ask(port, "GET", "/registry/audit/acted?build=b"))[1]["sidecars"]
         assert sums == {"n1": {"attempts": 4, "refusals": 0, "unsent": 0}}
-        assert (await ask(port, "GET", "/registry/audit/at?name=n1"))[1]["state"] == "gap"  # heard until then
+        # The current time is after its last report.
+        assert (await ask(port, "GET", "/registry/audit/at?name=n1"))[1]["state"] == "gap"
         for query in (
             "acted",
             "acted?generation=x",
--- a/tests/test_audit_stragglers.py
+++ b/tests/test_audit_stragglers.py
@@ -1,4 +1,4 @@
-"""Who is behind, brought up, shut out and taken back; and that a fault of the service is no one's."""
+"""Tests of how runs fall behind, are brought up, shut out and readmitted, and when the fleet is held."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def fleet_of(size: int) -> Fleet:
+    """A fleet in which every run has reported once, at the head."""
     fleet = Fleet(RULES)
     for n in range(size):
         fleet.record_report(f"n{n}", 0, 0)
@@ -16,54 +17,57 @@
 
 
 def states(fleet: Fleet) -> list[str]:
-    return [one.state for one in fleet.tracked_runs.values()]
+    return [run.state for run in fleet.tracked_runs.values()]
 
 
-def drive(fleet: Fleet, lags: dict[str, int], since: int, until: int) -> list[str]:
-    """Reports each second of all, those in `lags` behind since then; the states of the last of them."""
-    seen = [""]
-    for now in range(since, until, 1000):
+def drive(fleet: Fleet, lags: dict[str, int], from_ms: int, until_ms: int) -> list[str]:
+    """One report of each run per second; those in `lags` are behind since the time given there.
+
+    Returns the states that the runs in `lags` went through.
+    """
+    states_seen = [""]
+    for now_ms in range(from_ms, until_ms, 1000):
         for key in list(fleet.tracked_runs):
-            one = fleet.record_report(key, now - lags[key] if key in lags else 0, now)
-            one.begin_bring_up()
-            if key in lags and one.state != seen[-1]:
-                seen.append(one.state)
-    return seen[1:]
+            run = fleet.record_report(key, now_ms - lags[key] if key in lags else 0, now_ms)
+            run.begin_bring_up()
+            if key in lags and run.state != states_seen[-1]:
+                states_seen.append(run.state)
+    return states_seen[1:]
 
 
-def test_one_behind_is_brought_up_then_shut_out_and_comes_back_after_two_reports_at_the_head() -> None:
+def test_run_behind_is_brought_up_then_shut_out_and_readmitted_after_two_reports_at_the_head() -> None:
     fleet = fleet_of(5)
     assert drive(fleet, {"n4": 0}, 1000, 30_000) == ["current", "brought up", "shut out"]
     assert states(fleet)[:4] == ["current"] * 4
     assert fleet.record_report("n4", 0, 31_000).state == "shut out"
     assert (
         fleet.record_report("n4", 4000, 32_000).state == "shut out"
-    )  # near is not enough twice in a row ...
-    assert fleet.record_report("n4", 0, 33_000).state == "shut out"  # ... and a step back counts anew
+    )  # over half of behind-ms: not at the head
+    assert fleet.record_report("n4", 0, 33_000).state == "shut out"  # the count starts again
     assert fleet.record_report("n4", 0, 34_000).state == "current"
 
 
-def test_one_that_its_bring_up_mends_is_current_at_once() -> None:
-    one = TrackedRun()
-    one.record_report(6500, 6500, RULES)
-    assert one.state == "behind" and one.begin_bring_up() and one.state == "brought up"
-    one.record_report(3500, 7000, RULES)
-    assert one.state == "brought up"  # hysteresis: not until half of behind-ms
-    one.record_report(0, 8000, RULES)
-    assert one.state == "current" and not one.begin_bring_up()
+def test_run_that_recovers_after_its_bring_up_is_current_at_once() -> None:
+    run = TrackedRun()
+    run.record_report(6500, 6500, RULES)
+    assert run.state == "behind" and run.begin_bring_up() and run.state == "brought up"
+    run.record_report(3500, 7000, RULES)
+    assert run.state == "brought up"  # hysteresis: only below half of behind-ms
+    run.record_report(0, 8000, RULES)
+    assert run.state == "current" and not run.begin_bring_up()
 
 
-def test_where_more_than_the_share_are_behind_the_fleet_is_held_and_nobody_is_shut_out() -> None:
+def test_fleet_is_held_and_nobody_shut_out_if_more_than_the_share_are_behind() -> None:
     fleet = fleet_of(5)
-    seen = drive(fleet, {f"n{n}": 0 for n in range(3)}, 1000, 60_000)
-    assert "shut out" not in seen and fleet.is_held
-    seen = drive(fleet, {"n0": 0}, 60_000, 80_000)  # two came back: the third's fault is its own
-    assert not fleet.is_held and seen[-1] == "shut out"
+    states_seen = drive(fleet, {f"n{n}": 0 for n in range(3)}, 1000, 60_000)
+    assert "shut out" not in states_seen and fleet.is_held
+    states_seen = drive(fleet, {"n0": 0}, 60_000, 80_000)  # two recovered: the third is itself at fault
+    assert not fleet.is_held and states_seen[-1] == "shut out"
     drive(fleet, {"n0": 0, "n1": 80_000, "n2": 80_000}, 80_000, 100_000)
-    assert fleet.is_held and "shut out" not in states(fleet)  # nor does anybody stay so
+    assert fleet.is_held and "shut out" not in states(fleet)  # and the shut-out is lifted
 
 
-def test_a_second_one_that_is_mended_at_once_lets_nobody_go() -> None:
+def test_second_run_that_recovers_at_once_releases_no_shut_out() -> None:
     fleet = fleet_of(5)
     drive(fleet, {"n0": 0}, 1000, 30_000)
     fleet.record_report("n1", 6500, 30_500).begin_bring_up()
@@ -71,20 +75,20 @@
     assert states(fleet)[:2] == ["shut out", "current"] and not fleet.is_held
 
 
-def test_silence_shuts_nobody_out() -> None:
+def test_silent_run_is_not_shut_out() -> None:
     fleet = fleet_of(3)
     fleet.record_report("n0", 7000, 7000).begin_bring_up()
     fleet.update_hold(600_000)
     assert states(fleet)[0] == "brought up" and not fleet.is_held
 
 
-def test_a_position_is_behind_since_a_newer_list_came_however_many_follow() -> None:
+def test_position_is_outdated_since_the_first_newer_list() -> None:
     heads = HeadHistory()
     for generation in range(1, 11):
         heads.record_head(Position("log", 1, generation), generation * 1000)
     assert heads.replaced_for_ms(Position("log", 1, 10), 20_000) == 0
     assert heads.replaced_for_ms(Position("log", 1, 4), 20_000) == 15_000
     assert heads.replaced_for_ms(Position("log", 1, 9), 10_500) == 500
-    heads.record_head(Position("log", 2, 9), 21_000)  # a new writer, with fewer changes than the old one had
+    heads.record_head(Position("log", 2, 9), 21_000)  # a new leader, with fewer changes than the old one
     assert heads.replaced_for_ms(Position("log", 1, 10), 22_000) == 1000
     assert heads.replaced_for_ms(Position("other", 9, 99), 22_000) == 21_000
