--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -1,4 +1,4 @@
-"""Five sidecars, the list service's writer and a replica, each control link through a fault proxy."""
+"""A fleet of sidecars, the list service's leader and a follower, with a fault proxy on each control link."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 @dataclass
 class FleetSidecar:
-    """One sidecar: its socket, its process, and the links of its watch and its reports."""
+    """A sidecar process, its listening socket, and the proxies of its watch and its reports."""
 
     name: str
-    listener: socket.socket  # held here, so that its port stays its own over a restart
+    listener: socket.socket  # kept open here, so that a restart gets the same port
     links: dict[str, list[FaultProxy]]
     process: Process | None = None
     request_count: int = 0
@@ -42,6 +42,10 @@
         return int(self.listener.getsockname()[1])
 
     def fault(self, kind: str, mode: str = PASS, delay_s: float = 0.0, deaf: bool = False) -> None:
+        """Set the fault of the links of `kind`, "watch" or "report".
+
+        `deaf`: the sidecar's messages get through, but nothing comes back to it.
+        """
         for link in self.links[kind]:
             if deaf:
                 link.fault(DROP, way=HERE)
@@ -55,17 +59,15 @@
 
 
 class AuditFleet:
-    """Started by `async with`; ended, processes and all, however its body ends."""
+    """Started by `async with`, which also stops all processes, however its body ends."""
 
     def __init__(self, folder: Path, size: int = 5, seed: int = 1, **config: Any) -> None:
         self.folder, self.size, self.rng, self.config = folder, size, random.Random(seed), config
         self.stack = contextlib.AsyncExitStack()
         self.endpoints = [Endpoint(self._handle_request) for _ in range(3)]
-        self.endpoint_counts: Counter[tuple[str, str]] = (
-            Counter()
-        )  # by sidecar and position, as endpoints saw
-        self.arrivals: list[tuple[int, str, str]] = []  # ms of the wall clock, sidecar, position
-        self.ports = [0, 0]  # of writer and replica
+        self.endpoint_counts: Counter[tuple[str, str]] = Counter()  # requests, by sidecar and position
+        self.arrivals: list[tuple[int, str, str]] = []  # wall clock in ms, sidecar, position
+        self.ports = [0, 0]  # of leader and follower
         self.services: list[Process | None] = [None, None]
         self.sidecars: list[FleetSidecar] = []
         self.is_sending = True
@@ -74,7 +76,7 @@
     async def __aenter__(self) -> AuditFleet:
         try:
             await self._open()
-        except BaseException:  # also where the test ran out of time: no process stays
+        except BaseException:  # also on the test's timeout, so that no process is left behind
             await self.stack.aclose()
             raise
         return self
@@ -82,12 +84,12 @@
     async def _open(self) -> None:
         self.stack.push_async_callback(self._kill_all)
         (self.folder / "rules.json").write_text(json.dumps(RULES))
-        for one in self.endpoints:
-            self.stack.callback((await one.start()).close)
+        for endpoint in self.endpoints:
+            self.stack.callback((await endpoint.start()).close)
         await self.start_service(0)
         await self.start_service(1, "--follow", f"127.0.0.1:{self.ports[0]}")
-        for n, one in enumerate(self.endpoints):
-            await self.write_entry("PUT", f"{PATH}/s-{n}?ttl_ms=600000", one.entry(f"s-{n}"))
+        for n, endpoint in enumerate(self.endpoints):
+            await self.write_entry("PUT", f"{PATH}/s-{n}?ttl_ms=600000", endpoint.entry(f"s-{n}"))
         for n in range(self.size):
             links = {
                 kind: [await self._start_proxy(port) for port in self.ports] for kind in ("watch", "report")
@@ -95,13 +97,13 @@
             listener = socket.create_server(("127.0.0.1", 0), backlog=256)
             self.stack.callback(listener.close)
             self.sidecars.append(FleetSidecar(f"n{n}", listener, links))
-        await asyncio.gather(*(self.start_sidecar(member) for member in self.sidecars))
-        for member in self.sidecars:
-            self.add_task(self._send_requests(member))
-        while not all(member.response_counts[200] for member in self.sidecars):
-            await asyncio.sleep(0.02)  # their first list has come
-        for member in self.sidecars:
-            member.response_counts.clear()
+        await asyncio.gather(*(self.start_sidecar(sidecar) for sidecar in self.sidecars))
+        for sidecar in self.sidecars:
+            self.add_task(self._send_requests(sidecar))
+        while not all(sidecar.response_counts[200] for sidecar in self.sidecars):
+            await asyncio.sleep(0.02)  # until each has received its first list
+        for sidecar in self.sidecars:
+            sidecar.response_counts.clear()
 
     async def __aexit__(self, *exc: Any) -> None:
         await self.stack.__aexit__(*exc)
@@ -111,7 +113,7 @@
         self.stack.callback(task.cancel)
 
     async def _kill_all(self) -> None:
-        for process in [*self.services, *(one.process for one in self.sidecars)]:
+        for process in [*self.services, *(sidecar.process for sidecar in self.sidecars)]:
             if process is not None and process.returncode is None:
                 await self.kill(process)
 
@@ -122,43 +124,47 @@
 
     # --- Processes --------------------------------------------------------------------
 
-    async def start_service(self, which: int, *more: str) -> None:
-        """The service's process, once it listens; what it logs goes into a file."""
+    async def start_service(self, which: int, *arguments: str) -> None:
+        """Start process `which` of the service and wait until it listens; its log goes into a file."""
         log = self.folder / f"service-{which}.log"
-        before = log.read_text().count('"listening"') if log.exists() else 0
+        starts_before = log.read_text().count('"listening"') if log.exists() else 0
         with open(log, "ab") as file:
             self.services[which] = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "woadyard.registry", "--data", str(self.folder / f"data-{which}"),
                 "--listen", "127.0.0.1:0", "--stale-after", "1",
-                "--audit-rules", str(self.folder / "rules.json"), *more, stderr=file,
+                "--audit-rules", str(self.folder / "rules.json"), *arguments, stderr=file,
             )  # fmt: skip
-        while log.read_text().count('"listening"') == before:
+        while log.read_text().count('"listening"') == starts_before:
             await asyncio.sleep(0.02)
-        said = [json.loads(line) for line in log.read_text().splitlines()]
-        self.ports[which] = next(one["port"] for one in reversed(said) if one["event"] == "listening")
-        for member in self.sidecars:
-            for links in member.links.values():
+        log_entries = [json.loads(line) for line in log.read_text().splitlines()]
+        self.ports[which] = next(
+            entry["port"] for entry in reversed(log_entries) if entry["event"] == "listening"
+        )
+        for sidecar in self.sidecars:
+            for links in sidecar.links.values():
                 links[which].target = self.ports[which]
 
-    async def start_sidecar(self, one: FleetSidecar) -> None:
+    async def start_sidecar(self, sidecar: FleetSidecar) -> None:
+        """Start the sidecar's process and wait until it is ready."""
         addresses = {
-            kind: ",".join(f"127.0.0.1:{link.port}" for link in links) for kind, links in one.links.items()
+            kind: ",".join(f"127.0.0.1:{link.port}" for link in links)
+            for kind, links in sidecar.links.items()
         }
         raw = {
-            "name": one.name, "listen": "127.0.0.1:0",
+            "name": sidecar.name, "listen": "127.0.0.1:0",
             "seed": "8c1f", "settings": SETTINGS, "discovery": addresses["watch"],
             "audit": {"service": addresses["report"], "every-ms": 300, "out-ms": 5000}, **self.config,
         }  # fmt: skip
-        folder = self.folder / one.name
+        folder = self.folder / sidecar.name
         folder.mkdir(exist_ok=True)
         (folder / "config.json").write_text(json.dumps(raw))
-        fd = one.listener.fileno()
+        fd = sidecar.listener.fileno()
         environ = {**os.environ, "LB_CONFIG": str(folder / "config.json"), "LB_ACCEPT_FD": str(fd)}
         with open(folder / "log", "ab") as log:
-            one.process = await asyncio.create_subprocess_exec(
+            sidecar.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "woadyard", env=environ, stdout=log, stderr=log, pass_fds=(fd,)
             )
-        while await self.health(one) != 200:
+        while await self.health(sidecar) != 200:
             await asyncio.sleep(0.02)
 
     async def kill(self, process: Process | None) -> None:
@@ -174,21 +180,23 @@
         self.arrivals.append((time.time_ns() // 1_000_000, name, position))
         writer.write(http_response())
 
-    async def _send_requests(self, one: FleetSidecar) -> None:
-        """Requests at the sidecar, about 50 a second, each on a connection of its own."""
+    async def _send_requests(self, sidecar: FleetSidecar) -> None:
+        """Send the sidecar about 50 requests per second, each on a connection of its own."""
         while True:
             await asyncio.sleep(0.02)
             if self.is_sending:
-                one.request_count += 1
-                raw = http_request(headers=f"X-Caller: {one.name}\r\n", rid=f"{one.name}-{one.request_count}")
-                one.response_counts[await self._send_request(one, raw)] += 1
-                one.response_counts.pop(0, None)
-
-    async def _send_request(self, one: FleetSidecar, raw: bytes) -> int:
-        """The answer's status; 0 where there is none, as of a process that was killed."""
+                sidecar.request_count += 1
+                raw = http_request(
+                    headers=f"X-Caller: {sidecar.name}\r\n", rid=f"{sidecar.name}-{sidecar.request_count}"
+                )
+                sidecar.response_counts[await self._send_request(sidecar, raw)] += 1
+                sidecar.response_counts.pop(0, None)
+
+    async def _send_request(self, sidecar: FleetSidecar, raw: bytes) -> int:
+        """The status of the response; 0 if there is none, as from a killed process."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(6):
-                reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port)
                 try:
                     writer.write(raw)
                     return int((await read_message(reader)).start_line.split()[1])
@@ -197,12 +205,12 @@
         return 0
 
     async def write_entry(self, method: str, target: str, entry: dict[str, Any], which: int = 0) -> int:
-        status, told = await ask(self.ports[which], method, target, json.dumps(entry).encode())
-        assert status == 200, told
-        return int(told["generation"])
+        status, answer = await ask(self.ports[which], method, target, json.dumps(entry).encode())
+        assert status == 200, answer
+        return int(answer["generation"])
 
     async def change_list(self, which: int = 0) -> int:
-        """A new generation of the list: an endpoint that gets nothing changes its weight."""
+        """Make a new generation of the list, by the weight of an endpoint that gets no traffic."""
         self.change_count += 1
         entry = {
             **self.endpoints[0].entry("s-9"),
@@ -212,46 +220,50 @@
         return await self.write_entry("PUT", f"{PATH}/s-9?ttl_ms=600000", entry, which)
 
     async def inject_faults(self, seconds: float, kinds: tuple[str, ...] = ("watch", "report")) -> None:
-        """Faults on links by chance, each for a second or so, and a change of the list each second;
-        all links are whole again at the end."""
+        """Change the list and set a random fault on a link of each sidecar, every second.
+
+        All links work again at the end.
+        """
         for _ in range(int(seconds)):
             with contextlib.suppress(OSError):
                 await self.change_list()
-            for one in self.sidecars:
+            for sidecar in self.sidecars:
                 kind = self.rng.choice(kinds)
                 fault = self.rng.choice(("drop", "cut", "reset", "delay", "deaf", "none"))
                 mode = {"drop": DROP, "cut": CUT, "reset": RESET}.get(fault, PASS)
                 delay_s = self.rng.uniform(0.1, 3.0) if fault == "delay" else 0.0
-                one.fault(kind, mode, delay_s, fault == "deaf")
+                sidecar.fault(kind, mode, delay_s, fault == "deaf")
             await asyncio.sleep(1.0)
-        for one in self.sidecars:
+        for sidecar in self.sidecars:
             for kind in kinds:
-                one.fault(kind)
+                sidecar.fault(kind)
 
     # --- The ledger -------------------------------------------------------------------
 
-    async def query_audit(self, what: str, which: int = 0) -> Any:
-        _, told = await ask(self.ports[which], "GET", f"{AUDIT}/{what}")
-        return told
+    async def query_audit(self, target: str, which: int = 0) -> Any:
+        _, answer = await ask(self.ports[which], "GET", f"{AUDIT}/{target}")
+        return answer
 
     async def reported_counts(self, which: int = 0) -> Counter[tuple[str, str]]:
         """Attempts that reached an endpoint, by sidecar and position, as reported."""
-        found: Counter[tuple[str, str]] = Counter()
+        counts: Counter[tuple[str, str]] = Counter()
         for build in {position.rpartition(".")[2] for _, position in self.endpoint_counts}:
-            told = await self.query_audit(f"acted?build={build}", which)
-            for span in told["spans"]:
-                found[span["name"], span["position"]] += span["attempts"] - span["unsent"]
-        return Counter({key: count for key, count in found.items() if count})
-
-    async def wait_for(self, true: Callable[[], Any], every_s: float = 0.05) -> Any:
-        """What `true` comes to, once it is anything; the test's own time is the only bound."""
-        while not (found := await true()):
+            answer = await self.query_audit(f"acted?build={build}", which)
+            for span in answer["spans"]:
+                counts[span["name"], span["position"]] += span["attempts"] - span["unsent"]
+        return Counter({key: count for key, count in counts.items() if count})
+
+    async def wait_for(self, condition: Callable[[], Any], every_s: float = 0.05) -> Any:
+        """Wait until `condition` returns a true value and return it; only the test's timeout bounds it."""
+        while not (result := await condition()):
             await asyncio.sleep(every_s)
-        return found
+        return result
 
     async def state(self, name: str) -> str:
-        told = await self.query_audit("behind")
-        return next((str(one["state"]) for one in told["behind"] if one["name"] == name), "current")
+        """The audit's state of the sidecar."""
+        answer = await self.query_audit("behind")
+        return next((str(entry["state"]) for entry in answer["behind"] if entry["name"] == name), "current")
 
-    async def health(self, one: FleetSidecar) -> int:
-        return await self._send_request(one, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+    async def health(self, sidecar: FleetSidecar) -> int:
+        """The status of the sidecar's readiness check."""
+        return await self._send_request(sidecar, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/test_audit_faults.py
+++ b/tests/test_audit_faults.py
@@ -1,4 +1,4 @@
-"""The audit with processes and faults: what it counted is what endpoints saw, and who is shut out."""
+"""Tests of the audit with processes and faults: its counts match the endpoints', and who is shut out."""
 
 from __future__ import annotations
 
@@ -15,81 +15,86 @@
 from tests.sockets import run_test
 from tests.test_registry import ask
 
-SECONDS = float(os.environ.get("AUDIT_FAULT_S", "8"))  # of faults; by hand it is run for longer
-SLACK_MS = 100  # between an endpoint's clock and the service's estimate of a sidecar's
+SECONDS = float(os.environ.get("AUDIT_FAULT_S", "8"))  # of injected faults; longer in manual runs
+SLACK_MS = 100  # between an endpoint's clock and the service's estimate of a sidecar's clock
 
 
-async def quiet(fleet: AuditFleet) -> None:
-    """Traffic ends, and all that is under way."""
+async def stop_traffic(fleet: AuditFleet) -> None:
+    """Stop sending requests, and wait for those in flight."""
     fleet.is_sending = False
     await asyncio.sleep(0.5)
 
 
-async def settled(fleet: AuditFleet, which: int = 0) -> None:
-    """What endpoints counted is the ledger's, in the end and exactly."""
-    await quiet(fleet)
+async def assert_counts_agree(fleet: AuditFleet, which: int = 0) -> None:
+    """Stop the traffic and wait until the ledger's counts equal those of the endpoints."""
+    await stop_traffic(fleet)
 
-    async def same() -> bool:
+    async def counts_agree() -> bool:
         return await fleet.reported_counts(which) == fleet.endpoint_counts
 
     try:
         async with asyncio.timeout(20):
-            await fleet.wait_for(same)
+            await fleet.wait_for(counts_agree)
     except TimeoutError:
         assert await fleet.reported_counts(which) == fleet.endpoint_counts
 
 
-def test_over_any_faults_of_links_the_ledger_counts_what_the_endpoints_counted(tmp_path: Path) -> None:
+def test_ledger_counts_equal_the_endpoints_counts_after_random_link_faults(tmp_path: Path) -> None:
     async def main() -> None:
         async with AuditFleet(tmp_path) as fleet:
             await fleet.inject_faults(SECONDS)
-            await settled(fleet)
+            await assert_counts_agree(fleet)
             assert (
                 len({position for _, position in fleet.endpoint_counts}) > 3
                 and fleet.endpoint_counts.total() > 100
             )
-            for one in fleet.sidecars:
-                gaps = (await fleet.query_audit(f"gaps?name={one.name}"))["gaps"]
-                assert len(gaps) == 1 and gaps[0][1] is None  # only what is not reported yet
+            for sidecar in fleet.sidecars:
+                gaps = (await fleet.query_audit(f"gaps?name={sidecar.name}"))["gaps"]
+                assert len(gaps) == 1 and gaps[0][1] is None  # only the time since the last report
 
     run_test(main())
 
 
-def test_what_kills_of_sidecars_lose_lies_in_gaps_that_the_ledger_declares(tmp_path: Path) -> None:
-    async def killing(fleet: AuditFleet, victims: list[FleetSidecar]) -> None:
-        for one in victims:
+def test_counts_lost_with_killed_sidecars_lie_within_the_gaps_of_the_ledger(tmp_path: Path) -> None:
+    async def kill_and_restart(fleet: AuditFleet, victims: list[FleetSidecar]) -> None:
+        for sidecar in victims:
             await asyncio.sleep(SECONDS / 4)
-            await fleet.kill(one.process)
+            await fleet.kill(sidecar.process)
             await asyncio.sleep(0.3)
-            await fleet.start_sidecar(one)
+            await fleet.start_sidecar(sidecar)
 
     async def main() -> None:
         async with AuditFleet(tmp_path, seed=2) as fleet:
-            await asyncio.gather(fleet.inject_faults(SECONDS), killing(fleet, fleet.sidecars[:2]))
+            await asyncio.gather(fleet.inject_faults(SECONDS), kill_and_restart(fleet, fleet.sidecars[:2]))
             await asyncio.sleep(2)
-            for one in fleet.sidecars:
-                one.fault("report")
-            await quiet(fleet)
-            outside: Counter[tuple[str, str]] = Counter()
+            for sidecar in fleet.sidecars:
+                sidecar.fault("report")
+            await stop_traffic(fleet)
+            outside_gaps: Counter[tuple[str, str]] = Counter()
             gaps: dict[str, list[Any]] = {}
 
-            async def whole() -> bool:
-                outside.clear()
-                for one in fleet.sidecars:
-                    gaps[one.name] = (await fleet.query_audit(f"gaps?name={one.name}"))["gaps"]
-                for at, name, position in fleet.arrivals:
-                    bounds = [(a - SLACK_MS, b + SLACK_MS) for a, b in gaps[name] if b is not None]
-                    outside[name, position] += not any(a <= at <= b for a, b in bounds)
+            async def counts_within_bounds() -> bool:
+                outside_gaps.clear()
+                for sidecar in fleet.sidecars:
+                    gaps[sidecar.name] = (await fleet.query_audit(f"gaps?name={sidecar.name}"))["gaps"]
+                for arrival_ms, name, position in fleet.arrivals:
+                    bounds = [
+                        (start - SLACK_MS, end + SLACK_MS) for start, end in gaps[name] if end is not None
+                    ]
+                    outside_gaps[name, position] += not any(
+                        start <= arrival_ms <= end for start, end in bounds
+                    )
                 ledger = await fleet.reported_counts()
                 return all(
-                    outside[key] <= ledger[key] <= fleet.endpoint_counts[key] for key in fleet.endpoint_counts
+                    outside_gaps[key] <= ledger[key] <= fleet.endpoint_counts[key]
+                    for key in fleet.endpoint_counts
                 )
 
-            await fleet.wait_for(whole)
-            assert [len(gaps[one.name]) for one in fleet.sidecars] == [2, 2, 1, 1, 1]
-            exact = await fleet.reported_counts()
+            await fleet.wait_for(counts_within_bounds)
+            assert [len(gaps[sidecar.name]) for sidecar in fleet.sidecars] == [2, 2, 1, 1, 1]
+            reported = await fleet.reported_counts()
             assert all(
-                exact[key] == fleet.endpoint_counts[key]
+                reported[key] == fleet.endpoint_counts[key]
                 for key in fleet.endpoint_counts
                 if key[0] in ("n2", "n3", "n4")
             )
@@ -97,7 +102,7 @@
     run_test(main())
 
 
-def test_a_writer_killed_under_reports_loses_nothing_it_acked_and_counts_nothing_twice(
+def test_killed_leader_loses_no_acknowledged_report_and_nothing_is_counted_twice(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
@@ -108,41 +113,42 @@
             await fleet.kill(fleet.services[0])
             await asyncio.sleep(0.5)
             await fleet.kill(fleet.services[1])
-            await fleet.start_service(1)  # without --follow: it writes from now on
+            await fleet.start_service(1)  # without --follow: it leads from now on
             for _ in range(3):
                 await fleet.change_list(which=1)
                 await asyncio.sleep(0.5)
-            await settled(fleet, which=1)
-            told = await fleet.query_audit("out-of-use?generation=6", which=1)  # 7 and on by the new writer
-            assert told["out_of_use"], told
+            await assert_counts_agree(fleet, which=1)
+            # Generations from 7 on are from the new leader.
+            answer = await fleet.query_audit("out-of-use?generation=6", which=1)
+            assert answer["out_of_use"], answer
 
     run_test(main())
 
 
-def test_one_whose_watch_is_dropped_is_brought_up_by_its_report(tmp_path: Path) -> None:
+def test_sidecar_with_a_dropped_watch_gets_the_list_with_the_answer_to_its_report(tmp_path: Path) -> None:
     async def main() -> None:
         async with AuditFleet(tmp_path) as fleet:
-            one = fleet.sidecars[0]
-            one.fault("watch", DROP)
-            changed, generation = time.time_ns() // 1_000_000, await fleet.change_list()
+            sidecar = fleet.sidecars[0]
+            sidecar.fault("watch", DROP)
+            changed_ms, generation = time.time_ns() // 1_000_000, await fleet.change_list()
 
             async def acted() -> list[Any]:
                 spans = (await fleet.query_audit(f"acted?generation={generation}"))["spans"]
-                return [span for span in spans if span["name"] == one.name]
+                return [span for span in spans if span["name"] == sidecar.name]
 
             span = (await fleet.wait_for(acted))[0]
-            assert 1400 < span["from"] - changed < 1500 + 2000  # behind-ms, and 2 s
-            assert await fleet.state(one.name) == "current"
-            log = (fleet.folder / one.name / "log").read_text()
+            assert 1400 < span["from"] - changed_ms < 1500 + 2000  # behind-ms, plus 2 s
+            assert await fleet.state(sidecar.name) == "current"
+            log = (fleet.folder / sidecar.name / "log").read_text()
             assert "the list comes with the audit's answer" in log
 
     run_test(main())
 
 
-def test_one_whose_bring_ups_fail_is_shut_out_with_its_lease_and_comes_back(tmp_path: Path) -> None:
+def test_sidecar_whose_bring_ups_fail_is_shut_out_with_its_lease_and_readmitted(tmp_path: Path) -> None:
     async def main() -> None:
         async with AuditFleet(tmp_path) as fleet:
-            one, seq = fleet.sidecars[0], 0
+            sidecar, seq = fleet.sidecars[0], 0
 
             async def hold(name: str, ttl_ms: int) -> tuple[int, Any]:
                 nonlocal seq
@@ -151,62 +157,64 @@
                 target = f"/registry/shares/{name}?ttl_ms={ttl_ms}"
                 return await ask(fleet.ports[0], "POST", target, json.dumps(call).encode())
 
-            async def is_out() -> bool:
-                return await fleet.state(one.name) == "shut out"
+            async def is_shut_out() -> bool:
+                return await fleet.state(sidecar.name) == "shut out"
 
-            one.fault("watch", DROP)
-            one.fault("report", deaf=True)
+            sidecar.fault("watch", DROP)
+            sidecar.fault("report", deaf=True)
             await fleet.change_list()
-            while not await is_out():
-                renewed = await hold("n0@x", 4000)  # until it may not
-                if renewed[0] == 200:  # it may be shut out between the look and the call
+            while not await is_shut_out():
+                renewed = await hold("n0@x", 4000)  # renewed until it is rejected
+                if renewed[0] == 200:  # it may be shut out between the two calls
                     granted = renewed
                 await asyncio.sleep(0.05)
             assert granted[1]["grants"] == {"7": 10}
             assert (await hold("n0@x", 4000))[0] == 409
-            assert (await hold("n1@x", 60_000))[1]["grants"] == {"7": 0}, "its lease runs still"
+            assert (await hold("n1@x", 60_000))[1]["grants"] == {"7": 0}, (
+                "the lease of n0 has not expired yet"
+            )
             while (await hold("n1@x", 60_000))[1]["grants"] != {"7": 10}:
                 await asyncio.sleep(0.1)
-            assert one.response_counts.keys() == {200}, "it can't be told, so it serves on"
-            one.fault("report")
+            assert sidecar.response_counts.keys() == {200}, "no answer reaches it, so it keeps serving"
+            sidecar.fault("report")
 
             async def is_current() -> bool:
-                return await fleet.state(one.name) == "current"
+                return await fleet.state(sidecar.name) == "current"
 
             await fleet.wait_for(is_current)
-            log = fleet.folder / one.name / "log"
+            log = fleet.folder / sidecar.name / "log"
             while "let in again" not in log.read_text():
                 await asyncio.sleep(0.05)
-            assert one.response_counts[503] > 0, "told, it turned requests away meanwhile"
-            assert await fleet.health(one) == 200 and (await hold("n0@x", 4000))[0] == 200
+            assert sidecar.response_counts[503] > 0, "once informed, it rejected requests until readmitted"
+            assert await fleet.health(sidecar) == 200 and (await hold("n0@x", 4000))[0] == 200
             assert [other.response_counts.keys() for other in fleet.sidecars[1:]] == [{200}] * 4
 
     run_test(main())
 
 
-def test_where_most_are_behind_the_fleet_is_held_and_no_request_is_refused(tmp_path: Path) -> None:
+def test_fleet_is_held_and_no_request_rejected_if_most_sidecars_are_behind(tmp_path: Path) -> None:
     async def main() -> None:
         async with AuditFleet(tmp_path) as fleet:
             frozen = fleet.sidecars[:3]
-            for one in frozen:
-                one.fault("watch", DROP)
-                one.fault("report", deaf=True)
+            for sidecar in frozen:
+                sidecar.fault("watch", DROP)
+                sidecar.fault("report", deaf=True)
             await fleet.change_list()
 
-            async def held() -> bool:
+            async def is_held() -> bool:
                 return bool((await fleet.query_audit("behind"))["held"])
 
-            async def free() -> bool:
-                return not await held() and not (await fleet.query_audit("behind"))["behind"]
+            async def all_current() -> bool:
+                return not await is_held() and not (await fleet.query_audit("behind"))["behind"]
 
-            await fleet.wait_for(held)
+            await fleet.wait_for(is_held)
             await asyncio.sleep(6)  # shut-out-ms
-            assert await held()
-            for one in frozen:
-                one.fault("watch")
-                one.fault("report")
-            await fleet.wait_for(free)
-            assert [one.response_counts.keys() for one in fleet.sidecars] == [{200}] * 5
+            assert await is_held()
+            for sidecar in frozen:
+                sidecar.fault("watch")
+                sidecar.fault("report")
+            await fleet.wait_for(all_current)
+            assert [sidecar.response_counts.keys() for sidecar in fleet.sidecars] == [{200}] * 5
             log = (fleet.folder / "service-0.log").read_text()
             assert "held: too many" in log and "sidecar shut out" not in log
 
--- a/tests/test_audit_stragglers.py
+++ b/tests/test_audit_stragglers.py
@@ -40,9 +40,7 @@
     assert drive(fleet, {"n4": 0}, 1000, 30_000) == ["current", "brought up", "shut out"]
     assert states(fleet)[:4] == ["current"] * 4
     assert fleet.record_report("n4", 0, 31_000).state == "shut out"
-    assert (
-        fleet.record_report("n4", 4000, 32_000).state == "shut out"
-    )  # over half of behind-ms: not at the head
+    assert fleet.record_report("n4", 4000, 32_000).state == "shut out"  # over half of behind-ms: not current
     assert fleet.record_report("n4", 0, 33_000).state == "shut out"  # the count starts again
     assert fleet.record_report("n4", 0, 34_000).state == "current"
 
