--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -18,11 +18,11 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.audit import questions
+from woadyard.audit import queries
 from woadyard.audit.ledger import AuditState
 from woadyard.audit.messages import Report
-from woadyard.audit.position import parse
-from woadyard.audit.service import audit_of
+from woadyard.audit.position import parse_position
+from woadyard.audit.service import audit_service_for
 from woadyard.errors import PeerError, PlanError
 from woadyard.experiment.book import ExperimentsState
 from woadyard.experiment.controller import ExperimentController
@@ -49,9 +49,9 @@
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
         self.controller = ExperimentController(registry, self.missing_share, self.sidecars_behind)
-        audit = audit_of(registry)
-        audit.batches.sinks.append(self.evidence_records)
-        audit.watchman.directives["experiment"] = self.encoded_directive
+        audit = audit_service_for(registry)
+        audit.report_batcher.sinks.append(self.evidence_records)
+        audit.monitor.directives["experiment"] = self.encoded_directive
 
     @property
     def experiments_state(self) -> ExperimentsState:
@@ -75,7 +75,7 @@
                 LOG.warning("evidence not taken", extra={"sidecar": report.name, **error.fields()})
                 continue
             source = f"{report.name}@{report.run}"
-            told.append([source, report.evidence, book.shut_out(report.name)])
+            told.append([source, report.evidence, book.is_shut_out(report.name)])
         return [{"book": ExperimentsState.name, "op": EVIDENCE, "reports": told}] if told else []
 
     def encoded_directive(self, name: str) -> dict[str, Any] | None:
@@ -85,15 +85,15 @@
     def missing_share(self) -> float:
         """The share of the sidecars that run whose evidence is not there."""
         book, now = self.registry.state_machine(AuditState), self.registry.clock_us() // 1000
-        live = questions.live(book)
-        gone = [one for one in live if now - one.heard_at > REPORT_TIMEOUT_MS or book.shut_out(one.name)]
+        live = queries.live_runs(book)
+        gone = [one for one in live if now - one.heard_at > REPORT_TIMEOUT_MS or book.is_shut_out(one.name)]
         return len(gone) / len(live) if live else 1.0
 
     def sidecars_behind(self, revision: int) -> list[str]:
         """Sidecars that serve and don't act on this revision yet."""
         book = self.registry.state_machine(AuditState)
-        live = [one for one in questions.live(book) if not book.shut_out(one.name)]
-        return [one.name for one in live if parse(one.position).experiment < revision]
+        live = [one for one in queries.live_runs(book) if not book.is_shut_out(one.name)]
+        return [one.name for one in live if parse_position(one.position).experiment < revision]
 
     # --- Calls ------------------------------------------------------------------------
 
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from woadyard.audit.messages import Answer, AuditSettings, read
-from woadyard.audit.position import REPORT_PATH, Position, digest
-from woadyard.audit.spans import Spans
+from woadyard.audit.messages import Answer, AuditSettings, decode_message
+from woadyard.audit.position import REPORT_PATH, Position, settings_digest
+from woadyard.audit.spans import SpanRecorder
 from woadyard.audit.straggler import BROUGHT_UP, SHUT_OUT
 from woadyard.errors import ConfigError, PeerError
 from woadyard.interface import MOOT, Arrival, Outcome, Send, Settings
@@ -70,7 +70,7 @@
         self.replicas = [parse_address(address.strip()) for address in settings.service.split(",")]
         self.replica_index = rng.randrange(len(self.replicas))
         self.position = Position(build=build)
-        self.spans = Spans(name, secrets.token_hex(6), now_us(), self.position, settings.spans)
+        self.spans = SpanRecorder(name, secrets.token_hex(6), now_us(), self.position, settings.spans)
         self.backoff = Backoff(rng, MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
         self.position_changed = asyncio.Event()
         self.last_response_us = now_us()
@@ -85,27 +85,27 @@
         pass
 
     def attempt_started(self, now: int, action: Send) -> bytes:
-        return self.spans.attempt(now, action.request, action.endpoint)
+        return self.spans.record_attempt(now, action.request, action.endpoint)
 
     def attempt_ended(self, now: int, event: Outcome) -> None:
-        self.spans.ended(event.request, event.endpoint, event.outcome != MOOT)
+        self.spans.record_attempt_end(event.request, event.endpoint, event.outcome != MOOT)
 
     def attempt_unsent(self, request: int, endpoint: int) -> None:
         """Note that an attempt is about to end without a byte written."""
-        self.spans.ended(request, endpoint, False)
+        self.spans.record_attempt_end(request, endpoint, False)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
         pass
 
     def request_refused(self, now: int, request: int) -> None:
-        self.spans.refused(now)
+        self.spans.record_refusal(now)
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
         lineage, term = self.latest_term()
         self._update_position(now, lineage=lineage, term=term, generation=version)
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
-        self._update_position(now, settings=digest(raw))
+        self._update_position(now, settings=settings_digest(raw))
 
     def set_experiment(self, revision: int) -> None:
         """Set the experiment's revision in force; after 0, none, the next response has the directive."""
@@ -113,7 +113,7 @@
 
     def _update_position(self, now: int, **changes: Any) -> None:
         self.position = msgspec.structs.replace(self.position, **changes)
-        if self.spans.act(now, self.position):
+        if self.spans.set_position(now, self.position):
             self.position_changed.set()
 
     # --- Reports ----------------------------------------------------------------------
@@ -148,7 +148,7 @@
 
     async def _send_report(self, report_timeout_s: float, final: bool = False) -> bool:
         self.position_changed.clear()
-        report = self.spans.report(now_us(), final)
+        report = self.spans.build_report(now_us(), final)
         report.evidence = self.handlers.collect_evidence()
         raw = msgspec.json.encode(report)
         try:
@@ -158,15 +158,15 @@
                 raise PeerError(
                     f"the service responded {status}: {response[:200].decode(errors='replace').strip()}"
                 )
-            answer = read(response, Answer)
+            answer = decode_message(response, Answer)
         except (FetchError, PeerError) as error:
-            self.spans.failed(report.n)
+            self.spans.report_failed(report.n)
             if isinstance(error, PeerError):
                 self._log_once("report not taken", error)
             return False
         self.logged_errors.clear()
         self.last_response_us = now_us()
-        self.spans.acked(answer.acks)
+        self.spans.acknowledge(answer.acks)
         self.handlers.reports_acknowledged(answer.acks)
         self._handle_answer(answer)
         return True
--- a/woadyard/net/reporter_setup.py
+++ b/woadyard/net/reporter_setup.py
@@ -10,7 +10,7 @@
 
 import woadyard
 from woadyard.audit import AuditSettings
-from woadyard.audit.position import token
+from woadyard.audit.position import sanitize_field
 from woadyard.errors import PeerError
 from woadyard.interface import Split
 from woadyard.net.discovery import Discovery
@@ -44,7 +44,12 @@
     participant = create_experiment_participant(driver, handlers)
     # Not seeded: processes with the same configuration must not report in step.
     reporter = Reporter(
-        settings, name, token(woadyard.__version__), lambda: discovery.latest_term, handlers, random.Random()
+        settings,
+        name,
+        sanitize_field(woadyard.__version__),
+        lambda: discovery.latest_term,
+        handlers,
+        random.Random(),
     )
     driver.add_observer(reporter)
     participant.on_hold = lambda: reporter.set_experiment(0)
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from woadyard.audit.straggler import Rules
+from woadyard.audit.straggler import StragglerRules
 from woadyard.errors import LogEntryError, StateError
 from woadyard.registry.election import Election
 from woadyard.registry.log import Journal
@@ -104,7 +104,7 @@
         self.is_stale = False  # a replica that has not heard of its writer lately
         self.is_deposed = False
         self.replica_progress = ReplicationProgress(required_replicas)
-        self.straggler_rules = Rules()  # of the audit
+        self.straggler_rules = StragglerRules()  # of the audit
         self.waiters = Waiters()
         self.metrics = RegistryMetrics()
         self._count()
