--- a/woadyard/audit/report_batcher.py
+++ b/woadyard/audit/report_batcher.py
@@ -57,7 +57,9 @@
                     self.registry.append_entry(record)
             stripped = [msgspec.structs.replace(report, evidence=None) for report in batch]
             reports = msgspec.to_builtins(stripped)
-            index = self.registry.append_entry({"book": AuditState.name, "op": REPORTS_OP, "reports": reports})
+            index = self.registry.append_entry(
+                {"book": AuditState.name, "op": REPORTS_OP, "reports": reports}
+            )
         except WoadyardError as error:
             batch_written.set_exception(error)
             batch_written.exception()  # marks it as retrieved: the callers may have been cancelled
--- a/woadyard/audit/service.py
+++ b/woadyard/audit/service.py
@@ -110,7 +110,9 @@
         return json_response(queries.state_at(self.audit_state, at_query.name, time_ms))
 
     async def gaps(self, request: web.Request) -> web.StreamResponse:
-        return json_response({"gaps": queries.reporting_gaps(self.audit_state, read_query(request, NameQuery).name)})
+        return json_response(
+            {"gaps": queries.reporting_gaps(self.audit_state, read_query(request, NameQuery).name)}
+        )
 
     async def behind(self, request: web.Request) -> web.StreamResponse:
         return json_response(self.monitor.describe_behind())
--- a/woadyard/experiment/controller.py
+++ b/woadyard/experiment/controller.py
@@ -17,10 +17,9 @@
 from prometheus_client import Counter
 
 from woadyard.errors import LogEntryError, StateError
-from woadyard.experiment.book import ExperimentsState
 from woadyard.experiment.evidence_totals import SUMS_PER_CELL, CellKey
 from woadyard.experiment.experiment import Experiment
-from woadyard.experiment.state_machine import APPLIED, DECIDE, ExperimentsBook
+from woadyard.experiment.state_machine import APPLIED, DECIDE, ExperimentsState
 from woadyard.experiment.states import END_STATES, Decision, State
 from woadyard.registry.service import Registry
 
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -24,11 +24,10 @@
 from woadyard.audit.position import parse_position
 from woadyard.audit.service import audit_service_for
 from woadyard.errors import PeerError, PlanError
-from woadyard.experiment.book import ExperimentsState
 from woadyard.experiment.controller import ExperimentController
 from woadyard.experiment.experiment import Draft, Experiment
 from woadyard.experiment.messages import read_evidence
-from woadyard.experiment.state_machine import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsBook
+from woadyard.experiment.state_machine import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsState
 from woadyard.experiment.states import Decision, State
 from woadyard.registry.responses import json_response, leader_only, read_body, read_query
 from woadyard.registry.service import Registry
