--- a/woadyard/registry/__main__.py
+++ b/woadyard/registry/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m woadyard.registry`: the list service."""
+"""Run the list service: `python -m woadyard.registry`."""
 
 import sys
 
--- a/woadyard/registry/command.py
+++ b/woadyard/registry/command.py
@@ -1,4 +1,4 @@
-"""The list service as a process of its own, until SIGTERM: `python -m woadyard.registry`."""
+"""The command that runs the list service until SIGTERM: `python -m woadyard.registry`."""
 
 from __future__ import annotations
 
@@ -30,26 +30,26 @@
 
 
 def create_parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="woadyard.registry", description=__doc__)
-    add_arguments(made)
-    return made
+    parser = argparse.ArgumentParser(prog="woadyard.registry", description=__doc__)
+    add_arguments(parser)
+    return parser
 
 
 async def run(
     registry: Registry, arguments: argparse.Namespace, plans: PlansSettings | None, elector: Elector | None
 ) -> None:
     loop = asyncio.get_running_loop()
-    task = asyncio.current_task()
-    assert task is not None
-    loop.add_signal_handler(signal.SIGTERM, task.cancel)
-    loop.add_signal_handler(signal.SIGINT, task.cancel)
+    main_task = asyncio.current_task()
+    assert main_task is not None
+    loop.add_signal_handler(signal.SIGTERM, main_task.cancel)
+    loop.add_signal_handler(signal.SIGINT, main_task.cancel)
 
-    def listening(bound: int) -> None:
+    def start_tasks(port: int) -> None:
         if registry.leader_address is None and elector is None:
             registry.become_leader(arguments.take_over)
         fields = {"index": registry.log_state.applied_index, "term": registry.log_state.term}
         writer = "to be elected" if elector is not None else registry.leader_address or "this"
-        LOG.info("listening", extra={"port": bound, **fields, "writer": writer})
+        LOG.info("listening", extra={"port": port, **fields, "writer": writer})
         if elector is not None:
             tasks.append(loop.create_task(elector.run()))
         else:
@@ -64,18 +64,18 @@
     tasks: list[asyncio.Task[None]] = []
     try:
         if not arguments.take_over and elector is None:
-            await peers.ask()  # one of them may have taken this one's place while it was down
-        more = elector.routes() if elector is not None else ()
-        await serve(registry, *parse_address(arguments.listen), listening, more)
+            await peers.ask()  # another process may have become the leader while this one was down
+        extra_routes = elector.routes() if elector is not None else ()
+        await serve(registry, *parse_address(arguments.listen), start_tasks, extra_routes)
     except asyncio.CancelledError:
         LOG.info("stopped", extra={"index": registry.log_state.applied_index})
     finally:
-        for one in tasks:
-            one.cancel()
+        for task in tasks:
+            task.cancel()
 
 
 def read_audit_rules(path: Path) -> Rules:
-    """The audit's; ConfigError where the file holds none."""
+    """Read the rules of the audit from a JSON file; ConfigError if it is not valid."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Rules)
     except (OSError, msgspec.DecodeError) as error:
@@ -83,17 +83,18 @@
 
 
 def create_elector(registry: Registry, arguments: argparse.Namespace) -> Elector:
-    """ConfigError where the arguments name a writer, or too few members."""
+    """Create the elector; ConfigError if the arguments name a leader, or no other members."""
     if arguments.follow is not None or arguments.take_over or arguments.copies:
         raise ConfigError(
-            "--elect goes with none of --follow, --take-over and --copies",
-            "leave them out: the members elect the writer, and most of them hold each write",
+            "--elect can't be combined with --follow, --take-over or --copies",
+            "omit them: the members elect the leader, and each write is replicated to a majority",
         )
     others = members(arguments.listen, arguments.peers)
     return Elector(registry, others, arguments.stale_after, random.Random())
 
 
 def start(arguments: argparse.Namespace) -> int:
+    """Run the service; return the exit status: 2 if it can't start."""
     logs.setup()
     try:
         parse_address(arguments.listen)
--- a/woadyard/registry/error_body.py
+++ b/woadyard/registry/error_body.py
@@ -1,4 +1,4 @@
-"""How the list service says no, in JSON; those who call it read it by the same struct."""
+"""The JSON body of the list service's error responses, for the service and its clients."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ErrorBody(msgspec.Struct, omit_defaults=True):
-    """`writer` (HOST:PORT) is told where another process writes: the call belongs there."""
+    """`writer` (HOST:PORT) is the leader that the call should be sent to, if another process is."""
 
     error: str
     remedy: str = ""
@@ -14,7 +14,7 @@
 
 
 def read_error_body(body: bytes) -> ErrorBody:
-    """Of any answer that is not 200; one that is no refusal is quoted."""
+    """Decode the body of a response other than 200; if it is not an error body, quote it as the error."""
     try:
         return msgspec.json.decode(body, type=ErrorBody)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/woadyard/registry/follower.py
+++ b/woadyard/registry/follower.py
@@ -1,11 +1,10 @@
-"""A replica's side of replication: it asks for the writer's records and replays them.
-
-It asks by long poll for what comes after its own index and proves, by the running hash
-there, that its log is a part of the writer's (Raft's log matching). Where it is not, as
-after the writer's place was given to another, or where the writer no longer keeps the
-records, it takes the state whole and says what it threw away. A writer of an older term
-than it has heard of is not followed. Out of touch for `stale_s` it says so to its
-clients and goes on asking.
+"""The follower's side of replication: it polls the leader for log entries and applies them.
+
+It requests the entries after its own index by long poll, and sends the running hash there to prove
+that its log is a prefix of the leader's (Raft's log matching). If it is not, as after a change of
+leaders, or if the leader no longer keeps those entries, it installs the leader's whole state and
+logs what it discarded. It does not follow a leader whose term is less than the greatest term it has
+observed. Without contact for `stale_after_s` it reports that to its clients and continues to poll.
 """
 
 from __future__ import annotations
@@ -30,17 +29,17 @@
 from woadyard.registry.service import Registry
 from woadyard.registry.state_machines import create_state_machines
 
-# A poll returns at the next record, or after this with none; polls are this far apart at
-# least, so that records written together travel together.
+# A poll returns at the next entry, or without one after the wait. The interval between polls is at
+# least the minimum, so that entries written together are sent together.
 POLL_WAIT_S, POLL_TIMEOUT_S, MIN_POLL_INTERVAL_S = 1.0, 2.5, 0.01
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 2.0
-MAX_LOGGED_NAMES = 20  # of entries lost, in a log line
-ROLE_TOPIC = "role"  # the topic of those that wait for another role
+MAX_LOGGED_NAMES = 20  # of lost list entries, in a log line
+ROLE_TOPIC = "role"  # notified when this member's role changes
 LOG = logging.getLogger(__name__)
 
 
 class Follower:
-    """Follows `registry.writer`, while there is one, until cancelled."""
+    """Follows `registry.leader_address`, while there is one, until cancelled."""
 
     def __init__(
         self,
@@ -56,14 +55,13 @@
             clock_s,
             poll_wait_s,
         )
-        self.configured_leader = (
-            registry.leader_address
-        )  # where a writer that it was sent on to fails, it begins anew
+        # It returns to this address when a leader that it was redirected to fails.
+        self.configured_leader = registry.leader_address
         self.backoff = Backoff(rng, MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
         self.last_contact_s = self.clock_s()
 
     async def run(self) -> None:
-        self.registry.set_stale(self.registry.leader_address is not None)  # until the writer's first word
+        self.registry.set_stale(self.registry.leader_address is not None)  # until the leader's first response
         await self.follow()
 
     async def follow(self) -> None:
@@ -71,39 +69,41 @@
             if self.registry.leader_address is None:
                 await self.registry.waiters.wait_for_notification(ROLE_TOPIC, 60.0)
                 continue
-            began = self.clock_s()
+            started_s = self.clock_s()
             try:
                 await self.poll_once(self.registry.leader_address)
             except (FetchError, LogEntryError, StateError, ValueError, KeyError, TypeError) as error:
-                self._lost(error)
+                self._handle_failure(error)
                 await asyncio.sleep(self.backoff.next_delay_s())
             else:
                 self.backoff.reset()
-                await asyncio.sleep(max(0.0, began + MIN_POLL_INTERVAL_S - self.clock_s()))
+                await asyncio.sleep(max(0.0, started_s + MIN_POLL_INTERVAL_S - self.clock_s()))
 
-    async def poll_once(self, writer: str) -> None:
-        """One poll, and what it brought."""
-        registry, host = self.registry, self.registry.log_state
+    async def poll_once(self, address: str) -> None:
+        """Poll the leader at `address` once and apply its response."""
+        registry, log_state = self.registry, self.registry.log_state
         query = {
-            "after": host.applied_index, "chain": host.chain, "lineage": host.lineage,
-            "term": registry.highest_term,
-            "wait": self.poll_wait_s, "who": registry.member_id,
-            # A writer from before the running hash waits by the list's version.
+            "after": log_state.applied_index, "chain": log_state.chain, "lineage": log_state.lineage,
+            "term": registry.highest_term, "wait": self.poll_wait_s, "who": registry.member_id,
+            # A leader of a build without running hashes waits for this version of the list.
             "index": registry.state_machine(EndpointListState).version,
         }  # fmt: skip
         target = f"{LOG_PATH}?{urlencode(query)}"
         status, body = await fetch(
-            _address(writer), "GET", target, timeout_s=self.poll_wait_s + POLL_TIMEOUT_S - POLL_WAIT_S
+            _parse_leader_address(address),
+            "GET",
+            target,
+            timeout_s=self.poll_wait_s + POLL_TIMEOUT_S - POLL_WAIT_S,
         )
         if status != 200:
-            self._refused(status, body)
-        told = json.loads(body)
-        self.apply_log_response(told)
-        if registry.log_state.applied_index < int(told["applied"]):
-            return  # there is more, which it asks for at once
+            self._raise_refusal(status, body)
+        response = json.loads(body)
+        self.apply_log_response(response)
+        if registry.log_state.applied_index < int(response["applied"]):
+            return  # the next poll fetches the rest at once
         if registry.is_stale:
             fields = {
-                "writer": writer,
+                "writer": address,
                 "index": registry.log_state.applied_index,
                 "term": registry.log_state.term,
             }
@@ -111,54 +111,55 @@
         self.last_contact_s = self.clock_s()
         registry.set_stale(False)
 
-    def _refused(self, status: int, body: bytes) -> None:
-        """Raises what the writer's refusal comes to, or turns to whom it names."""
-        found = read_error_body(body)
-        if found.writer is not None and self.registry.election is None:  # who leads is elected
-            _address(found.writer)
-            self.registry.leader_address = found.writer
-        raise LogEntryError(f"the writer answers {status}: {found.error}", found.remedy)
-
-    def apply_log_response(self, told: dict[str, Any]) -> None:
-        """Replay records in their order, or install a state; LogEntryError on any gap."""
+    def _raise_refusal(self, status: int, body: bytes) -> None:
+        """Raise LogEntryError for an error response; switch to the leader that it names, if any."""
+        error = read_error_body(body)
+        # With elections the elected leader is followed, whatever a response names.
+        if error.writer is not None and self.registry.election is None:
+            _parse_leader_address(error.writer)
+            self.registry.leader_address = error.writer
+        raise LogEntryError(f"the leader responded with {status}: {error.error}", error.remedy)
+
+    def apply_log_response(self, response: dict[str, Any]) -> None:
+        """Append the entries in order, or install a snapshot; LogEntryError if entries are missing."""
         registry = self.registry
-        if (term := int(told.get("term", 0))) < registry.highest_term:
+        if (term := int(response.get("term", 0))) < registry.highest_term:
             raise LogEntryError(
-                f"the writer is at term {term}, older than {registry.highest_term}",
-                "follow the process that leads now",
+                f"the leader's term {term} is older than the observed term {registry.highest_term}",
+                "follow the current leader",
             )
-        if "snapshot" in told:
-            host = ReplicatedState(create_state_machines())
-            host.load(told["snapshot"])
-            self._say_lost(host, told.get("marks", []))
-            registry.install_snapshot(host)
+        if "snapshot" in response:
+            leader_state = ReplicatedState(create_state_machines())
+            leader_state.load(response["snapshot"])
+            self._log_discarded_entries(leader_state, response.get("marks", []))
+            registry.install_snapshot(leader_state)
             return
-        for record in told["records"]:
-            if record["seq"] != registry.log_state.applied_index + 1:
-                raise LogEntryError(f"record {record['seq']} after {registry.log_state.applied_index}")
-            registry.append_and_apply(record)
+        for entry in response["records"]:
+            if entry["seq"] != registry.log_state.applied_index + 1:
+                raise LogEntryError(f"entry {entry['seq']} follows entry {registry.log_state.applied_index}")
+            registry.append_and_apply(entry)
 
-    def _say_lost(self, new: ReplicatedState, marks: list[Any]) -> None:
-        """What this log has that the state to be installed has not."""
+    def _log_discarded_entries(self, new: ReplicatedState, marks: list[Any]) -> None:
+        """Log which entries of this log the state `new`, about to be installed, does not contain."""
         old, tail = self.registry.log_state, self.registry.journal.tail
         common = max((index for index, chain in marks if tail.chain_at(index) == chain), default=None)
         if common is None:
             common = min(tail.start_index, new.applied_index)
         if common >= old.applied_index:
-            return  # only behind
-        mine, theirs = (
+            return  # this log is a prefix; nothing is lost
+        own_entries, new_list = (
             self.registry.state_machine(EndpointListState).entries,
             new.state_machines[EndpointListState.name],
         )
-        assert isinstance(theirs, EndpointListState)
-        lost = sorted(name for name, entry in mine.items() if theirs.entries.get(name) != entry)
+        assert isinstance(new_list, EndpointListState)
+        lost = sorted(name for name, entry in own_entries.items() if new_list.entries.get(name) != entry)
         fields = {
             "records": old.applied_index - common, "from": common + 1, "term": old.term, "new_term": new.term,
             "entries": len(lost), "lost": lost[:MAX_LOGGED_NAMES],
         }  # fmt: skip
         LOG.warning("records thrown away, the writer's state taken whole", extra=fields)
 
-    def _lost(self, error: Exception) -> None:
+    def _handle_failure(self, error: Exception) -> None:
         registry = self.registry
         if (
             registry.leader_address is not None
@@ -169,13 +170,13 @@
         self.check_staleness(str(error))
 
     def check_staleness(self, error: str) -> None:
-        """Say so where the writer was not heard for too long."""
+        """Mark this follower as stale if there was no contact with the leader for too long."""
         if not self.registry.is_stale and self.clock_s() - self.last_contact_s > self.stale_after_s:
-            LOG.warning("out of touch with the writer", extra={"error": error})
+            LOG.warning("lost contact with the leader", extra={"error": error})
             self.registry.set_stale(True)
 
 
-def _address(text: str) -> tuple[str, int]:
+def _parse_leader_address(text: str) -> tuple[str, int]:
     try:
         return parse_address(text)
     except ConfigError as error:
--- a/woadyard/registry/http.py
+++ b/woadyard/registry/http.py
@@ -1,8 +1,8 @@
-"""The list service's HTTP side: its connections, and what all calls have in common.
+"""The HTTP server of the list service: its connections, and the handling common to all requests.
 
-The calls themselves are in `routes`; `GET /_metrics` tells watches, versions, clients and
-writes in Prometheus text. A connection brings each call whole within `VISIT_S`; a peer
-that breaks the protocol costs one log line and is answered in JSON like any other refusal.
+The calls themselves are in `routes`; `GET /_metrics` returns the metrics in Prometheus text format.
+A request must be received completely within `REQUEST_TIMEOUT_S`. A peer that violates the protocol
+causes one log line and gets a JSON error response like any other invalid call.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from woadyard.registry.service import Registry
 
 LOG = logging.getLogger(__name__)
-REQUEST_TIMEOUT_S = 3.0  # a connection brings its call whole within this
+REQUEST_TIMEOUT_S = 3.0  # to receive a whole request
 MAX_BODY_BYTES = 1024 * 1024
 MAX_CONNECTIONS = 4096
 
 
 class RegistryConnection(web.RequestHandler):
-    """One connection. What breaks HTTP itself is refused as any bad call is."""
+    """One connection; malformed HTTP gets the same JSON error response as any invalid call."""
 
     __slots__ = ()
 
@@ -40,14 +40,14 @@
         message: str | None = None,
     ) -> web.StreamResponse:
         if isinstance(exc, HttpProcessingError):
-            LOG.warning("malformed call", extra={"error": exc.message, "peer": request.remote})
+            LOG.warning("malformed request", extra={"error": exc.message, "peer": request.remote})
             return error_response(400, f"malformed: {exc.message}", PeerError.remedy)
-        LOG.error("call failed", exc_info=exc, extra={"call": f"{request.method} {request.path}"})
-        return error_response(500, "the call failed here", WoadyardError.remedy)
+        LOG.error("request failed", exc_info=exc, extra={"call": f"{request.method} {request.path}"})
+        return error_response(500, "internal error while handling the call", WoadyardError.remedy)
 
 
 class RejectedConnection(asyncio.Protocol):
-    """A connection past those that there is room for."""
+    """A connection beyond `MAX_CONNECTIONS`, which is aborted at once."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -55,19 +55,25 @@
 
 
 def create_application(registry: Registry, extra_routes: Sequence[web.RouteDef] = ()) -> web.Application:
+    """Return the application with all routes of the service and `extra_routes`."""
+
     @web.middleware
-    async def common(request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def handle_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             observe_request_term(registry, request)
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await request.read()
             return await handler(request)
         except TimeoutError:
-            return error_response(408, "the call did not come whole in time", "see to the network in between")
+            return error_response(
+                408, "the request was not received completely in time", "check the network to this service"
+            )
         except web.HTTPRequestEntityTooLarge:
-            return error_response(413, "too large", f"a body has at most {MAX_BODY_BYTES} bytes")
+            return error_response(413, "request body too large", f"send at most {MAX_BODY_BYTES} bytes")
         except web.HTTPException as error:
-            return error_response(error.status, error.reason.lower(), "see the calls in docs/on-call.md")
+            return error_response(
+                error.status, error.reason.lower(), "see the list of calls in docs/on-call.md"
+            )
         except WoadyardError as error:
             LOG.warning("call refused", extra={**error.fields(), "call": f"{request.method} {request.path}"})
             return response_for_error(error)
@@ -77,7 +83,7 @@
             body=generate_latest(registry.metrics.collector_registry), content_type="text/plain"
         )
 
-    app = web.Application(middlewares=[common], client_max_size=MAX_BODY_BYTES)
+    app = web.Application(middlewares=[handle_errors], client_max_size=MAX_BODY_BYTES)
     app.add_routes([web.get("/_metrics", serve_metrics), *routes(registry), *extra_routes])
     return app
 
@@ -89,8 +95,9 @@
     ready: Callable[[int], None],
     extra_routes: Sequence[web.RouteDef] = (),
 ) -> None:
-    """Listen until cancelled; `ready` hears the port once it listens. `more` are calls beside
-    those in `routes`."""
+    """Listen until cancelled; call `ready` with the bound port once listening.
+
+    `extra_routes` are served in addition to those in `routes`."""
     loop = asyncio.get_running_loop()
     runner = web.AppRunner(
         create_application(registry, extra_routes), handler_cancellation=True, shutdown_timeout=0.1
@@ -100,13 +107,13 @@
     assert manager is not None
     registry.metrics.clients.set_function(lambda: len(manager.connections))
 
-    def visit() -> asyncio.Protocol:
+    def create_connection() -> asyncio.Protocol:
         if len(manager.connections) >= MAX_CONNECTIONS:
             return RejectedConnection()
         options: dict[str, Any] = {"keepalive_timeout": REQUEST_TIMEOUT_S, "access_log": None, "logger": LOG}
         return RegistryConnection(manager, loop=loop, lingering_time=0.0, **options)
 
-    server = await loop.create_server(visit, host, port, backlog=1024)
+    server = await loop.create_server(create_connection, host, port, backlog=1024)
     ready(int(server.sockets[0].getsockname()[1]))
     try:
         await server.serve_forever()
--- a/woadyard/registry/log.py
+++ b/woadyard/registry/log.py
@@ -1,13 +1,12 @@
-"""The service's durable state: an append-only log of records, and snapshots.
-
-Each record is a frame: its length and CRC-32 (4 bytes each, big-endian), then
-its JSON with the log index it gets (`seq`). Every append is written and
-fsynced before it counts. A snapshot is the host whole, written aside and
-renamed over the last one, after which the log starts anew; at the start the
-snapshot is read, then the records past its index. A frame that is cut short
-or whose checksum fails ends the log there: it is dropped, with a log line,
-and never read as data. `seen` holds the greatest term that this process was
-told of, also where no record of it came; `id` names the process over restarts.
+"""The durable state of a member: an append-only log of entries, and snapshots.
+
+Each entry is stored as a frame: its length and CRC-32 (4 bytes each, big-endian), then its JSON
+with its log index (`seq`). An entry counts only after it was written and fsynced. A snapshot holds
+the whole replicated state; it is written to a temporary file that replaces the previous snapshot,
+and the log is then emptied. Recovery reads the snapshot and then the entries after its index. The
+log ends at the first frame that is truncated or has a wrong checksum; the rest is dropped with a
+log line and never interpreted. The file `seen` holds the greatest term that this process has
+observed, even if it has no entry of that term; `id` identifies the process across restarts.
 """
 
 from __future__ import annotations
@@ -31,54 +30,61 @@
 
 
 class Journal:
-    """The files in `folder`: `log`, `snapshot.json`, `seen` and `id`. OSError where the
-    disk refuses a write; what was in memory then stays as it was on disk."""
+    """The files `log`, `snapshot.json`, `seen` and `id` in `folder`.
+
+    A failed write raises OSError, and the state in memory stays as it is on disk."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.log_path, self.snapshot_path = folder / "log", folder / "snapshot.json"
         self.highest_term_path = folder / "seen"
-        self.log_bytes = 0  # bytes of the log that count; what a failed write left is past them
-        self.snapshot_bytes = 0  # bytes
+        self.log_bytes = 0  # valid bytes; the remains of a failed write lie beyond them
+        self.snapshot_bytes = 0
         self.tail = LogTail()
 
-    def recover(self, host: ReplicatedState) -> None:
-        """Bring an empty `host` to what the files hold; a torn tail is cut off the log.
-        `LogEntryError` where a whole record can't be applied: the files stay as they are."""
+    def recover(self, state: ReplicatedState) -> None:
+        """Load the files into the empty `state`, and truncate a torn tail of the log.
+
+        Raises LogEntryError if an intact entry can't be applied; the files are then left unchanged."""
         self.folder.mkdir(parents=True, exist_ok=True)
         if self.snapshot_path.exists():
-            host.load(_read_json(self.snapshot_path))
+            state.load(_read_json(self.snapshot_path))
             self.snapshot_bytes = self.snapshot_path.stat().st_size
-        self.tail.reset(host.applied_index, host.chain)
-        good = 0
+        self.tail.reset(state.applied_index, state.chain)
+        valid_bytes = 0
         data = self.log_path.read_bytes() if self.log_path.exists() else b""
-        for end, record in decode_frames(data):
-            # Behind a state taken whole, what the log still held of an older term counts no more.
-            if int(record["seq"]) > host.applied_index and record.get("term", 0) >= host.term:
-                host.apply(record)
-                self.tail.add_entry(record, host.chain, end - good)
-            good = end
-        if good < len(data):
-            LOG.warning("torn log record dropped", extra={"offset": good, "bytes": len(data) - good})
+        for end, entry in decode_frames(data):
+            # After a crash between the snapshot and the emptying of the log, the log may still hold
+            # entries of an older term that an installed snapshot has replaced.
+            if int(entry["seq"]) > state.applied_index and entry.get("term", 0) >= state.term:
+                state.apply(entry)
+                self.tail.add_entry(entry, state.chain, end - valid_bytes)
+            valid_bytes = end
+        if valid_bytes < len(data):
+            LOG.warning(
+                "torn log record dropped",
+                extra={"offset": valid_bytes, "bytes": len(data) - valid_bytes},
+            )
             with open(self.log_path, "r+b") as file:
-                file.truncate(good)
+                file.truncate(valid_bytes)
                 os.fsync(file.fileno())
-        self.log_bytes = good
-
-    def append(self, host: ReplicatedState, record: dict[str, Any]) -> bool:
-        """Write the record, then apply it; the write comes first, so that
-        nothing is served that a restart would not bring back."""
-        host.check(record)  # LogEntryError before anything is written
-        record = {**record, "seq": host.applied_index + 1}
-        payload = json.dumps(record, separators=(",", ":")).encode()
+        self.log_bytes = valid_bytes
+
+    def append(self, state: ReplicatedState, entry: dict[str, Any]) -> bool:
+        """Write the entry, then apply it; return whether readers see a change.
+
+        The write comes first, so that nothing is served that a restart would lose."""
+        state.check(entry)  # LogEntryError before anything is written
+        entry = {**entry, "seq": state.applied_index + 1}
+        payload = json.dumps(entry, separators=(",", ":")).encode()
         self._write(FRAME.pack(len(payload), zlib.crc32(payload)) + payload)
-        changed = host.apply(record)
-        self.tail.add_entry(record, host.chain, len(payload))
+        changed = state.apply(entry)
+        self.tail.add_entry(entry, state.chain, len(payload))
         return changed
 
     def _write(self, frame: bytes) -> None:
         with open(self.log_path, "ab") as file:
-            # Guards what follows: behind a refused write's remains no record is read.
+            # Recovery reads nothing past the remains of a failed write, so remove them first.
             if file.tell() > self.log_bytes:
                 file.truncate(self.log_bytes)
             file.write(frame)
@@ -86,26 +92,26 @@
             os.fsync(file.fileno())
         self.log_bytes += len(frame)
 
-    def write_snapshot(self, host: ReplicatedState) -> None:
-        """The host whole beside the last snapshot, renamed over it, and the log emptied."""
-        content = json.dumps(host.dump()).encode()
+    def write_snapshot(self, state: ReplicatedState) -> None:
+        """Replace the snapshot by the current state, then empty the log."""
+        content = json.dumps(state.dump()).encode()
         replace_file(self.snapshot_path, content)
         self.snapshot_bytes = len(content)
-        with open(self.log_path, "wb") as file:  # its records are all in the snapshot
+        with open(self.log_path, "wb") as file:  # the snapshot covers all its entries
             os.fsync(file.fileno())
         self.log_bytes = 0
 
-    def install_snapshot(self, host: ReplicatedState) -> None:
-        """The state of another log in this one's place."""
-        self.write_snapshot(host)
-        self.tail.reset(host.applied_index, host.chain)
+    def install_snapshot(self, state: ReplicatedState) -> None:
+        """Replace this log by a state received from the leader."""
+        self.write_snapshot(state)
+        self.tail.reset(state.applied_index, state.chain)
 
     def write_highest_term(self, term: int) -> None:
-        """Keep the greatest term told of over a restart."""
+        """Persist the greatest term that this process has observed."""
         replace_file(self.highest_term_path, str(term).encode())
 
     def load_member_id(self) -> str:
-        """The name of the process with this folder."""
+        """Return the id of the process with this folder; create it on the first start."""
         path = self.folder / "id"
         if not path.exists():
             replace_file(path, secrets.token_hex(8).encode())
@@ -115,17 +121,17 @@
         try:
             return int(self.highest_term_path.read_bytes()) if self.highest_term_path.exists() else 0
         except ValueError:
-            raise StateError(f"{self.highest_term_path} holds no term") from None
+            raise StateError(f"{self.highest_term_path} contains no valid term") from None
 
 
 def replace_file(path: Path, content: bytes) -> None:
-    """Written aside, synced, and renamed over what was there; OSError of the disk."""
-    aside = path.with_suffix(".tmp")
-    with open(aside, "wb") as file:
+    """Replace the file atomically and durably; raises OSError if a write fails."""
+    temporary = path.with_suffix(".tmp")
+    with open(temporary, "wb") as file:
         file.write(content)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(aside, path)
+    os.replace(temporary, path)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
@@ -137,23 +143,23 @@
     try:
         return json.loads(path.read_bytes())
     except ValueError as error:
-        raise StateError(f"{path} holds no JSON: {error}") from None
+        raise StateError(f"{path} contains no valid JSON: {error}") from None
 
 
 def decode_frames(data: bytes) -> list[tuple[int, dict[str, Any]]]:
-    """The whole frames from the start, each with the offset where it ends."""
-    found, at = [], 0
-    while at + FRAME.size <= len(data):
-        length, crc = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size : at + FRAME.size + length]
+    """Decode the intact frames from the start of `data`; return each entry with its end offset."""
+    decoded, offset = [], 0
+    while offset + FRAME.size <= len(data):
+        length, crc = FRAME.unpack_from(data, offset)
+        payload = data[offset + FRAME.size : offset + FRAME.size + length]
         if length > MAX_ENTRY_BYTES or len(payload) < length or zlib.crc32(payload) != crc:
             break
         try:
-            record = json.loads(payload)
+            entry = json.loads(payload)
         except ValueError:
             break
-        if not isinstance(record, dict) or "seq" not in record:
+        if not isinstance(entry, dict) or "seq" not in entry:
             break
-        at += FRAME.size + length
-        found.append((at, record))
-    return found
+        offset += FRAME.size + length
+        decoded.append((offset, entry))
+    return decoded
--- a/woadyard/registry/metrics.py
+++ b/woadyard/registry/metrics.py
@@ -1,4 +1,4 @@
-"""What the list service counts of itself, for `GET /_metrics`."""
+"""The metrics of the list service, for `GET /_metrics`."""
 
 from __future__ import annotations
 
@@ -6,6 +6,8 @@
 
 
 class RegistryMetrics:
+    """The Prometheus metrics of one process, in a registry of their own."""
+
     def __init__(self) -> None:
         self.collector_registry = registry = CollectorRegistry()
         self.watches = Gauge("registry_watches", "Watches and long polls open", registry=registry)
--- a/woadyard/registry/replication.py
+++ b/woadyard/registry/replication.py
@@ -1,10 +1,10 @@
-"""The calls between the processes of one log: its records, and who leads.
+"""The calls between the members of one log: fetching entries, and finding the leader.
 
-- `GET /registry/log?after=INDEX&chain=HASH&wait=S&lineage=L&term=T&who=NAME`: for replicas, the
-  records past INDEX, or the state whole where HASH is not this log's there; once there is
-  one, or after S seconds. T is the greatest term that the replica heard of, NAME its own.
-- `GET /registry/term`: who leads, `{"lineage", "term", "seen", "leads", "writer"}`; where its
-  members elect, with `role`, `standing` and the other `members` besides.
+- `GET /registry/log?after=INDEX&chain=HASH&wait=S&lineage=L&term=T&who=NAME`: for followers. Returns
+  the entries after INDEX, or the whole state if HASH is not this log's hash there; as soon as there
+  is an entry, or after S seconds. T is the greatest term that the follower observed, NAME its id.
+- `GET /registry/term`: the leader, `{"lineage", "term", "seen", "leads", "writer"}`; with elections
+  also `role`, `standing` and the other `members`.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """Where a process of the log stands."""
+    """The terms and the position of a member of the log, and whether it is the leader."""
 
     lineage: str
     term: int
@@ -44,33 +44,35 @@
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    async def log(request: web.Request) -> web.StreamResponse:
-        asked = read_query(request, LogQuery)
+    async def read_log(request: web.Request) -> web.StreamResponse:
+        log_query = read_query(request, LogQuery)
         registry.metrics.reads.labels("log").inc()
-        registry.observe_term(asked.lineage, asked.term, f"a replica at {request.remote}")
-        if asked.who and registry.journal.tail.chain_at(asked.after) == asked.chain:
-            registry.record_replica_position(asked.who, asked.after)
-        if asked.after == registry.log_state.applied_index:
-            wait_s = min(MAX_WAIT_S, max(0.0, asked.wait))
+        registry.observe_term(log_query.lineage, log_query.term, f"a follower at {request.remote}")
+        if log_query.who and registry.journal.tail.chain_at(log_query.after) == log_query.chain:
+            registry.record_replica_position(log_query.who, log_query.after)
+        if log_query.after == registry.log_state.applied_index:
+            wait_s = min(MAX_WAIT_S, max(0.0, log_query.wait))
             await registry.waiters.wait_until(
                 LOG_TOPIC,
-                lambda: registry.log_state.applied_index > asked.after or not registry.is_leader,
+                lambda: registry.log_state.applied_index > log_query.after or not registry.is_leader,
                 wait_s,
             )
-        return json_response(registry.entries_or_snapshot_after(asked.after, asked.chain, asked.lineage))
+        return json_response(
+            registry.entries_or_snapshot_after(log_query.after, log_query.chain, log_query.lineage)
+        )
 
-    async def term(request: web.Request) -> web.StreamResponse:
-        host = registry.log_state
-        told = MemberStatus(
-            host.lineage,
-            host.term,
+    async def read_term(request: web.Request) -> web.StreamResponse:
+        log_state = registry.log_state
+        status = MemberStatus(
+            log_state.lineage,
+            log_state.term,
             registry.highest_term,
             registry.is_leader,
             registry.leader_address,
-            host.applied_index,
+            log_state.applied_index,
         )
         if registry.election is None:
-            return json_response(told)
-        return json_response({**msgspec.structs.asdict(told), **registry.election.told(time.monotonic())})
+            return json_response(status)
+        return json_response({**msgspec.structs.asdict(status), **registry.election.told(time.monotonic())})
 
-    return [web.get(LOG_PATH, leader_only(registry, log)), web.get(TERM_PATH, term)]
+    return [web.get(LOG_PATH, leader_only(registry, read_log)), web.get(TERM_PATH, read_term)]
--- a/woadyard/registry/routes.py
+++ b/woadyard/registry/routes.py
@@ -1,7 +1,7 @@
-"""The calls of the list service: those of the log, and each book's own.
+"""The routes of the list service: those of the log, and those of each state machine.
 
-A book that has calls has a `service.py` in its folder with `routes(registry)`; a new one is
-named in `PARTS`. Calls that write are wrapped in `answers.at_writer`.
+A state machine with HTTP calls has a `service.py` in its package with `routes(registry)`, which is
+listed in `ROUTE_FACTORIES`. Handlers that write are wrapped in `responses.leader_only`.
 """
 
 from __future__ import annotations
@@ -27,4 +27,4 @@
 
 
 def routes(registry: Registry) -> list[web.RouteDef]:
-    return [route for part in ROUTE_FACTORIES for route in part(registry)]
+    return [route for create_routes in ROUTE_FACTORIES for route in create_routes(registry)]
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -1,11 +1,11 @@
-"""The log in service: its one writer or a replica of it, with waiters, timers and counts.
-
-The writer is the process without `--follow`; who leads is the operators' choice, or,
-with `--elect`, the choice of the processes themselves (election.py, elector.py). A
-replica replays the writer's records in their order, each through its own log, so its
-books are the same at the same index, and may take the writer's place by a start
-without `--follow`: that begins a term above every one it heard of. A writer that
-hears of a greater term than its own has been replaced: it writes no more.
+"""A running member of the replicated log, leader or follower, with its waiters, timers and metrics.
+
+The leader is the process without `--follow`: operators choose it, or, with `--elect`, the
+members elect it (election.py, elector.py). A follower appends the leader's entries to its
+own log in the same order, so its state machines are identical at the same index. It becomes
+the leader when it is restarted without `--follow`, which begins a term greater than every
+term it has observed. A leader that observes a greater term than its own has been replaced
+and accepts no more writes.
 """
 
 from __future__ import annotations
@@ -29,61 +29,69 @@
 from woadyard.registry.state_machines import create_state_machines
 from woadyard.registry.waiters import LOG_TOPIC, REPLICATION_TOPIC, Waiters
 
-# A snapshot comes where the log is longer than the last one, and than this: so a book that
-# has grown is not written whole again and again, and a start reads no more than twice of it.
+# A snapshot is written once the log is longer than both the last snapshot and this. So a large state
+# is not rewritten too often, and recovery reads at most about twice the size of the state.
 MIN_SNAPSHOT_LOG_BYTES = 256 * 1024
-MAX_ENTRIES_PER_RESPONSE = 500  # told to a replica at once
-# A term further on than any number of writers explains is a lie, and deposes nobody.
+MAX_ENTRIES_PER_RESPONSE = 500
+# A term further ahead than any number of leader changes can explain is invalid and deposes no leader.
 MAX_ERA_ADVANCE = 1_000
-REPLICATION_TIMEOUT_S = 2.0  # a write waits so long for its copies
-DUE_ENTRY_RETRY_S = 1.0  # a record that was due and could not be written is tried again
-QUORUM_CONTACT_S, QUORUM_RECHECK_S = (
-    1.0,
-    0.1,
-)  # an elected writer ends leases if a majority polled within; else it looks again
+REPLICATION_TIMEOUT_S = 2.0
+DUE_ENTRY_RETRY_S = 1.0  # after a due entry could not be written
+# An elected leader expires leases only if a majority polled it within the first; else it checks again
+# after the second.
+QUORUM_CONTACT_S, QUORUM_RECHECK_S = 1.0, 0.1
 LOG = logging.getLogger(__name__)
-B = TypeVar("B", bound=StateMachine)
+StateMachineT = TypeVar("StateMachineT", bound=StateMachine)
 
 
 class DeposedError(StateError):
-    """Another process has, or had, the writer's place."""
+    """Another process is, or was, the leader of a greater term."""
 
     remedy = (
-        "start this process with --follow the one that leads now; if none does, the one with "
-        "the most records with --take-over"
+        "start this process with --follow and the address of the current leader; if there is none, "
+        "start the process with the longest log with --take-over"
     )
 
 
 class NoLeaderError(DeposedError):
-    """No writer is elected that this process knows of."""
+    """This member knows of no elected leader."""
 
-    remedy = "make the call again, here or at another member; see that most members run and are reached"
+    remedy = (
+        "repeat the call here or at another member; check that a majority of members run and are reachable"
+    )
     retry_after_s = 2
 
 
 class NotReplicatedError(StateError):
-    """A write is on this log and not yet on as many replicas as have to hold it."""
+    """An entry is in the leader's log, but not yet on the required number of followers."""
 
-    remedy = "make the call again; see whether the replicas run and follow"
+    remedy = "repeat the call; check that the followers run and follow this leader"
 
 
 class NoMajorityError(NotReplicatedError):
-    """A write is not known to be held by most members of the log; it may be yet."""
+    """An entry is not known to be on a majority of the members; it may still be replicated."""
 
-    remedy = "make the call again, here or at another member; see that most members run and are reached"
+    remedy = (
+        "repeat the call here or at another member; check that a majority of members run and are reachable"
+    )
     retry_after_s = 2
 
 
 def monotonic_wall_clock() -> Callable[[], int]:
-    """Wall time as it is now, going on by the monotonic clock: a clock that is set
-    ends no lease. Over a restart every lease runs anew, so none counts on the first."""
-    began = time.time_ns() - time.monotonic_ns()
-    return lambda: (began + time.monotonic_ns()) // 1000
+    """Return a clock in µs that starts at the wall time and advances with the monotonic clock.
+
+    Setting the system clock therefore expires no lease. A restart extends every lease, so no lease
+    depends on the clock of an earlier run."""
+    offset_ns = time.time_ns() - time.monotonic_ns()
+    return lambda: (offset_ns + time.monotonic_ns()) // 1000
 
 
 class Registry:
-    """The books, their files and those that wait for them, on one loop. `writer` is the
-    address of the process that this one follows; None where it leads, or led."""
+    """The state machines, their log files and their waiters, on one event loop.
+
+    `leader_address` is the address of the process that this one follows; None while this process
+    is the leader, or after it was deposed. `required_replicas` is the number of followers that
+    must have an entry before it counts as replicated."""
 
     def __init__(
         self,
@@ -92,9 +100,9 @@
         leader_address: str | None = None,
         required_replicas: int = 0,
     ) -> None:
-        self.election: Election | None = None  # of this log's members, where they elect
-        self.elected_index = 0  # index of the record by which this process was elected
-        self.is_leaderless = False  # of members that elect: no writer is known
+        self.election: Election | None = None  # set with --elect
+        self.elected_index = 0  # index of the entry that began its own elected term
+        self.is_leaderless = False  # with elections: no leader is known
         self.journal, self.clock_us, self.leader_address = (
             journal,
             clock_us or monotonic_wall_clock(),
@@ -103,25 +111,25 @@
         self.log_state = ReplicatedState(create_state_machines())
         journal.recover(self.log_state)
         self.member_id = journal.load_member_id()
-        self.highest_term = max(journal.read_highest_term(), self.log_state.term)  # the greatest term told of
-        self.is_stale = False  # a replica that has not heard of its writer lately
+        self.highest_term = max(journal.read_highest_term(), self.log_state.term)  # ever observed
+        self.is_stale = False  # a follower that has lost contact with its leader
         self.is_deposed = False
         self.replica_progress = Copies(required_replicas)
-        self.straggler_rules = Rules()  # of the audit
+        self.straggler_rules = Rules()
         self.waiters = Waiters()
         self.metrics = RegistryMetrics()
-        self._count()
+        self._update_metrics()
         self.due_timer: asyncio.TimerHandle | None = None
 
     @property
     def state_machines(self) -> dict[str, StateMachine]:
         return self.log_state.state_machines
 
-    def state_machine(self, kind: type[B]) -> B:
-        """The book of this class."""
-        found = self.log_state.state_machines[kind.name]
-        assert isinstance(found, kind)
-        return found
+    def state_machine(self, kind: type[StateMachineT]) -> StateMachineT:
+        """Return the state machine of class `kind`."""
+        state_machine = self.log_state.state_machines[kind.name]
+        assert isinstance(state_machine, kind)
+        return state_machine
 
     @property
     def is_leader(self) -> bool:
@@ -129,18 +137,19 @@
 
     @property
     def may_be_outdated(self) -> bool:
-        """What this process serves may be old: it lost its writer, or its place."""
+        """Whether the served state may be out of date: contact with the leader, or leadership, was lost."""
         return self.is_stale or self.is_deposed
 
     # --- Writing ----------------------------------------------------------------------
 
     def become_leader(self, take_over: bool = False) -> None:
-        """Begin to write: a new term, and every lease runs anew. Not, unless to take over,
-        where a term was heard of that this log has no record of: what was written in it
-        would be lost."""
+        """Begin a new term as the leader; every lease is extended.
+
+        Unless `take_over` is set, this is refused if a greater term was observed than the log has
+        entries of: the entries of that term would be lost."""
         if self.highest_term > self.log_state.term and not take_over:
             if not self.is_deposed:
-                self._depose(self.highest_term, "what was heard before the start")
+                self._depose(self.highest_term, "a term observed before the start")
             return
         lineage = self.log_state.lineage or secrets.token_hex(8)
         resumes = self.log_state.leader_id == self.member_id and self.highest_term == self.log_state.term
@@ -152,11 +161,10 @@
         self.schedule_due_entry()
 
     def become_elected_leader(self, term: int) -> None:
-        """Begin to write in a term that most members voted for. StateError of the disk."""
+        """Begin a term that a majority voted for. Raises StateError if the log can't be written."""
         lineage = self.log_state.lineage or secrets.token_hex(8)
-        self.replica_progress = Copies(
-            self.replica_progress.needed
-        )  # what was held in another reign says nothing
+        # Progress reported in an earlier term proves nothing in this one.
+        self.replica_progress = Copies(self.replica_progress.needed)
         self.append_and_apply(
             {"op": LEAD, "lineage": lineage, "term": term, "by": self.member_id, "at": self.clock_us()}
         )
@@ -166,19 +174,22 @@
         self.waiters.notify(LOG_TOPIC)
         self.schedule_due_entry()
 
-    def follow_elected_leader(self, writer: str | None) -> None:
-        """From now on a replica of the elected writer at this address, or of none that is known."""
-        self.leader_address, self.is_deposed, self.is_leaderless = writer, False, writer is None
+    def follow_elected_leader(self, address: str | None) -> None:
+        """Become a follower of the elected leader at `address`; None if no leader is known."""
+        self.leader_address, self.is_deposed, self.is_leaderless = address, False, address is None
         self.waiters.notify(LOG_TOPIC, REPLICATION_TOPIC)
 
-    def append_entry(self, record: LogEntry) -> int:
-        """Log and apply a record, at this process's term and time; its index. `LogEntryError`
-        where its book turns it down, `DeposedError` where this process leads no more,
-        `StateError` where the disk refuses it; nothing of it was then applied."""
+    def append_entry(self, entry: LogEntry) -> int:
+        """Append an entry with the current term and time, apply it, and return its index.
+
+        Raises LogEntryError if its state machine rejects it, DeposedError if this process is not the
+        leader, StateError if the log can't be written; in each case nothing was applied."""
         try:
             if not self.is_leader:
-                raise self._deposed(f"this process does not write: it is at term {self.log_state.term}")
-            self.append_and_apply({**record, "term": self.log_state.term, "at": self.clock_us()})
+                raise self._deposed_error(
+                    f"this process is not the leader: its term is {self.log_state.term}"
+                )
+            self.append_and_apply({**entry, "term": self.log_state.term, "at": self.clock_us()})
         except LogEntryError:
             self.metrics.writes.labels("refused").inc()
             raise
@@ -190,46 +201,52 @@
         return self.log_state.applied_index
 
     def record_replica_position(self, replica: str, index: int) -> None:
-        """A replica has shown that it holds the log up to `index`. Of members that elect
-        the others' copies count alone."""
+        """Record that a follower has proven that its log matches up to `index`.
+
+        With elections, only followers that are members count."""
         now = time.monotonic()
         if self.election is None or self.election.polled(replica, index, now):
             self.replica_progress.proven(replica, index, now)
             self.waiters.notify(REPLICATION_TOPIC)
 
     def replicated_index(self) -> int:
-        """The index up to which the replicas that have to are known to hold the log: what
-        stands there outlives this process and its disk. -1 where an elected writer's own
-        first record is not held yet: before that nothing is known (Raft, figure 8)."""
-        reach = self.replica_progress.held(self.log_state.applied_index, time.monotonic())
-        return reach if reach >= self.elected_index else -1
+        """Return the index up to which the required followers are known to have the log.
+
+        Entries up to there survive the loss of this process and its disk. The result is -1 until the
+        first entry of an elected leader's own term is replicated: entries of earlier terms are
+        not safe before that (Raft, figure 8)."""
+        index = self.replica_progress.held(self.log_state.applied_index, time.monotonic())
+        return index if index >= self.elected_index else -1
 
     async def wait_replicated(self, index: int, term: int | None = None) -> None:
-        """Returns once record `index`, of this `term` (by default the present one), is held
-        by the replicas that have to hold it, at once where that is none; `UnsettledError`
-        after `SETTLE_S`."""
+        """Return once entry `index` of `term` (default: the current term) is on the required followers.
+
+        Returns at once if no follower is required. Raises NotReplicatedError after
+        `REPLICATION_TIMEOUT_S`, DeposedError if this process is not the leader of that term."""
         term = self.log_state.term if term is None else term
         if self.replica_progress.needed and not await self.waiters.wait_until(
             REPLICATION_TOPIC,
-            lambda: self.replicated_index() >= index or not self._leads_in(term),
+            lambda: self.replicated_index() >= index or not self._is_leader_in(term),
             REPLICATION_TIMEOUT_S,
         ):
-            kind = NotReplicatedError if self.election is None else NoMajorityError
-            raise kind(f"record {index} is not yet at {self.replica_progress.needed} replicas")
-        if not self._leads_in(term):
-            raise self._deposed(f"record {index} may be lost: another process leads")
+            error_class = NotReplicatedError if self.election is None else NoMajorityError
+            raise error_class(
+                f"entry {index} is not yet replicated to {self.replica_progress.needed} followers"
+            )
+        if not self._is_leader_in(term):
+            raise self._deposed_error(f"entry {index} may be lost: another process is the leader")
 
-    def _leads_in(self, term: int) -> bool:
-        # The index alone names no record: a writer that was elected again has others there.
+    def _is_leader_in(self, term: int) -> bool:
+        # The index alone does not identify an entry: a leader that was elected again has other entries there.
         return self.is_leader and self.log_state.term == term
 
-    def _deposed(self, what: str) -> DeposedError:
-        return DeposedError(what) if self.election is None else NoLeaderError(what)
+    def _deposed_error(self, message: str) -> DeposedError:
+        return DeposedError(message) if self.election is None else NoLeaderError(message)
 
-    def append_for_response(self, record: LogEntry) -> tuple[int, str]:
-        """`commit`, as an HTTP status and a body in JSON."""
+    def append_for_response(self, entry: LogEntry) -> tuple[int, str]:
+        """Call `append_entry` and return its result as an HTTP status and a JSON body."""
         try:
-            index = self.append_entry(record)
+            index = self.append_entry(entry)
         except LogEntryError as error:
             return 400, json.dumps(error.fields())
         except DeposedError as error:
@@ -238,19 +255,19 @@
             return 507, json.dumps(error.fields())
         return 200, json.dumps({"index": index, "term": self.log_state.term})
 
-    def append_and_apply(self, record: dict[str, Any]) -> None:
-        """Log and apply one record as it is; LogEntryError, or StateError of the disk."""
+    def append_and_apply(self, entry: dict[str, Any]) -> None:
+        """Append an entry unchanged and apply it; LogEntryError if it is invalid, StateError of the disk."""
         try:
-            changed = self.journal.append(self.log_state, record)
+            changed = self.journal.append(self.log_state, entry)
         except OSError as error:
             LOG.error("write failed", extra={"error": str(error)})
             raise StateError(f"can't write: {error}") from None
         self.highest_term = max(self.highest_term, self.log_state.term)
-        self._count()
-        self.waiters.notify(LOG_TOPIC, *([record.get("book", "list")] if changed else []))
-        self._snapshot_now_and_then()
+        self._update_metrics()
+        self.waiters.notify(LOG_TOPIC, *([entry.get("book", "list")] if changed else []))
+        self._snapshot_if_due()
 
-    def _snapshot_now_and_then(self) -> None:
+    def _snapshot_if_due(self) -> None:
         if self.journal.log_bytes > max(MIN_SNAPSHOT_LOG_BYTES, self.journal.snapshot_bytes):
             try:
                 self.journal.write_snapshot(self.log_state)
@@ -258,29 +275,35 @@
                 LOG.error("snapshot failed", extra={"error": str(error)})
 
     def schedule_due_entry(self) -> None:
-        """A timer for what comes due next in any book: that is a record too."""
+        """Start the timer for the entry that falls due next in any state machine."""
         if self.due_timer is not None:
             self.due_timer.cancel()
-        timed = (book.next_due() for book in self.state_machines.values() if isinstance(book, TimerDriven))
-        if due := min((one for one in timed if one is not None), key=lambda one: one[0], default=None):
-            delay = max(0.0, (due[0] - self.clock_us()) / 1e6)
-            self.due_timer = asyncio.get_running_loop().call_later(delay, self._due, due[1])
+        due_entries = (
+            machine.next_due() for machine in self.state_machines.values() if isinstance(machine, TimerDriven)
+        )
+        if due := min(
+            (each for each in due_entries if each is not None), key=lambda each: each[0], default=None
+        ):
+            delay_s = max(0.0, (due[0] - self.clock_us()) / 1e6)
+            self.due_timer = asyncio.get_running_loop().call_later(delay_s, self._append_due_entry, due[1])
 
-    def _due(self, record: LogEntry) -> None:
+    def _append_due_entry(self, entry: LogEntry) -> None:
         if not self.is_leader:
             return
-        if self.election is not None and not self._sure(self.election):
+        if self.election is not None and not self._has_quorum_contact(self.election):
             self.due_timer = asyncio.get_running_loop().call_later(QUORUM_RECHECK_S, self.schedule_due_entry)
             return
         try:
-            self.append_entry(record)
+            self.append_entry(entry)
         except (LogEntryError, StateError) as error:
-            LOG.error("what came due can't be written", extra=error.fields())
+            LOG.error("can't write the entry that is due", extra=error.fields())
             self.due_timer = asyncio.get_running_loop().call_later(DUE_ENTRY_RETRY_S, self.schedule_due_entry)
 
-    def _sure(self, election: Election) -> bool:
-        """Whether most members followed just now: one cut off from them may be cut off from
-        those that renew too, and ends no lease."""
+    def _has_quorum_contact(self, election: Election) -> bool:
+        """Whether a majority polled this leader recently.
+
+        A leader without contact to a majority may also be unreachable for the clients that renew
+        their leases, so it expires none."""
         return (
             self.replicated_index() >= self.elected_index
             and time.monotonic() - election.confirmed_at() < QUORUM_CONTACT_S
@@ -289,8 +312,10 @@
     # --- Terms ------------------------------------------------------------------------
 
     def observe_term(self, lineage: str, term: int, by: str) -> None:
-        """Somebody acts on `term`. One above this process's own, of its own log, means
-        that another process was given the writer's place: this one writes no more."""
+        """Record a term that a client or another process reported.
+
+        A term of this log that is greater than its own means that another process became the
+        leader: this process stops accepting writes. `by` names the source in the log."""
         if (
             lineage != self.log_state.lineage
             or term <= self.highest_term
@@ -301,65 +326,68 @@
         try:
             self.journal.write_highest_term(term)
         except OSError as error:
-            LOG.error("can't keep the term heard of", extra={"error": str(error)})
+            LOG.error("can't persist the highest term", extra={"error": str(error)})
         if self.is_leader:
             self._depose(term, by)
 
     def is_plausible_term(self, term: int, by: str) -> bool:
-        """Whether writers and elections can have come to this term by now."""
+        """Whether leader changes and elections can have reached this term by now."""
         if term < MAX_TERM and (term >> ERA_SHIFT) - (self.highest_term >> ERA_SHIFT) <= MAX_ERA_ADVANCE:
             return True
-        LOG.warning("a term that can't be", extra={"term": term, "by": by})
+        LOG.warning("implausible term", extra={"term": term, "by": by})
         return False
 
     def _depose(self, term: int, by: str) -> None:
         if self.election is not None:
             LOG.info(
-                "a greater term was heard of", extra={"term": self.log_state.term, "greater": term, "by": by}
+                "observed a greater term", extra={"term": self.log_state.term, "greater": term, "by": by}
             )
             self.follow_elected_leader(None)
             return
         self.is_deposed = True
         fields = {"term": self.log_state.term, "greater": term, "by": by, "remedy": DeposedError.remedy}
         LOG.error("deposed: another process writes, this one stops", extra=fields)
-        self._count()
+        self._update_metrics()
         self.waiters.notify()
 
     # --- Following --------------------------------------------------------------------
 
-    def start_following(self, writer: str) -> None:
-        """From now on a replica of the process there."""
-        self.leader_address, self.is_deposed = writer, False
+    def start_following(self, address: str) -> None:
+        """Become a follower of the process at `address`."""
+        self.leader_address, self.is_deposed = address, False
         self.set_stale(True)
 
-    def install_snapshot(self, host: ReplicatedState) -> None:
-        """A replica whose log is no part of the writer's takes the writer's state whole."""
-        self.journal.install_snapshot(host)
-        self.log_state = host
-        self.highest_term = max(self.highest_term, host.term)
-        self._count()
+    def install_snapshot(self, log_state: ReplicatedState) -> None:
+        """Replace the state and the log by the leader's state, where the logs have diverged."""
+        self.journal.install_snapshot(log_state)
+        self.log_state = log_state
+        self.highest_term = max(self.highest_term, log_state.term)
+        self._update_metrics()
         self.waiters.notify()
 
     def entries_or_snapshot_after(self, index: int, chain: str, lineage: str) -> dict[str, Any]:
-        """What a replica lacks whose log has the running hash `chain` behind record `index`:
-        records, or the state whole where that is no part of this log. LogEntryError where it
-        is a replica of another log."""
-        host, tail = self.log_state, self.journal.tail
-        if lineage not in ("", host.lineage):
-            remedy = "follow the writer of that log, or begin anew in an empty folder"
-            raise LogEntryError("the replica's log is of another lineage", remedy)
-        told: dict[str, Any] = {"applied": host.applied_index, "lineage": host.lineage, "term": host.term}
+        """Return what a follower lacks whose log has the running hash `chain` at `index`.
+
+        That is the entries after `index`, or the whole state where this log has another hash there
+        or no longer keeps them. Raises LogEntryError if the follower's log is of another lineage."""
+        log_state, tail = self.log_state, self.journal.tail
+        if lineage not in ("", log_state.lineage):
+            remedy = "follow the leader of that log, or start with an empty folder"
+            raise LogEntryError("the follower's log is of another lineage", remedy)
+        response: dict[str, Any] = {
+            "applied": log_state.applied_index, "lineage": log_state.lineage, "term": log_state.term
+        }  # fmt: skip
         if tail.chain_at(index) == chain:
-            return {**told, "records": tail.entries_after(index, MAX_ENTRIES_PER_RESPONSE)}
-        return {**told, "snapshot": host.dump(), "marks": tail.chain_marks()}
+            return {**response, "records": tail.entries_after(index, MAX_ENTRIES_PER_RESPONSE)}
+        return {**response, "snapshot": log_state.dump(), "marks": tail.chain_marks()}
 
     def set_stale(self, stale: bool) -> None:
         if stale != self.is_stale:
             self.is_stale = stale
-            self._count()
+            self._update_metrics()
             self.waiters.notify()
 
-    def _count(self) -> None:
+    def _update_metrics(self) -> None:
         self.metrics.term.set(self.log_state.term)
         self.metrics.applied.set(self.log_state.applied_index)
         self.metrics.stale.set(self.is_stale)
--- a/woadyard/registry/state_machine.py
+++ b/woadyard/registry/state_machine.py
@@ -1,9 +1,10 @@
-"""What one part of the replicated log is: a book, a pure state machine.
+"""The protocol of a state machine that the replicated log is applied to.
 
-The log hosts several books. A record is a JSON object; its `book` names the one it is for
-(none: the list, as logs had it before there were books), `op` what to do, `at` the writer's
-time in µs. Records are applied in the log's order at the writer and at every replica, so a
-book that knows neither clock, files nor chance is the same everywhere.
+Several state machines share one log. A log entry is a JSON object: `book` names the state machine
+it belongs to (without it: the endpoint list, as in logs from before there were several), `op` the
+operation, and `at` the leader's time in µs. The leader and every follower apply the entries in the
+log's order. A state machine uses no clock, no files and no randomness, so all of them reach the
+same state.
 """
 
 from __future__ import annotations
@@ -15,34 +16,34 @@
 
 
 class StateMachine(Protocol):
-    """One state machine of the log. Each bounds its own size and says what it drops."""
+    """One state machine of the log. Each bounds its own size and documents what it discards."""
 
     name: str
 
-    def check(self, record: LogEntry) -> None:
-        """Raises `LogEntryError` where `apply` would; changes nothing."""
+    def check(self, entry: LogEntry) -> None:
+        """Raise `LogEntryError` if `apply` would fail; change nothing."""
 
-    def apply(self, record: LogEntry) -> bool:
-        """Apply one record that `check` passed; True where readers see a change."""
+    def apply(self, entry: LogEntry) -> bool:
+        """Apply an entry that `check` accepted; return whether readers see a change."""
 
     def dump(self) -> Any:
-        """All of it as plain JSON values, for a snapshot."""
+        """Return the whole state as plain JSON values, for a snapshot."""
 
     def load(self, raw: Any) -> None:
-        """Take a dump's place; `LogEntryError` where it is none, and nothing changed."""
+        """Replace the state by a dump; `LogEntryError`, and no change, if the dump is invalid."""
 
 
 @runtime_checkable
 class LeaderChangeObserver(Protocol):
-    """A book that has to know when another process begins to write, or the same one anew."""
+    """A state machine that must know when a leader, new or restarted, begins a term."""
 
     def begin_term(self, term: int, at: int) -> None:
-        """The term `term` begins at `at` µs: leases run anew from here."""
+        """Handle the start of `term` at `at` µs, for example by extending leases."""
 
 
 @runtime_checkable
 class TimerDriven(Protocol):
-    """A book in which something comes due by time alone, such as a lease's end."""
+    """A state machine in which something falls due with time alone, such as a lease expiry."""
 
     def next_due(self) -> tuple[int, LogEntry] | None:
-        """When (µs) the writer is to write which record next; None while nothing is due."""
+        """Return when (µs) the leader must append which entry next; None if nothing is pending."""
--- a/woadyard/registry/state_machines.py
+++ b/woadyard/registry/state_machines.py
@@ -1,4 +1,4 @@
-"""The books that the list service's log hosts. A new one is a line here, and one in `routes`."""
+"""The state machines of the list service's log. Add a new one here and its routes in `routes`."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def create_state_machines() -> list[StateMachine]:
-    """Each empty; what the files hold is loaded into them."""
+    """Return all state machines, empty; recovery loads their state from the files."""
     return [EndpointListState(), LimitsState(), AuditState(), PlansState(), ExperimentsState()]
--- a/woadyard/registry/waiters.py
+++ b/woadyard/registry/waiters.py
@@ -1,4 +1,4 @@
-"""Those that wait until something changed, by topic: a book's name, or the log."""
+"""Tasks that wait for a change, by topic: the name of a state machine, or the log."""
 
 from __future__ import annotations
 
@@ -9,33 +9,37 @@
 
 
 class Waiters:
+    """Wakes the tasks that wait on a topic; for one event loop."""
+
     def __init__(self) -> None:
         self.futures: dict[str, set[asyncio.Future[None]]] = {}
 
     def notify(self, *topics: str) -> None:
-        """Those of these topics; without any, all."""
+        """Wake the tasks that wait on these topics, or on any topic if none is given."""
         for topic in topics or tuple(self.futures):
-            for waiter in self.futures.pop(topic, ()):
-                if not waiter.done():
-                    waiter.set_result(None)
+            for future in self.futures.pop(topic, ()):
+                if not future.done():
+                    future.set_result(None)
+
+    async def wait_until(self, topic: str, condition: Callable[[], bool], timeout_s: float) -> bool:
+        """Wait until `condition()` holds; return False after `timeout_s`.
 
-    async def wait_until(self, topic: str, true: Callable[[], bool], wait_s: float) -> bool:
-        """Returns once `true()`, looked at after each wake of the topic, or after `wait_s`."""
+        The condition is evaluated at the start and after each notification of the topic."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + wait_s
-        while not true():
-            if (left := end - loop.time()) <= 0.0:
+        deadline_s = loop.time() + timeout_s
+        while not condition():
+            if (remaining_s := deadline_s - loop.time()) <= 0.0:
                 return False
-            await self.wait_for_notification(topic, left)
+            await self.wait_for_notification(topic, remaining_s)
         return True
 
-    async def wait_for_notification(self, topic: str, wait_s: float) -> None:
-        """Returns at the topic's next wake, or after `wait_s`."""
-        waiter = asyncio.get_running_loop().create_future()
-        self.futures.setdefault(topic, set()).add(waiter)
+    async def wait_for_notification(self, topic: str, timeout_s: float) -> None:
+        """Return at the topic's next notification, or after `timeout_s`."""
+        future = asyncio.get_running_loop().create_future()
+        self.futures.setdefault(topic, set()).add(future)
         try:
-            await asyncio.wait_for(waiter, wait_s)
+            await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
             pass
         finally:
-            self.futures.get(topic, set()).discard(waiter)
+            self.futures.get(topic, set()).discard(future)
