--- a/woadyard/limits/__init__.py
+++ b/woadyard/limits/__init__.py
@@ -1,7 +1,8 @@
-"""Shares of limits that sidecars hold, as a book of the log.
+"""Leased shares of limits, as a state machine of the log.
 
-`Ledger` is the arithmetic, `LimitsBook` the book; both are pure. `woadyard.limits.service`
-has the call for the list service. A sidecar's own side is `woadyard.shared.budget.Lease`.
+`Ledger` computes the shares, `LimitsState` is the state machine; both are pure.
+`woadyard.limits.service` has the HTTP call of the list service. The sidecar's side is
+`woadyard.shared.budget.Lease`.
 """
 
 from woadyard.limits.ledger import Ledger
--- a/woadyard/limits/ledger.py
+++ b/woadyard/limits/ledger.py
@@ -1,12 +1,11 @@
-"""Leases of a budget: shares of a limit whose sum stays within it, over any failure.
+"""Leased shares of a limit: their sum never exceeds the limit, whatever fails.
 
-One ledger, kept by the list service's writer, grants shares of each resource
-(an endpoint's requests in flight) to holders, in the manner of Gray and Cheriton,
-"Leases" (1989). A holder counts its lease from when it asked, the ledger from
-when it granted, so the holder stops first, whatever the network delays and
-whatever the clocks say; only their rates have to agree. A share given back counts
-until the holder says it keeps to the smaller one. Gossip could not promise this:
-two sides of a partition would each share out the whole.
+One ledger, kept by the leader of the list service, grants shares of each resource (the requests in
+flight at an endpoint) to holders, as in Gray and Cheriton, "Leases" (1989). A holder counts its
+lease from when it sent the request, the ledger from when it granted it. So the holder stops first,
+whatever the network delay and the clock offsets; only the clock rates must agree. A reduced share
+counts in full until the holder confirms that it keeps to the smaller one. Gossip could not
+guarantee this: each side of a partition would distribute the whole limit.
 
 Pure: times are µs of the caller's clock.
 """
@@ -22,76 +21,82 @@
 
 @dataclass
 class HolderLease:
-    """What one holder may use until `ends`, by resource, as the ledger counts it."""
+    """The units of each resource that one holder may use until `expires_at_us`."""
 
     expires_at_us: int
     ttl_us: int
     seq: int
     units: dict[str, int]
-    grants: dict[str, int] = field(default_factory=dict)  # the answer to its last call
+    grants: dict[str, int] = field(default_factory=dict)  # granted by its last request
 
 
 @dataclass
 class Ledger:
-    """The sum of `units` of a resource over all holdings is at most its limit."""
+    """The leases of all holders; the sum of the `units` of a resource is at most its limit."""
 
     holder_leases: dict[str, HolderLease] = field(default_factory=dict)
 
-    def remove_expired(self, at: int) -> None:
-        self.holder_leases = {name: one for name, one in self.holder_leases.items() if one.expires_at_us > at}
+    def remove_expired(self, now_us: int) -> None:
+        self.holder_leases = {
+            name: lease for name, lease in self.holder_leases.items() if lease.expires_at_us > now_us
+        }
 
-    def check_sequence(self, at: int, name: str, seq: int) -> None:
-        """LogEntryError on a call older than the last: it may tell of less than is used."""
-        before = self.holder_leases.get(name)
-        if before is not None and before.expires_at_us > at and seq <= before.seq:
-            raise LogEntryError(f"call {seq} of {name!r} comes after {before.seq}")
+    def check_sequence(self, now_us: int, name: str, seq: int) -> None:
+        """Raise LogEntryError if a request is older than the last: it may report fewer units than in use."""
+        previous = self.holder_leases.get(name)
+        if previous is not None and previous.expires_at_us > now_us and seq <= previous.seq:
+            raise LogEntryError(f"request {seq} of {name!r} arrived after request {previous.seq}")
 
-    def extend_all(self, at: int) -> None:
-        """The ledger has a new keeper: every lease runs anew."""
-        for one in self.holder_leases.values():
-            one.expires_at_us = max(one.expires_at_us, at + one.ttl_us)
+    def extend_all(self, now_us: int) -> None:
+        """Extend every lease to its full duration, under a new leader."""
+        for lease in self.holder_leases.values():
+            lease.expires_at_us = max(lease.expires_at_us, now_us + lease.ttl_us)
 
     def grant_shares(
         self,
-        at: int,
+        now_us: int,
         name: str,
         seq: int,
         ttl_us: int,
         limit: int,
-        of: Iterable[str],
+        resources: Iterable[str],
         keeps: Mapping[str, int],
     ) -> dict[str, int]:
-        """Grant `name` its shares of the resources `of`, each of `limit` in all; `keeps`
-        is what it may still use at most from when it asked. Returns the grants.
-        LogEntryError as `check`, before anything is changed."""
-        self.check_sequence(at, name, seq)
-        self.remove_expired(at)
-        before = self.holder_leases.pop(name, None)
-        had = before.units if before is not None else {}
-        # No more than it was granted: a larger figure would take from the others.
-        units = {key: min(count, had[key]) for key, count in keeps.items() if had.get(key)}
+        """Grant `name` its shares of `resources`, each of which has `limit` units in total.
+
+        `keeps` is the most that the holder may still use, from when it sent the request. Returns
+        the granted units by resource. Raises LogEntryError as `check_sequence` does, before any
+        change."""
+        self.check_sequence(now_us, name, seq)
+        self.remove_expired(now_us)
+        previous = self.holder_leases.pop(name, None)
+        previous_units = previous.units if previous is not None else {}
+        # At most what it was granted: a larger number would take units from the others.
+        units = {
+            key: min(count, previous_units[key]) for key, count in keeps.items() if previous_units.get(key)
+        }
         granted: dict[str, int] = {}
-        for key in of:
+        for key in resources:
             granted[key] = self._share(key, limit)
             units[key] = max(units.get(key, 0), granted[key])
-        self.holder_leases[name] = HolderLease(at + ttl_us, ttl_us, seq, units, granted)
+        self.holder_leases[name] = HolderLease(now_us + ttl_us, ttl_us, seq, units, granted)
         return granted
 
     def _share(self, key: str, limit: int) -> int:
-        """An equal part, with what is left over; less while others still use more."""
-        rivals = [one.units[key] for one in self.holder_leases.values() if key in one.units]
-        fair = limit // (len(rivals) + 1)
-        return max(0, limit - sum(max(units, fair) for units in rivals))
+        """Return an equal share and the remainder; less while other holders still use more."""
+        others = [lease.units[key] for lease in self.holder_leases.values() if key in lease.units]
+        equal_share = limit // (len(others) + 1)
+        return max(0, limit - sum(max(units, equal_share) for units in others))
 
     def dump(self) -> dict[str, Any]:
         return {
-            name: [one.expires_at_us, one.ttl_us, one.seq, one.units]
-            for name, one in self.holder_leases.items()
+            name: [lease.expires_at_us, lease.ttl_us, lease.seq, lease.units]
+            for name, lease in self.holder_leases.items()
         }
 
     @classmethod
     def load(cls, raw: Mapping[str, Any]) -> Ledger:
-        holdings = {}
-        for name, (ends, ttl_us, seq, units) in raw.items():
-            holdings[name] = HolderLease(int(ends), int(ttl_us), int(seq), dict(units))
-        return cls(holdings)
+        leases = {}
+        for name, (expires_at_us, ttl_us, seq, units) in raw.items():
+            leases[name] = HolderLease(int(expires_at_us), int(ttl_us), int(seq), dict(units))
+        return cls(leases)
--- a/woadyard/limits/service.py
+++ b/woadyard/limits/service.py
@@ -1,7 +1,7 @@
-"""The call that leases shares of limits, at the writer.
+"""The HTTP call that leases shares of limits, for the leader only.
 
 `POST /registry/shares/NAME?ttl_ms=T` with `{"seq", "limit", "of", "keeps"}`
-(woadyard.shared.budget); `{"grants"}` says how much of each.
+(woadyard.shared.budget); `grants` in the response has the units of each resource.
 """
 
 from __future__ import annotations
@@ -18,11 +18,13 @@
 
 
 class HoldQuery(msgspec.Struct):
+    """The query parameters of a hold."""
+
     ttl_ms: int
 
 
 class HoldRequest(msgspec.Struct):
-    """A holder's call: its number, the limit, the resources, and what it keeps of them."""
+    """A holder's request: its sequence number, the limit, the resources, and the units it keeps."""
 
     seq: int
     limit: int
@@ -31,6 +33,8 @@
 
 
 class HoldResponse(msgspec.Struct):
+    """The units granted, by resource."""
+
     grants: dict[str, int]
     lineage: str
     term: int
@@ -39,15 +43,20 @@
 def routes(registry: Registry) -> list[web.RouteDef]:
     async def hold(request: web.Request) -> web.StreamResponse:
         if registry.state_machine(AuditState).holder_out(request.match_info["name"]):
-            # What it holds lapses with its lease, never earlier.
-            remedy = "it gets shares again once it acts on the list of by now"
+            # Its current shares expire with its lease, never earlier.
+            remedy = "it gets shares again once it uses the current list"
             return error_response(409, "shut out by the audit", remedy)
         name, ttl_us = request.match_info["name"], read_query(request, HoldQuery).ttl_ms * 1000
-        asked = await read_body(request, HoldRequest)
-        call = {"seq_of": asked.seq, "limit": asked.limit, "of": asked.of, "keeps": asked.keeps}
-        index = registry.append_entry({"op": HOLD, "id": name, "ttl_us": ttl_us, **call})
+        hold_request = await read_body(request, HoldRequest)
+        fields = {
+            "seq_of": hold_request.seq,
+            "limit": hold_request.limit,
+            "of": hold_request.of,
+            "keeps": hold_request.keeps,
+        }
+        index = registry.append_entry({"op": HOLD, "id": name, "ttl_us": ttl_us, **fields})
         grants = registry.state_machine(LimitsState).grants(name)
-        # With copies asked for, what is granted is known to whoever takes the writer's place.
+        # If followers are required to have it, the next leader knows of every grant.
         await registry.wait_replicated(index)
         return json_response(HoldResponse(grants, registry.log_state.lineage, registry.log_state.term))
 
--- a/woadyard/limits/state.py
+++ b/woadyard/limits/state.py
@@ -1,4 +1,4 @@
-"""The ledger of limits as a book: one kind of record, a holder's call for its shares."""
+"""The ledger of limits as a state machine with one operation: a holder requests its shares."""
 
 from __future__ import annotations
 
@@ -12,42 +12,48 @@
 
 
 class LimitsState:
-    """Its size is bounded by the holders whose leases run: what lapsed is dropped at each hold."""
+    """The ledger of limits. Each hold removes expired leases, so only active holders take space."""
 
     name = "limits"
 
     def __init__(self) -> None:
         self.ledger = Ledger()
 
-    def check(self, record: LogEntry) -> None:
-        if record.get("op") != HOLD:
-            raise LogEntryError(f"the limits have no such op: {record.get('op')!r}")
-        numbers = [record.get(key) for key in ("seq_of", "ttl_us", "limit")]
+    def check(self, entry: LogEntry) -> None:
+        if entry.get("op") != HOLD:
+            raise LogEntryError(f"unknown op of the limits: {entry.get('op')!r}")
+        numbers = [entry.get(key) for key in ("seq_of", "ttl_us", "limit")]
         if not all(type(number) is int and number > 0 for number in numbers):
-            raise LogEntryError("a hold needs numbers above 0")
-        of, keeps = record.get("of"), record.get("keeps")
-        if not isinstance(record.get("id"), str) or not isinstance(of, list) or not isinstance(keeps, dict):
-            raise LogEntryError("a hold needs an id, resources and what it keeps")
-        if not all(isinstance(key, str) for key in of):
-            raise LogEntryError("a hold's resources are no list of names")
+            raise LogEntryError("seq_of, ttl_us and limit of a hold must be integers above 0")
+        resources, keeps = entry.get("of"), entry.get("keeps")
+        if (
+            not isinstance(entry.get("id"), str)
+            or not isinstance(resources, list)
+            or not isinstance(keeps, dict)
+        ):
+            raise LogEntryError("a hold needs an id, a list of resources and the units it keeps")
+        if not all(isinstance(key, str) for key in resources):
+            raise LogEntryError("the resources of a hold must be strings")
         if not all(type(count) is int and count >= 0 for count in keeps.values()):
-            raise LogEntryError("a hold keeps what is no number")
-        self.ledger.check_sequence(int(record["at"]), record["id"], record["seq_of"])
+            raise LogEntryError("the units that a hold keeps must be integers of 0 or more")
+        self.ledger.check_sequence(int(entry["at"]), entry["id"], entry["seq_of"])
 
-    def apply(self, record: LogEntry) -> bool:
-        call = record["id"], record["seq_of"], record["ttl_us"], record["limit"]
-        self.ledger.grant_shares(int(record["at"]), *call, record["of"], record["keeps"])
+    def apply(self, entry: LogEntry) -> bool:
+        request = entry["id"], entry["seq_of"], entry["ttl_us"], entry["limit"]
+        self.ledger.grant_shares(int(entry["at"]), *request, entry["of"], entry["keeps"])
         return False
 
     def begin_term(self, term: int, at: int) -> None:
+        """Extend every lease: holders could not renew while there was no leader."""
         self.ledger.extend_all(at)
 
     def grants(self, name: str) -> dict[str, int]:
-        """The answer to the holder's last call."""
+        """Return the units granted by the holder's last hold, by resource."""
         return self.ledger.holder_leases[name].grants
 
-    def count_holders(self, at: int) -> int:
-        return sum(one.expires_at_us > at for one in self.ledger.holder_leases.values())
+    def count_holders(self, now_us: int) -> int:
+        """Return the number of holders whose lease is active."""
+        return sum(lease.expires_at_us > now_us for lease in self.ledger.holder_leases.values())
 
     def dump(self) -> dict[str, Any]:
         return self.ledger.dump()
@@ -56,4 +62,4 @@
         try:
             self.ledger = Ledger.load(raw)
         except (AttributeError, TypeError, ValueError) as error:
-            raise LogEntryError(f"no dump of the limits: {error!r}") from None
+            raise LogEntryError(f"invalid dump of the limits: {error!r}") from None
--- a/woadyard/lists/__init__.py
+++ b/woadyard/lists/__init__.py
@@ -1,6 +1,6 @@
-"""The list of endpoints as a book of the log, and the calls that read and write it.
+"""The list of endpoints as a state machine of the log, and the calls that read and write it.
 
-`ListBook` is pure; `woadyard.lists.service` has its calls, for the list service alone.
+`EndpointListState` is pure; `woadyard.lists.service` has its HTTP calls, for the list service only.
 """
 
 from woadyard.lists.state import DROP, EXPIRE, PUT, RENEW, EndpointListState
--- a/woadyard/registry/follower.py
+++ b/woadyard/registry/follower.py
@@ -113,12 +113,12 @@
 
     def _raise_refusal(self, status: int, body: bytes) -> None:
         """Raise LogEntryError for an error response; switch to the leader that it names, if any."""
-        error = read_error_body(body)
+        error_body = read_error_body(body)
         # With elections the elected leader is followed, whatever a response names.
-        if error.writer is not None and self.registry.election is None:
-            _parse_leader_address(error.writer)
-            self.registry.leader_address = error.writer
-        raise LogEntryError(f"the leader responded with {status}: {error.error}", error.remedy)
+        if error_body.writer is not None and self.registry.election is None:
+            _parse_leader_address(error_body.writer)
+            self.registry.leader_address = error_body.writer
+        raise LogEntryError(f"the leader responded with {status}: {error_body.error}", error_body.remedy)
 
     def apply_log_response(self, response: dict[str, Any]) -> None:
         """Append the entries in order, or install a snapshot; LogEntryError if entries are missing."""
--- a/woadyard/registry/responses.py
+++ b/woadyard/registry/responses.py
@@ -84,7 +84,7 @@
             redirect.headers["Location"] = f"http://{registry.leader_address}{request.raw_path}"
             return redirect
         if registry.is_deposed:
-            raise DeposedError(f"another process began term {registry.highest_term}")
+            raise DeposedError(f"term {registry.highest_term} was begun by another process")
         if registry.is_leaderless:
             raise NoLeaderError(f"this member knows of no elected leader since term {registry.highest_term}")
         if registry.election is None or waits_for_replication or request.method == "GET":
@@ -101,7 +101,7 @@
     """Pass the term that the client sent to the registry; it may be the first to report a new term."""
     if value := request.headers.get(TERM_HEADER):
         if (match := TERM_HEADER_PATTERN.fullmatch(value)) is None:
-            raise PeerError(f"invalid {TERM_HEADER} header: {value[:80]!r}")
+            raise PeerError(f"{TERM_HEADER} header is invalid: {value[:80]!r}")
         registry.observe_term(
             match[1], int(match[2]), f"{request.method} {request.path} from {request.remote}"
         )
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -127,9 +127,9 @@
 
     def state_machine(self, kind: type[StateMachineT]) -> StateMachineT:
         """Return the state machine of class `kind`."""
-        state_machine = self.log_state.state_machines[kind.name]
-        assert isinstance(state_machine, kind)
-        return state_machine
+        machine = self.log_state.state_machines[kind.name]
+        assert isinstance(machine, kind)
+        return machine
 
     @property
     def is_leader(self) -> bool:
