--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -81,7 +81,7 @@
         await running.send(http_request())
         running.set_list(endpoint.entry("s-0", **change), is_full=False)
         await endpoint.connection_closed.acquire()
-        assert not running.upstream.connections
+        assert not running.upstream.endpoint_connections
 
 
 @on_loop
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -169,6 +169,7 @@
             response = await proxy.send(head % (method, n, length, key))
             assert response.start_line.split()[1] in ("502", "503")
             if effect == "fragile":
+                # A 503 would say that a retry is harmless.
                 assert response.start_line.startswith(
                     "HTTP/1.1 502"
                 )  # a 503 would say that a retry is harmless
--- a/woadyard/limits/__init__.py
+++ b/woadyard/limits/__init__.py
@@ -2,7 +2,7 @@
 
 `Ledger` computes the shares, `LimitsState` is the state machine; both are pure.
 `woadyard.limits.service` has the HTTP call of the list service. The sidecar's side is
-`woadyard.shared.budget.Lease`.
+`woadyard.shared.limit_lease.LimitLease`.
 """
 
 from woadyard.limits.ledger import Ledger
--- a/woadyard/limits/service.py
+++ b/woadyard/limits/service.py
@@ -1,7 +1,7 @@
 """The HTTP call that leases shares of limits, for the leader only.
 
 `POST /registry/shares/NAME?ttl_ms=T` with `{"seq", "limit", "of", "keeps"}`
-(woadyard.shared.budget); `grants` in the response has the units of each resource.
+(woadyard.shared.limit_lease); `grants` in the response has the units of each resource.
 """
 
 from __future__ import annotations
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -160,7 +160,7 @@
             self.abort_connection(oldest_silent)
 
     def _is_over_limit(self) -> bool:
-        open_sockets = len(self.connections) + len(self.driver.upstream.connections)
+        open_sockets = len(self.connections) + len(self.driver.upstream.endpoint_connections)
         return open_sockets > self.max_sockets or len(self.connections) > max(
             1, CLIENT_SOCKET_SHARE * self.max_sockets
         )
