--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -28,7 +28,7 @@
 from benchmarks.whatif_cost import REQUESTS, TURNS, cpu_s, sidecar
 from tests.process import free_port
 from tests.sockets import Endpoint, FakeDiscovery
-from tests.test_registry import register, service
+from tests.test_registry import register_endpoint, start_registry
 from woadyard.audit import AuditSettings, Position, Spans
 from woadyard.audit.ledger import AuditState
 from woadyard.audit.questions import out_of_use, version_of, who_acted
@@ -78,8 +78,8 @@
 async def reports() -> dict[str, Any]:
     with TemporaryDirectory() as folder:
         port = free_port()
-        process = await service(Path(folder), port)
-        told = (await register(port, "s-0"))[1]
+        process = await start_registry(Path(folder), port)
+        told = (await register_endpoint(port, "s-0"))[1]
         wire = Wire()
         wire.count()
         orders = AuditHandlers(lambda raw: True, lambda: None, lambda out: None, lambda names: None)
@@ -97,7 +97,7 @@
                 wire.bytes, wire.failed, cpu = 0, 0, cpu_s(process.pid)
                 wire.ms.reset()
                 began = time.perf_counter()
-            told = (await register(port, f"s-{second + 1}"))[1]
+            told = (await register_endpoint(port, f"s-{second + 1}"))[1]
             for one in fleet:
                 one.list_applied(now_us(), LIST_DELTA, told["generation"], [])
             for tick in range(RATE):
@@ -165,7 +165,7 @@
     with TemporaryDirectory() as name:
         async with await endpoint.start(), await registry.start():
             port = free_port()
-            lists = await service(Path(name) / "data", port)
+            lists = await start_registry(Path(name) / "data", port)
             audit = {"audit": {"service": f"127.0.0.1:{port}"}}
             running = {
                 kind: await sidecar(Path(name) / kind, registry, endpoint, **changes)
--- a/benchmarks/discovery_watch.py
+++ b/benchmarks/discovery_watch.py
@@ -26,8 +26,8 @@
 from tests.faults import CUT, PASS, FaultProxy
 from tests.process import free_port
 from tests.sockets import Reader, Writer
-from tests.test_registry import ask, register, service
-from tests.test_replicas import caught_up, end, replica, until
+from tests.test_registry import call_registry, register_endpoint, start_registry
+from tests.test_replicas import has_version, kill_processes, start_follower, wait_for_list
 from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 
@@ -93,7 +93,7 @@
     await fleet.reach(version)
     for n in range(WRITES):
         fleet.wrote = time.perf_counter()
-        await register(writer, f"{name}-{n}")
+        await register_endpoint(writer, f"{name}-{n}")
         version += 1
         await fleet.reach(version)
     fleet.close()
@@ -127,7 +127,7 @@
         await asyncio.sleep(OUTAGE_S)
         proxy.fault(PASS)
         back = time.perf_counter()
-        version = int((await register(port, f"after-{jitter}"))[1]["generation"])
+        version = int((await register_endpoint(port, f"after-{jitter}"))[1]["generation"])
         await fleet.reach(version)
         took = time.perf_counter() - back
         fleet.close()
@@ -144,17 +144,17 @@
     logging.getLogger("woadyard").setLevel(logging.ERROR)  # each client says its outage
     with TemporaryDirectory() as folder:
         ports = [free_port(), free_port()]
-        processes = [await service(Path(folder) / "w", ports[0])]
-        processes.append(await replica(Path(folder) / "r", ports[1], ports[0]))
-        await register(ports[0], "first")
-        await until(ports[1], caught_up(1))
+        processes = [await start_registry(Path(folder) / "w", ports[0])]
+        processes.append(await start_follower(Path(folder) / "r", ports[1], ports[0]))
+        await register_endpoint(ports[0], "first")
+        await wait_for_list(ports[1], has_version(1))
         version = await watch_latency("writer", ports[0], ports[0], 1)
         version = await watch_latency("replica", ports[1], ports[0], version)
         await quiet(ports[0])
         for jitter in (False, True):
             await herd(ports[0], jitter)
-        assert (await ask(ports[0], "GET", INSTANCES_PATH))[0] == 200
-        await end(*processes)
+        assert (await call_registry(ports[0], "GET", INSTANCES_PATH))[0] == 200
+        await kill_processes(*processes)
 
 
 if __name__ == "__main__":
--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -18,7 +18,7 @@
 
 from tests.process import Process
 from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_request, http_response, read_message
-from tests.test_registry import ask
+from tests.test_registry import call_registry
 from woadyard.lists.service import INSTANCES_PATH
 from woadyard.standins import CUT, DELAY, DROP, HERE, PASS, RESET, FaultProxy
 
@@ -193,7 +193,7 @@
         return 0
 
     async def write(self, method: str, target: str, entry: dict[str, Any], which: int = 0) -> int:
-        status, told = await ask(self.ports[which], method, target, json.dumps(entry).encode())
+        status, told = await call_registry(self.ports[which], method, target, json.dumps(entry).encode())
         assert status == 200, told
         return int(told["generation"])
 
@@ -223,7 +223,7 @@
     # --- The ledger -------------------------------------------------------------------
 
     async def told(self, what: str, which: int = 0) -> Any:
-        _, told = await ask(self.ports[which], "GET", f"{AUDIT}/{what}")
+        _, told = await call_registry(self.ports[which], "GET", f"{AUDIT}/{what}")
         return told
 
     async def ledger(self, which: int = 0) -> Counter[tuple[str, str]]:
--- a/tests/test_audit_faults.py
+++ b/tests/test_audit_faults.py
@@ -13,7 +13,7 @@
 from tests.audit_fleet import Fleet, Member
 from tests.faults import DROP
 from tests.sockets import run_test
-from tests.test_registry import ask
+from tests.test_registry import call_registry
 
 SECONDS = float(os.environ.get("AUDIT_FAULT_S", "8"))  # of faults; by hand it is run for longer
 SLACK_MS = 100  # between an endpoint's clock and the service's estimate of a sidecar's
@@ -142,7 +142,7 @@
                 seq += 1
                 call = {"seq": seq, "limit": 10, "of": ["7"], "keeps": {}}
                 target = f"/registry/shares/{name}?ttl_ms={ttl_ms}"
-                return await ask(fleet.ports[0], "POST", target, json.dumps(call).encode())
+                return await call_registry(fleet.ports[0], "POST", target, json.dumps(call).encode())
 
             async def is_out() -> bool:
                 return await fleet.state(one.name) == "shut out"
--- a/tests/test_audit_service.py
+++ b/tests/test_audit_service.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from tests.sockets import run_test
-from tests.test_registry import ask
+from tests.test_registry import call_registry
 from woadyard.audit import Position, Report, Spans
 from woadyard.registry.http import serve
 from woadyard.registry.log import Journal
@@ -29,7 +29,7 @@
         port = await listening
 
         async def post(raw: bytes) -> tuple[int, Any]:
-            return await ask(port, "POST", REPORT, raw)
+            return await call_registry(port, "POST", REPORT, raw)
 
         def told(spans: Spans, at_ms: int) -> Report:
             spans.attempt(at_ms * 1000, at_ms, 1)
@@ -47,9 +47,11 @@
         for n in (3, 1, 0, 3, 2, 1, 2):  # the old incarnation's come late, and all of them twice
             status, answer = await post(msgspec.json.encode(reports[n]))
             assert status == 200 and reports[n].n in answer["acks"]
-        sums = (await ask(port, "GET", "/registry/audit/acted?build=b"))[1]["sidecars"]
+        sums = (await call_registry(port, "GET", "/registry/audit/acted?build=b"))[1]["sidecars"]
         assert sums == {"n1": {"attempts": 4, "refusals": 0, "unsent": 0}}
-        assert (await ask(port, "GET", "/registry/audit/at?name=n1"))[1]["state"] == "gap"  # heard until then
+        assert (await call_registry(port, "GET", "/registry/audit/at?name=n1"))[1][
+            "state"
+        ] == "gap"  # heard until then
         for query in (
             "acted",
             "acted?generation=x",
@@ -58,7 +60,7 @@
             "out-of-use",
             "out-of-use?term=1",
         ):
-            assert (await ask(port, "GET", f"/registry/audit/{query}"))[0] == 400
+            assert (await call_registry(port, "GET", f"/registry/audit/{query}"))[0] == 400
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -98,9 +98,9 @@
         turned = members.ports[seed % 3 :] + members.ports[: seed % 3]
         self.discovery.replicas = [f"127.0.0.1:{port}" for port in turned]
 
-    def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
+    def receive_list(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         before = set(self.names)
-        super().listen(version, whole, entries)
+        super().receive_list(version, whole, entries)
         self.lost |= before - self.names if whole else set()
         self.lost |= {one["instanceId"] for one in entries if one["lifecycle"] == "gone"}
         self.news.set()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The list service as a process: killed under watchers, its leases, a full disk."""
+"""The list service as a process: kills while clients watch, lease expiry, a full disk, invalid calls."""
 
 from __future__ import annotations
 
@@ -17,152 +17,159 @@
 from woadyard.lists.service import INSTANCES_PATH
 from woadyard.net.discovery import Discovery
 
-WATCHERS = 50
-FULL = Path("/dev/full")
+WATCHER_COUNT = 50
+FULL_DEVICE = Path("/dev/full")
 ENTRY = {"hostPort": "127.0.0.1:7070", "zone": "a", "machineType": "m2", "cell": 1, "lifecycle": "ready"}
 
 
-async def service(data: Path, port: int, *more: str) -> Process:
-    """The service, once it listens."""
+async def start_registry(data: Path, port: int, *arguments: str) -> Process:
+    """Start the list service and return its process once it listens."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "woadyard.registry", "--data", str(data),
-        "--listen", f"127.0.0.1:{port}", *more, stderr=asyncio.subprocess.PIPE,
+        "--listen", f"127.0.0.1:{port}", *arguments, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
     assert process.stderr is not None
     while json.loads(await process.stderr.readline())["event"] != "listening":
-        pass  # a replica may follow before it listens
+        pass  # a follower may log other events first
     return process
 
 
-async def ask(
-    port: int, method: str, target: str, body: bytes = b"", text: bool = False, headers: str = ""
+async def call_registry(
+    port: int, method: str, target: str, body: bytes = b"", as_text: bool = False, headers: str = ""
 ) -> tuple[int, Any]:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(
         f"{method} {target} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode()
         + body
     )
-    back = await read_message(reader)
+    response = await read_message(reader)
     writer.close()
-    status = int(back.start_line.split()[1])
-    return status, json.loads(back.body) if status == 200 and not text else back.body.decode()
+    status = int(response.start_line.split()[1])
+    return status, json.loads(response.body) if status == 200 and not as_text else response.body.decode()
 
 
-async def register(port: int, name: str, ttl_ms: int = 60_000) -> tuple[int, Any]:
-    return await ask(port, "PUT", f"{INSTANCES_PATH}/{name}?ttl_ms={ttl_ms}", json.dumps(ENTRY).encode())
+async def register_endpoint(port: int, name: str, ttl_ms: int = 60_000) -> tuple[int, Any]:
+    return await call_registry(
+        port, "PUT", f"{INSTANCES_PATH}/{name}?ttl_ms={ttl_ms}", json.dumps(ENTRY).encode()
+    )
 
 
 class Watcher:
-    """What one sidecar's discovery was told, in order."""
+    """A sidecar's discovery client that records the lists it received, in order."""
 
-    def __init__(self, port: int, seed: int, wanted: int) -> None:
-        self.told: list[tuple[int, bool, int]] = []  # version, whole, entries
+    def __init__(self, port: int, seed: int, expected_version: int) -> None:
+        self.received_lists: list[tuple[int, bool, int]] = []  # version, is full, number of entries
         self.names: set[str] = set()
-        self.wanted, self.reached = wanted, asyncio.Event()
+        self.expected_version, self.version_received = expected_version, asyncio.Event()
         loop = asyncio.get_running_loop()
         self.discovery = Discovery(
-            loop, f"127.0.0.1:{port}", INSTANCES_PATH, True, self.listen, random.Random(seed)
+            loop, f"127.0.0.1:{port}", INSTANCES_PATH, True, self.receive_list, random.Random(seed)
         )
         self.discovery.set_watch(True)
 
-    def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        self.told.append((version, whole, len(entries)))
-        if whole:
-            self.names = {one["instanceId"] for one in entries}
+    def receive_list(self, version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
+        self.received_lists.append((version, is_full, len(entries)))
+        if is_full:
+            self.names = {entry["instanceId"] for entry in entries}
         else:
-            self.names |= {one["instanceId"] for one in entries if one["lifecycle"] != "gone"}
-        if version >= self.wanted:
-            self.reached.set()
+            self.names |= {entry["instanceId"] for entry in entries if entry["lifecycle"] != "gone"}
+        if version >= self.expected_version:
+            self.version_received.set()
 
 
-def test_killed_under_watchers_it_comes_back_at_its_version_and_none_loses_its_list(tmp_path: Path) -> None:
+def test_restart_after_kill_keeps_version_and_watchers_keep_their_lists(tmp_path: Path) -> None:
     async def main() -> None:
         port = free_port()
-        process = await service(tmp_path, port)
+        process = await start_registry(tmp_path, port)
         for n in range(3):
-            assert (await register(port, f"s-{n}"))[0] == 200
-        watchers = [Watcher(port, seed, 3) for seed in range(WATCHERS)]
-        await asyncio.gather(*(one.reached.wait() for one in watchers))
+            assert (await register_endpoint(port, f"s-{n}"))[0] == 200
+        watchers = [Watcher(port, seed, 3) for seed in range(WATCHER_COUNT)]
+        await asyncio.gather(*(watcher.version_received.wait() for watcher in watchers))
         process.send_signal(signal.SIGKILL)
         await process.wait()
-        process = await service(tmp_path, port)
-        assert (await ask(port, "GET", INSTANCES_PATH))[1]["generation"] == 3, "the version outlives kill -9"
-        assert (await register(port, "s-3"))[0] == 200
-        for one in watchers:
-            one.wanted, one.reached = 4, asyncio.Event()
-            if one.told[-1][0] >= 4:
-                one.reached.set()
-        await asyncio.gather(*(one.reached.wait() for one in watchers))
-        for one in watchers:
-            one.discovery.close()
-            versions = [version for version, _, _ in one.told]
-            assert versions == sorted(versions), "no watcher went back to an older version"
-            assert all(count > 0 for _, whole, count in one.told if whole), "no list came empty"
-            assert one.names == {"s-0", "s-1", "s-2", "s-3"}
+        process = await start_registry(tmp_path, port)
+        assert (await call_registry(port, "GET", INSTANCES_PATH))[1]["generation"] == 3, (
+            "the version survives SIGKILL"
+        )
+        assert (await register_endpoint(port, "s-3"))[0] == 200
+        for watcher in watchers:
+            watcher.expected_version, watcher.version_received = 4, asyncio.Event()
+            if watcher.received_lists[-1][0] >= 4:
+                watcher.version_received.set()
+        await asyncio.gather(*(watcher.version_received.wait() for watcher in watchers))
+        for watcher in watchers:
+            watcher.discovery.close()
+            versions = [version for version, _, _ in watcher.received_lists]
+            assert versions == sorted(versions), "no watcher received an older version"
+            assert all(count > 0 for _, is_full, count in watcher.received_lists if is_full), (
+                "no list was empty"
+            )
+            assert watcher.names == {"s-0", "s-1", "s-2", "s-3"}
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
     run_test(main())
 
 
-def test_a_lease_not_renewed_leaves_the_list_and_a_renewed_one_stays(tmp_path: Path) -> None:
+def test_expired_lease_removes_endpoint_and_renewed_lease_keeps_it(tmp_path: Path) -> None:
     async def main() -> None:
         port = free_port()
-        process = await service(tmp_path, port)
-        await register(port, "kept")
-        await register(port, "left", ttl_ms=300)
-        _, listing = await ask(
+        process = await start_registry(tmp_path, port)
+        await register_endpoint(port, "kept")
+        await register_endpoint(port, "left", ttl_ms=300)
+        _, listing = await call_registry(
             port, "GET", f"{INSTANCES_PATH}?index=2&wait=10"
         )  # returns when "left" expires
         assert listing["generation"] == 3
-        assert [one["instanceId"] for one in listing["instances"]] == ["kept"]
-        assert (await ask(port, "POST", f"{INSTANCES_PATH}/kept/renew"))[0] == 200
-        assert (await ask(port, "POST", f"{INSTANCES_PATH}/left/renew"))[0] == 400
+        assert [entry["instanceId"] for entry in listing["instances"]] == ["kept"]
+        assert (await call_registry(port, "POST", f"{INSTANCES_PATH}/kept/renew"))[0] == 200
+        assert (await call_registry(port, "POST", f"{INSTANCES_PATH}/left/renew"))[0] == 400
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
     run_test(main())
 
 
-@pytest.mark.skipif(not FULL.exists(), reason="no /dev/full here")
-def test_a_disk_that_refuses_writes_refuses_them_and_reads_go_on(tmp_path: Path) -> None:
+@pytest.mark.skipif(not FULL_DEVICE.exists(), reason="no /dev/full here")
+def test_full_disk_rejects_writes_and_reads_continue(tmp_path: Path) -> None:
     async def main() -> None:
         port = free_port()
-        process = await service(tmp_path, port)
-        await register(port, "s-0")
+        process = await start_registry(tmp_path, port)
+        await register_endpoint(port, "s-0")
         log = tmp_path / "log"
         log.unlink()
-        log.symlink_to(FULL)  # a disk with no room left: writes fail with ENOSPC
-        status, text = await register(port, "s-1")
+        log.symlink_to(FULL_DEVICE)  # writes fail with ENOSPC, as on a full disk
+        status, text = await register_endpoint(port, "s-1")
         assert status == 507 and json.loads(text)["error"].startswith("can't write")
-        status, listing = await ask(port, "GET", INSTANCES_PATH)
-        assert status == 200 and [one["instanceId"] for one in listing["instances"]] == ["s-0"]
+        status, listing = await call_registry(port, "GET", INSTANCES_PATH)
+        assert status == 200 and [entry["instanceId"] for entry in listing["instances"]] == ["s-0"]
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
     run_test(main())
 
 
-def test_a_replica_that_lags_moves_no_client_back(tmp_path: Path) -> None:
-    """The same address, as a replica behind a balancer that answers from one
-    that lags: its older whole list is not taken, the next newer one is."""
+def test_lagging_replica_does_not_move_client_to_older_list(tmp_path: Path) -> None:
+    """A reconnect to the same address may reach a lagging replica behind a load balancer.
+
+    The client must ignore its older full list and accept the next newer change."""
 
     async def main() -> None:
-        stand_in = FakeDiscovery()
-        async with await stand_in.start():
-            watcher = Watcher(stand_in.port, 1, 0)
-            _, feed = await stand_in.watches.get()
+        fake_discovery = FakeDiscovery()
+        async with await fake_discovery.start():
+            watcher = Watcher(fake_discovery.port, 1, 0)
+            _, feed = await fake_discovery.watches.get()
             push_list(feed, 5, True, {**ENTRY, "instanceId": "s-0"}, {**ENTRY, "instanceId": "s-1"})
-            await watcher.reached.wait()
-            feed.close()  # cut off; the watch comes back to a replica that lags
-            start_line, feed = await stand_in.watches.get()
-            assert "from=5 " in start_line, "the watch resumes from the version held"
+            await watcher.version_received.wait()
+            feed.close()  # the client reconnects, now to a lagging replica
+            start_line, feed = await fake_discovery.watches.get()
+            assert "from=5 " in start_line, "the watch resumes from the last received version"
             push_list(feed, 3, True, {**ENTRY, "instanceId": "s-0"})
             push_list(feed, 6, False, {**ENTRY, "instanceId": "s-2"})
-            watcher.wanted, watcher.reached = 6, asyncio.Event()
-            await watcher.reached.wait()
+            watcher.expected_version, watcher.version_received = 6, asyncio.Event()
+            await watcher.version_received.wait()
             watcher.discovery.close()
-        assert [version for version, _, _ in watcher.told] == [5, 6]
+        assert [version for version, _, _ in watcher.received_lists] == [5, 6]
         assert watcher.names == {"s-0", "s-1", "s-2"}
 
     run_test(main())
@@ -180,20 +187,20 @@
         (b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n", 404),
     ],
 )
-def test_a_bad_call_is_refused_with_a_remedy_and_no_traceback(
+def test_invalid_call_gets_error_with_remedy_and_no_traceback(
     tmp_path: Path, sent: bytes, status: int
 ) -> None:
     async def main() -> None:
         port = free_port()
-        process = await service(tmp_path, port)
+        process = await start_registry(tmp_path, port)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(sent + b"x" * (2_000_000 if status == 413 else 0))
-        back = await read_message(reader)
-        assert int(back.start_line.split()[1]) == status and json.loads(back.body)["remedy"]
-        assert (await register(port, "s-0"))[0] == 200, "and it serves on"
+        response = await read_message(reader)
+        assert int(response.start_line.split()[1]) == status and json.loads(response.body)["remedy"]
+        assert (await register_endpoint(port, "s-0"))[0] == 200, "the service still works"
         writer.close()
         process.send_signal(signal.SIGTERM)
         _, lines = await process.communicate()
-        assert b"Traceback" not in lines and lines.count(b"\n") <= 2, "one line for it, one at the end"
+        assert b"Traceback" not in lines and lines.count(b"\n") <= 2, "one line for the call, one at the stop"
 
     run_test(main())
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -11,8 +11,8 @@
 
 from tests.process import free_port, http_call, sidecar_environ, start_sidecar, wait_until_ready
 from tests.sockets import Endpoint, http_request, read_message, run_test
-from tests.test_registry import ask, service
-from tests.test_replicas import end
+from tests.test_registry import call_registry, start_registry
+from tests.test_replicas import kill_processes
 from woadyard.errors import PeerError
 from woadyard.lists.service import INSTANCES_PATH
 from woadyard.membership.shrink import LOSS_WINDOW_S, ShrinkGuard
@@ -93,15 +93,17 @@
 def test_a_sidecar_keeps_serving_after_all_leases_expire_until_an_operator_accepts(tmp_path: Path) -> None:
     async def main() -> None:
         endpoint, registry_port = Endpoint(), free_port()
-        registry = await service(tmp_path / "r", registry_port)
+        registry = await start_registry(tmp_path / "r", registry_port)
         async with await endpoint.start():
 
             async def renew_leases(ttl_ms: int) -> None:
                 for n in range(3):
                     body = json.dumps(endpoint.entry(f"s-{n}")).encode()
-                    assert (await ask(registry_port, "PUT", f"{INSTANCES_PATH}/s-{n}?ttl_ms={ttl_ms}", body))[
-                        0
-                    ] == 200
+                    assert (
+                        await call_registry(
+                            registry_port, "PUT", f"{INSTANCES_PATH}/s-{n}?ttl_ms={ttl_ms}", body
+                        )
+                    )[0] == 200
 
             await renew_leases(60_000)
             port, admin_port = free_port(), free_port()
@@ -125,7 +127,7 @@
 
             await wait_for_metric("woadyard_list_version 3.0")
             await renew_leases(1)
-            while (listing := (await ask(registry_port, "GET", INSTANCES_PATH))[1])["instances"]:
+            while (listing := (await call_registry(registry_port, "GET", INSTANCES_PATH))[1])["instances"]:
                 await asyncio.sleep(0.02)
             await wait_for_metric(f"woadyard_list_version {listing['generation']}.0")
             assert await status("r1") == "200"
@@ -134,6 +136,6 @@
             await wait_for_metric("woadyard_list_held 0.0")
             assert await status("r2") != "200", "the operator accepted the empty list"
             assert (await http_call(admin_port, "POST", "/_list/accept")).start_line.split()[1] == "409"
-        await end(registry, process)
+        await kill_processes(registry, process)
 
     run_test(main())
