--- a/tests/test_audit_service.py
+++ b/tests/test_audit_service.py
@@ -55,9 +55,7 @@
         sums = (await call_registry(port, "GET", "/registry/audit/acted?build=b"))[1]["sidecars"]
         assert sums == {"n1": {"attempts": 4, "refusals": 0, "unsent": 0}}
         # The current time is after its last report.
-        assert (await call_registry(port, "GET", "/registry/audit/at?name=n1"))[1][
-            "state"
-        ] == "gap"
+        assert (await call_registry(port, "GET", "/registry/audit/at?name=n1"))[1]["state"] == "gap"
         for query in (
             "acted",
             "acted?generation=x",
