--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -47,7 +47,10 @@
 class DeposedError(StateError):
     """Another process is, or was, the leader of a greater term."""
 
-    remedy = "start this process with --follow and the address of the current leader; if there is none, start the process with the longest log with --take-over"
+    remedy = (
+        "start this process with --follow and the address of the current leader; if there is none, "
+        "start the process with the longest log with --take-over"
+    )
 
 
 class NoLeaderError(DeposedError):
