--- a/tests/election_world.py
+++ b/tests/election_world.py
@@ -1,4 +1,4 @@
-"""A log's members on a simulated clock and network: the election as it runs, replication in small."""
+"""Members of one log on a simulated clock and network: the real election and a minimal replication."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 TICK_S, POLL_S, CALL_S = 0.05, 0.25, 1.0
 TIMING = Timing()
-Entry = tuple[int, str]  # term and what was written
+Entry = tuple[int, str]  # term and payload
 
 
 @dataclass
 class Disk:
-    """What outlives a crash; a new identity where it was wiped."""
+    """The state that survives a crash; a wiped disk comes back under a new name."""
 
     name: str
     ballot: Ballot = field(default_factory=Ballot)
@@ -39,148 +39,154 @@
 
 
 class Member:
-    """One process: the election as it runs, and the replication of log.py and follow.py in small."""
+    """One process: the real election, and a minimal form of the replication in log.py and follow.py."""
 
     def __init__(self, world: World, address: str, disk: Disk) -> None:
         self.world, self.address, self.disk = world, address, disk
-        peers = [one for one in world.addresses if one != address]
-        self.election = Election(disk.name, peers, disk.ballot, self.position, world.rng, world.now, TIMING)
-        self.copies, self.led, self.began = ReplicationProgress(self.election.quorum_peers), 0, 0
+        peers = [peer for peer in world.addresses if peer != address]
+        self.election = Election(disk.name, peers, disk.ballot, self.log_state, world.rng, world.now, TIMING)
+        self.progress, self.leader_term, self.first_index = (
+            ReplicationProgress(self.election.quorum_peers),
+            0,
+            0,
+        )
         self.pending: list[tuple[int, str]] = []
 
-    def position(self) -> LogState:
+    def log_state(self) -> LogState:
         log = self.disk.log
         return LogState("a" if log else "", (log[-1][0] if log else 0, len(log)))
 
-    def act(self, calls: list[Outgoing]) -> None:
-        """The ballot first, then the role, then what is sent: as the elector does."""
+    def apply_turn(self, messages: list[Outgoing]) -> None:
+        """Stores the ballot, then updates the role, then sends, in the order of `Elector`."""
         election = self.election
         self.disk.ballot = election.ballot
-        if election.role == LEADER and self.led != election.term:
-            self.led = election.term
-            assert self.world.leaders.setdefault(self.led, self.disk.name) == self.disk.name
-            self.disk.log.append((self.led, "lead"))
-            self.copies, self.pending, self.began = (
+        if election.role == LEADER and self.leader_term != election.term:
+            self.leader_term = election.term
+            assert self.world.leaders.setdefault(self.leader_term, self.disk.name) == self.disk.name
+            self.disk.log.append((self.leader_term, "lead"))
+            self.progress, self.pending, self.first_index = (
                 ReplicationProgress(election.quorum_peers),
                 [],
                 len(self.disk.log),
             )
-        for peer, message in calls:
+        for peer, message in messages:
             self.world.send(self, peer, message)
 
     def tick(self) -> None:
-        self.act(self.election.tick(self.world.now))
+        self.apply_turn(self.election.tick(self.world.now))
 
-    def write(self, what: str) -> bool:
+    def write(self, payload: str) -> bool:
         if self.election.role != LEADER:
             return False
-        self.disk.log.append((self.led, what))
-        self.pending.append((len(self.disk.log), what))
+        self.disk.log.append((self.leader_term, payload))
+        self.pending.append((len(self.disk.log), payload))
         return True
 
     def receive(self, message: Message) -> PeerResponse:
         if isinstance(message, VoteRequest):
-            found = self.election.handle_vote_request(message, self.world.now)
+            response = self.election.handle_vote_request(message, self.world.now)
         else:
-            found = self.election.handle_heartbeat(message, self.world.now)
-        self.act([])
-        return found
+            response = self.election.handle_heartbeat(message, self.world.now)
+        self.apply_turn([])
+        return response
 
     def poll(self) -> None:
-        """A follower asks for what it lacks, and proves what it has."""
+        """As a follower, fetches missing entries from the leader and reports its own log."""
         peer = self.election.address_of(self.election.leader)
         if self.election.role == FOLLOWER and peer is not None:
-            asked = self.election.term, self.disk.name, list(self.disk.log)
-            self.world.exchange(self.address, peer, lambda at: at.polled(*asked), self.take)
+            arguments = self.election.term, self.disk.name, list(self.disk.log)
+            self.world.exchange(self.address, peer, lambda leader: leader.serve_poll(*arguments), self.take)
 
-    def polled(self, term: int, name: str, log: list[Entry]) -> tuple[int, list[Entry]] | None:
+    def serve_poll(self, term: int, name: str, log: list[Entry]) -> tuple[int, list[Entry]] | None:
         self.election.observe_term(term, self.world.now)
-        self.act([])
+        self.apply_turn([])
         if self.election.role != LEADER:
             return None
         if self.disk.log[: len(log)] == log and self.election.record_poll(name, len(log), self.world.now):
-            self.copies.record_match(name, len(log), self.world.now)
-        held = self.copies.advance_commit(len(self.disk.log), self.world.now)
-        for index, what in list(self.pending):
-            if index <= held and held >= self.began:
-                self.pending.remove((index, what))
-                self.world.answered.append((index, (self.led, what)))
-        return self.led, list(self.disk.log)
-
-    def take(self, told: tuple[int, list[Entry]] | None) -> None:
-        if told is not None and told[0] >= self.election.term:
-            log = told[1]
+            self.progress.record_match(name, len(log), self.world.now)
+        committed = self.progress.advance_commit(len(self.disk.log), self.world.now)
+        for index, payload in list(self.pending):
+            if index <= committed and committed >= self.first_index:
+                self.pending.remove((index, payload))
+                self.world.acknowledged.append((index, (self.leader_term, payload)))
+        return self.leader_term, list(self.disk.log)
+
+    def take(self, response: tuple[int, list[Entry]] | None) -> None:
+        if response is not None and response[0] >= self.election.term:
+            log = response[1]
             if self.disk.log != log[: len(self.disk.log)] or len(log) > len(self.disk.log):
                 self.disk.log = log
 
 
 class World:
-    """Members on one clock, and links that lose, delay and are cut."""
+    """Members on one simulated clock, with links that drop, delay or are cut."""
 
     def __init__(self, count: int, seed: int, founded: bool = True) -> None:
         self.rng, self.now = random.Random(seed), 0.0
         self.addresses = [f"m{n}" for n in range(count)]
         self.loss, self.delay = 0.0, (0.0005, 0.002)
-        self.cut: set[tuple[str, str]] = set()  # from, to
+        self.cut: set[tuple[str, str]] = set()  # (from, to)
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.count, self.identities = 0, 0
         self.leaders: dict[int, str] = {}
-        self.answered: list[tuple[int, Entry]] = []
+        self.acknowledged: list[tuple[int, Entry]] = []
         self.members: dict[str, Member] = {}
         self.down: dict[str, Disk] = {}
-        for one in self.addresses:
-            self.down[one] = Disk(self.identity(), Ballot(standing=MEMBER if founded else NEW))
-            self.start(one)
-        for one in self.addresses:
-            self.every(one, TICK_S, lambda member: member.tick())
-            self.every(one, POLL_S, lambda member: member.poll())
+        for address in self.addresses:
+            self.down[address] = Disk(self.identity(), Ballot(standing=MEMBER if founded else NEW))
+            self.start(address)
+        for address in self.addresses:
+            self.every(address, TICK_S, lambda member: member.tick())
+            self.every(address, POLL_S, lambda member: member.poll())
 
     def identity(self) -> str:
         self.identities += 1
         return f"id-{self.identities}"
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def call_at(self, at_s: float, callback: Callable[[], None]) -> None:
         self.count += 1
-        heapq.heappush(self.events, (when, self.count, what))
+        heapq.heappush(self.events, (at_s, self.count, callback))
 
-    def every(self, address: str, period: float, what: Callable[[Member], None]) -> None:
-        def turn() -> None:
+    def every(self, address: str, period_s: float, callback: Callable[[Member], None]) -> None:
+        def repeat() -> None:
             if address in self.members:
-                what(self.members[address])
-            self.at(self.now + period * self.rng.uniform(0.9, 1.1), turn)
+                callback(self.members[address])
+            self.call_at(self.now + period_s * self.rng.uniform(0.9, 1.1), repeat)
 
-        self.at(self.now + self.rng.uniform(0.0, period), turn)
+        self.call_at(self.now + self.rng.uniform(0.0, period_s), repeat)
 
-    def until(self, when: float) -> None:
-        while self.events and self.events[0][0] <= when:
-            self.now, _, what = heapq.heappop(self.events)
-            what()
-        self.now = when
+    def run_until(self, at_s: float) -> None:
+        while self.events and self.events[0][0] <= at_s:
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
+        self.now = at_s
 
     def exchange(
-        self, here: str, there: str, call: Callable[[Member], Any], back: Callable[[Any], None]
+        self, origin: str, target: str, call: Callable[[Member], Any], on_response: Callable[[Any], None]
     ) -> None:
-        """A call and its answer; each may be lost, and each end may have been started anew."""
-        caller, ends = self.members[here], self.now + CALL_S
+        """Sends a call and its response; each may be lost, and each end may have been restarted meanwhile."""
+        caller, deadline_s = self.members[origin], self.now + CALL_S
 
-        def passes(origin: str, target: str) -> bool:
-            return (origin, target) not in self.cut and self.rng.random() >= self.loss
+        def is_delivered(sender: str, receiver: str) -> bool:
+            return (sender, receiver) not in self.cut and self.rng.random() >= self.loss
 
         def arrive() -> None:
-            if passes(here, there) and (found := self.members.get(there)) is not None:
-                told = call(found)
-                self.at(self.now + self.rng.uniform(*self.delay), lambda: answer(told))
+            if is_delivered(origin, target) and (member := self.members.get(target)) is not None:
+                response = call(member)
+                self.call_at(self.now + self.rng.uniform(*self.delay), lambda: respond(response))
 
-        def answer(told: Any) -> None:
-            if passes(there, here) and self.members.get(here) is caller and self.now < ends:
-                back(told)
+        def respond(response: Any) -> None:
+            if is_delivered(target, origin) and self.members.get(origin) is caller and self.now < deadline_s:
+                on_response(response)
 
-        self.at(self.now + self.rng.uniform(*self.delay), arrive)
+        self.call_at(self.now + self.rng.uniform(*self.delay), arrive)
 
     def send(self, member: Member, peer: str, message: Message) -> None:
         self.exchange(
-            member.address, peer, lambda at: at.receive(message),
-            lambda reply: member.act(member.election.handle_response(peer, message, reply, self.now)),
+            member.address, peer, lambda receiver: receiver.receive(message),
+            lambda response: member.apply_turn(
+                member.election.handle_response(peer, message, response, self.now)
+            ),
         )  # fmt: skip
 
     def start(self, address: str) -> None:
@@ -190,33 +196,35 @@
         self.down[address] = self.members.pop(address).disk
 
     def isolate(self, address: str) -> None:
-        for one in self.addresses:
-            self.cut |= {(one, address), (address, one)}
+        for other in self.addresses:
+            self.cut |= {(other, address), (address, other)}
 
     def leader(self) -> Member | None:
-        """The one of the greatest term."""
-        found = [one for one in self.members.values() if one.election.role == LEADER]
-        return max(found, key=lambda one: one.led, default=None)
-
-    def write(self, what: str) -> None:
-        """At all that believe that they write: the answers say which did."""
-        for one in self.members.values():
-            one.write(f"{what}@{one.address}")
-
-    def until_answered(self, what: str, bound_s: float) -> float:
-        """Writes until one is answered, s; a failure past the bound."""
-        began, count = self.now, len(self.answered)
-        while len(self.answered) == count:
-            assert self.now - began < bound_s, f"no write was answered within {bound_s} s"
-            self.write(what)
-            self.until(self.now + TICK_S)
-        return self.now - began
+        """The leader of the greatest term."""
+        leaders = [member for member in self.members.values() if member.election.role == LEADER]
+        return max(leaders, key=lambda member: member.leader_term, default=None)
+
+    def write(self, payload: str) -> None:
+        """Writes at every member that believes it leads; `acknowledged` shows which of them did."""
+        for member in self.members.values():
+            member.write(f"{payload}@{member.address}")
+
+    def write_until_acknowledged(self, payload: str, bound_s: float) -> float:
+        """Writes until a write is acknowledged; returns the time it took, s. Fails past `bound_s`."""
+        start_s, count = self.now, len(self.acknowledged)
+        while len(self.acknowledged) == count:
+            assert self.now - start_s < bound_s, f"no write was acknowledged within {bound_s} s"
+            self.write(payload)
+            self.run_until(self.now + TICK_S)
+        return self.now - start_s
 
     def check(self) -> None:
-        """Each answered write is where it was answered, in the log of a majority, and so at
-        whoever leads by the greatest term."""
+        """Checks that each acknowledged write is still at its index, in the log of a majority and so in that
+        of the leader of the greatest term."""
         leader = self.leader()
         assert leader is not None
-        assert len({index for index, _ in self.answered}) == len(self.answered), "two writers answered"
-        for index, entry in self.answered:
+        assert len({index for index, _ in self.acknowledged}) == len(self.acknowledged), (
+            "two leaders acknowledged one index"
+        )
+        for index, entry in self.acknowledged:
             assert leader.disk.log[index - 1] == entry, f"lost: {entry} at {index}"
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -1,7 +1,7 @@
-"""One owner of a test's processes, proxies, endpoints and folders: it ends them all.
+"""Test harness that owns a test's processes, proxies, endpoints and folders, and stops them all at its end.
 
-Processes are the real program. Their logs go to files, so that no line is lost and none is
-waited for at the wrong moment; waits are on events and have the test's whole time.
+Processes run the real program. Their logs go to files, so that no line is lost and a line may be waited
+for after it was written. Waits are for events and are bounded only by the test's own timeout.
 """
 
 from __future__ import annotations
@@ -30,15 +30,17 @@
 
 
 def free_port() -> int:
-    """A port that the system gives nobody else for a minute: a connection of it is
-    still in TIME_WAIT, and who binds it by its number may."""
-    with socket.create_server(("127.0.0.1", 0)) as found:
-        port: int = found.getsockname()[1]
-        with socket.create_connection(("127.0.0.1", port)), found.accept()[0]:
+    """Returns a port that the system assigns to nobody else for a minute: one of its connections is in
+    TIME_WAIT, which still allows an explicit bind."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port: int = listener.getsockname()[1]
+        with socket.create_connection(("127.0.0.1", port)), listener.accept()[0]:
             return port
 
 
 class HttpResponse(NamedTuple):
+    """Status, body and headers of an HTTP response."""
+
     status: int
     text: str
     headers: dict[str, str]
@@ -49,25 +51,27 @@
 
 
 async def call(port: int, method: str, path: str, body: Any = None, **headers: str) -> HttpResponse:
-    """One call, as soon as somebody listens; a body that is no text or bytes is sent as JSON."""
+    """Sends one request, retried until the port accepts it; a body other than text or bytes becomes JSON."""
     data = body if body is None or isinstance(body, str | bytes) else json.dumps(body)
     url = f"http://127.0.0.1:{port}{path}"
     while True:
         with contextlib.suppress(aiohttp.ClientConnectorError):
             async with aiohttp.request(
                 method, url, data=data, headers=headers, allow_redirects=False
-            ) as back:
-                return HttpResponse(back.status, await back.text(), dict(back.headers))
+            ) as response:
+                return HttpResponse(response.status, await response.text(), dict(response.headers))
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def _kill_with_parent() -> None:
-    ctypes.CDLL(None).prctl(1, signal.SIGKILL)  # PR_SET_PDEATHSIG: also where the tests are killed
+    ctypes.CDLL(None).prctl(
+        1, signal.SIGKILL
+    )  # PR_SET_PDEATHSIG: the process dies with the tests, also if they are killed
 
 
 @dataclass
 class Program:
-    """One process, which may be started again; `port` serves, `door` is the operators'."""
+    """A process, which may be restarted; `port` serves requests, `admin_port` is the admin listener's."""
 
     name: str
     folder: Path
@@ -79,40 +83,41 @@
     cwd: Path | None = None
     log_lines: list[dict[str, Any]] = field(default_factory=list)
     matched_lines: set[int] = field(default_factory=set)
-    statuses: Counter[int] = field(default_factory=Counter)  # that the load got
+    statuses: Counter[int] = field(default_factory=Counter)  # of the responses to `run_load`
 
     def __post_init__(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
         self.log_path = self.folder / f"{self.name}.log"
-        self.log_path.unlink(missing_ok=True)  # of another process of that name
+        self.log_path.unlink(missing_ok=True)  # left by an earlier process of this name
 
     def start(self) -> None:
-        with self.log_path.open("ab") as errors:
+        with self.log_path.open("ab") as log_file:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", *self.arguments], env=self.environ, stdin=subprocess.DEVNULL,
-                stdout=errors, stderr=errors, cwd=self.cwd, pass_fds=self.inherited_fds,
+                stdout=log_file, stderr=log_file, cwd=self.cwd, pass_fds=self.inherited_fds,
                 preexec_fn=_kill_with_parent,
             )  # fmt: skip
 
-    def send_signal(self, number: int = signal.SIGTERM) -> None:
+    def signal_process(self, number: int = signal.SIGTERM) -> None:
         self.process.send_signal(number)
 
     async def wait_exit(self) -> int:
-        """Its exit code, once it is over."""
+        """Waits until the process exits; returns its exit code."""
         while (code := self.process.poll()) is None:
             await asyncio.sleep(POLL_INTERVAL_S)
         return code
 
     async def wait_logged(self, event: str, **fields: Any) -> dict[str, Any]:
-        """The next line of its log with that event and these fields that was not asked for before."""
+        """Returns the next log line with this event and fields; each line matches only once. Fails if the
+        process exits without writing it."""
         while True:
-            over = self.process.poll() is not None
+            has_exited = self.process.poll() is not None
             self._read_log()
             for n, line in enumerate(self.log_lines):
                 if n not in self.matched_lines and line["event"] == event and fields.items() <= line.items():
                     self.matched_lines.add(n)
                     return line
-            assert not over, f"{self.name} ended without saying {event!r}: {self.log_lines[-5:]}"
+            assert not has_exited, f"{self.name} exited without logging {event!r}: {self.log_lines[-5:]}"
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def events(self) -> list[str]:
@@ -121,11 +126,11 @@
 
     def _read_log(self) -> None:
         text = self.log_path.read_text(errors="replace")
-        whole = text[: text.rfind("\n") + 1].splitlines()[len(self.log_lines) :]
-        for line in whole:
+        new_lines = text[: text.rfind("\n") + 1].splitlines()[len(self.log_lines) :]
+        for line in new_lines:
             try:
                 self.log_lines.append(json.loads(line))
-            except ValueError:  # a traceback, or Python's own words
+            except ValueError:  # a traceback, or a message of the interpreter
                 self.log_lines.append({"event": line})
 
     async def wait_ready(self) -> None:
@@ -136,20 +141,20 @@
         return (await call(self.admin_port or self.port, "GET", "/_metrics")).text
 
     async def wait_metric(self, line: str) -> None:
-        """Returns once its metrics hold the line."""
+        """Waits until the metrics contain the line."""
         while f"\n{line}\n" not in await self.metrics():
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def request(self, raw: bytes | None = None, **parts: Any) -> Message:
-        """One request on a connection of its own; `parts` are those of tests.sockets.request."""
+        """Sends one request on a new connection; `parts` are arguments of tests.sockets.http_request."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         with contextlib.closing(writer):
             writer.write(raw or http_request(**parts))
             return await read_message(reader)
 
-    async def run_load(self, callers: int = 4, pause_s: float = 0.005, **parts: Any) -> None:
-        """Requests one after another on each of the callers' connections, until cancelled."""
-        await asyncio.gather(*(self._run_client(n, pause_s, parts) for n in range(callers)))
+    async def run_load(self, clients: int = 4, pause_s: float = 0.005, **parts: Any) -> None:
+        """Sends sequential requests on one connection for each client, until cancelled."""
+        await asyncio.gather(*(self._run_client(n, pause_s, parts) for n in range(clients)))
 
     async def _run_client(self, number: int, pause_s: float, parts: dict[str, Any]) -> None:
         sent = 0
@@ -159,27 +164,31 @@
                 writer.write(
                     http_request(rid=f"{self.name}-{number}-{id(writer)}-{(sent := sent + 1)}", **parts)
                 )
-                back = await read_message(reader)
-                self.statuses[int(back.start_line.split()[1])] += 1
+                response = await read_message(reader)
+                self.statuses[int(response.start_line.split()[1])] += 1
                 await asyncio.sleep(pause_s)
 
 
-def address(of: Any) -> str:
-    """Of a port, or of what has one; several are joined by commas; text is an address already."""
-    if isinstance(of, str):
-        return of
-    if isinstance(of, Sequence):
-        return ",".join(address(one) for one in of)
-    return f"127.0.0.1:{of if isinstance(of, int) else of.port}"
+def address(target: Any) -> str:
+    """Returns HOST:PORT of a port number or an object with a port; joins several by commas, and returns
+    text unchanged."""
+    if isinstance(target, str):
+        return target
+    if isinstance(target, Sequence):
+        return ",".join(address(each) for each in target)
+    return f"127.0.0.1:{target if isinstance(target, int) else target.port}"
 
 
-def list_entries(found: Sequence[Any]) -> list[dict[str, Any]]:
-    """List entries of endpoints, or entries as they are."""
-    return [one if isinstance(one, dict) else one.entry(f"s-{n}") for n, one in enumerate(found)]
+def list_entries(endpoints: Sequence[Any]) -> list[dict[str, Any]]:
+    """Returns the list entries of endpoints; entries that are given as dictionaries stay as they are."""
+    return [
+        endpoint if isinstance(endpoint, dict) else endpoint.entry(f"s-{n}")
+        for n, endpoint in enumerate(endpoints)
+    ]
 
 
 class Lab:
-    """Use it as the fixture `lab`."""
+    """Starts and owns the processes of one test; provided by the fixture `lab`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -195,12 +204,19 @@
         return program
 
     async def service(self, name: str = "list", follow: Any = None, *more: str, port: int = 0) -> Program:
-        """The list service, once it listens; `follow` makes it a replica of that one."""
+        """Starts a list service and waits until it listens; with `follow` it is a follower of that one."""
         port, folder = port or free_port(), self.folder / name
-        words = ["woadyard.registry", "--data", str(folder / "data"), "--listen", f"127.0.0.1:{port}", *more]
+        arguments = [
+            "woadyard.registry",
+            "--data",
+            str(folder / "data"),
+            "--listen",
+            f"127.0.0.1:{port}",
+            *more,
+        ]
         if follow is not None:
-            words += ["--follow", address(follow)]
-        program = self.run(Program(name, folder, words, dict(os.environ), port))
+            arguments += ["--follow", address(follow)]
+        program = self.run(Program(name, folder, arguments, dict(os.environ), port))
         await program.wait_logged("listening")
         return program
 
@@ -213,21 +229,21 @@
         wait: bool = True,
         **config: Any,
     ) -> Program:
-        """A sidecar with its door, ready (`wait`). It knows `endpoints` from its file, unless a list
-        service is named and they are not. `config` changes keys of its file."""
+        """Starts a sidecar with an admin listener; `wait` waits until it is ready. Its configuration file
+        lists `endpoints`, unless only a discovery service is named. `config` overrides keys of the file."""
         folder = self.folder / name
         folder.mkdir(parents=True, exist_ok=True)
         known = {"generation": 1, "reset": True, "instances": list_entries(endpoints)}
-        port, door, path = free_port(), free_port(), folder / "config.json"
+        port, admin_port, path = free_port(), free_port(), folder / "config.json"
         raw = {
-            "name": name, "listen": f"127.0.0.1:{port}", "console": f"127.0.0.1:{door}",
+            "name": name, "listen": f"127.0.0.1:{port}", "console": f"127.0.0.1:{admin_port}",
             "discovery": address(discovery), "seed": "8c1f", "limits": {"sockets": 1024},
             "settings": SETTINGS, "known": known if endpoints or not discovery else None, **config,
         }  # fmt: skip
         path.write_text(json.dumps(raw))
-        told = {"LB_CONFIG": str(path), "LB_NAME": name, "TMPDIR": str(folder), **(environ or {})}
-        made = Program(name, folder, ["woadyard"], {**os.environ, **told}, port, door)
-        program = self.run(made)
+        variables = {"LB_CONFIG": str(path), "LB_NAME": name, "TMPDIR": str(folder), **(environ or {})}
+        unstarted = Program(name, folder, ["woadyard"], {**os.environ, **variables}, port, admin_port)
+        program = self.run(unstarted)
         if wait:
             await program.wait_ready()
         return program
@@ -239,7 +255,7 @@
         return proxy
 
     async def endpoint(self, handler: Handler = serve_ok, host: str = "127.0.0.1") -> Endpoint:
-        """An endpoint inside the test that answers by `handler` and keeps what it was sent."""
+        """Starts an endpoint in the test's process that answers by `handler` and records the requests."""
         endpoint = Endpoint(handler)
         endpoint.host = host
         self.servers.append(await endpoint.start())
@@ -248,29 +264,29 @@
     async def stand_in(
         self, name: str = "s-0", kind: str = "small", seed: int = 0, **changes: Any
     ) -> StandIn:
-        """An endpoint to the protocol inside the test, with drawn times; it counts what it is sent."""
-        one = StandIn(name, manner(kind, **changes), seed)
-        await one.start()
-        return one
+        """Starts a simulated endpoint in this process, with random service times; it counts requests."""
+        endpoint = StandIn(name, manner(kind, **changes), seed)
+        await endpoint.start()
+        return endpoint
 
     async def listen(self, listener: Any) -> Any:
-        """Starts a listener of the test's own kind."""
+        """Starts a listener that the test itself defines."""
         self.servers.append(await listener.start())
         return listener
 
     async def register(self, service: Any, name: str, entry: Any, ttl_ms: int = 60_000) -> HttpResponse:
-        """A lease at the list service."""
+        """Registers an endpoint with a lease at the list service."""
         path = f"/registry/instances/{name}?ttl_ms={ttl_ms}"
         return await call(service.port, "PUT", path, entry if isinstance(entry, dict) else entry.entry(name))
 
     async def kill(self, *programs: Program, number: int = signal.SIGKILL) -> None:
-        for one in programs:
-            one.send_signal(number)
-        for one in programs:
-            await one.wait_exit()
+        for program in programs:
+            program.signal_process(number)
+        for program in programs:
+            await program.wait_exit()
 
     async def restart(self, program: Program, number: int = signal.SIGKILL) -> Program:
-        """Ended by a signal and started anew, with its ports, folder and file."""
+        """Stops the process by a signal and starts it again, with the same ports, folder and file."""
         await self.kill(program, number=number)
         program.start()
         if program.admin_port:
@@ -280,11 +296,11 @@
         return program
 
     def close(self) -> None:
-        for one in self.programs:
-            one.process.kill()
-        for one in self.programs:
-            one.process.wait()
-        with contextlib.suppress(RuntimeError):  # a loop that ended has closed them
+        for program in self.programs:
+            program.process.kill()
+        for program in self.programs:
+            program.process.wait()
+        with contextlib.suppress(RuntimeError):  # already closed together with the event loop
             for proxy in self.proxies:
                 proxy.close()
             for server in self.servers:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -179,9 +179,9 @@
         if (node := self._idle_node()) is None:
             return
         with self._acting_on(node, away=False):
-            node.program.send_signal(signal.SIGSTOP)
+            node.program.signal_process(signal.SIGSTOP)
             await asyncio.sleep(HELD_UP_S)
-            node.program.send_signal(signal.SIGCONT)
+            node.program.signal_process(signal.SIGCONT)
 
     async def _move(self) -> None:
         """A new configuration names another address of discovery."""
@@ -193,7 +193,7 @@
             now = int(raw["discovery"].rpartition(":")[2])
             raw["discovery"] = f"127.0.0.1:{ports[1 - ports.index(now)]}"
             node.config.write_text(json.dumps(raw))
-            node.program.send_signal(signal.SIGHUP)
+            node.program.signal_process(signal.SIGHUP)
             self.record.moves.append((time.monotonic(), node.program.name))
 
     # --- Clients --------------------------------------------------------------------
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The owner of processes and proxies: nothing is left of a test that fails or hangs; the proxy's faults."""
+"""The test harness leaves no process of a failed or hung test behind, and the proxy injects its faults."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
     print("pids", service.process.pid, sidecar.process.pid)
     {ending}
 """
-# Its time is up at once: the signal is the one that the limit comes with.
+# Times out at once: SIGALRM is the signal that the time limit of a test uses.
 HANG = "os.kill(os.getpid(), signal.SIGALRM); await asyncio.Event().wait()"
 
 
 @pytest.mark.parametrize("ending", ["assert False", HANG], ids=["fails", "hangs"])
-async def test_a_test_that_ends_midway_leaves_no_process(tmp_path: Path, ending: str) -> None:
+async def test_an_aborted_test_leaves_no_process(tmp_path: Path, ending: str) -> None:
     (tmp_path / "test_sample.py").write_text(SAMPLE.replace("{ending}", ending))
-    words = ["-c", "pyproject.toml", "-p", "no:cacheprovider", str(tmp_path)]
+    arguments = ["-c", "pyproject.toml", "-p", "no:cacheprovider", str(tmp_path)]
     run = await asyncio.to_thread(
-        subprocess.run, [sys.executable, "-m", "pytest", *words], cwd=ROOT, capture_output=True, text=True
+        subprocess.run, [sys.executable, "-m", "pytest", *arguments], cwd=ROOT, capture_output=True, text=True
     )
     assert run.returncode == 1 and "1 failed" in run.stdout
     (line,) = (line for line in run.stdout.splitlines() if line.startswith("pids "))
     assert not [pid for pid in line.split()[1:] if Path("/proc", pid).exists()]
 
 
-async def passes(proxy: FaultProxy, within_s: float = 60.0) -> bool:
-    """Whether a request through the proxy gets its answer."""
+async def is_reachable(proxy: FaultProxy, within_s: float = 60.0) -> bool:
+    """Whether a request through the proxy gets its response."""
     try:
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
@@ -54,33 +54,33 @@
         return False
 
 
-async def test_each_fault_and_back(lab: Lab) -> None:
+async def test_each_fault_takes_effect_and_ends(lab: Lab) -> None:
     endpoint = await lab.endpoint()
     proxy = await lab.proxy(endpoint)
-    faults: list[tuple[str, dict[str, Any], int]] = [  # and what the endpoint gets of a request
+    faults: list[tuple[str, dict[str, Any], int]] = [  # and how many requests arrive
         (DROP, {}, 0), (DROP, {"way": THERE}, 0), (DROP, {"way": HERE}, 1), (RESET, {}, 0), (CUT, {}, 0),
     ]  # fmt: skip
-    for mode, changes, arrive in faults:
+    for mode, changes, arriving in faults:
         before = len(endpoint.received)
         proxy.fault(mode, **changes)
-        if arrive:
-            asked = asyncio.ensure_future(passes(proxy))
+        if arriving:
+            pending = asyncio.ensure_future(is_reachable(proxy))
             await endpoint.request_arrived.acquire()
-            asked.cancel()
+            pending.cancel()
         else:
-            assert not await passes(proxy, 0.2 if mode == DROP else 60.0)
-        assert len(endpoint.received) == before + arrive, (mode, changes)
+            assert not await is_reachable(proxy, 0.2 if mode == DROP else 60.0)
+        assert len(endpoint.received) == before + arriving, (mode, changes)
         proxy.fault(PASS)
-        assert await passes(proxy)
+        assert await is_reachable(proxy)
         await endpoint.request_arrived.acquire()
     loop = asyncio.get_running_loop()
     for fault in (Fault(DELAY, (0.1, 0.2)), Fault(rate=200.0)):
         proxy.fault(fault)
         began = loop.time()
-        assert await passes(proxy) and loop.time() - began >= 0.1
+        assert await is_reachable(proxy) and loop.time() - began >= 0.1
 
 
-async def test_what_comes_after_lost_bytes_on_a_connection_is_lost_too(lab: Lab) -> None:
+async def test_bytes_after_dropped_ones_on_a_connection_are_dropped_too(lab: Lab) -> None:
     endpoint: Endpoint = await lab.endpoint()
     proxy = await lab.proxy(endpoint)
     _, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
@@ -90,10 +90,12 @@
         await asyncio.sleep(0.01)
     proxy.fault(PASS)
     writer.write(b"\r\nGET /after HTTP/1.1\r\n\r\n")
-    assert await passes(proxy) and [one.start_line.split()[1] for one in endpoint.received] == ["/page"]
+    assert await is_reachable(proxy) and [message.start_line.split()[1] for message in endpoint.received] == [
+        "/page"
+    ]
 
 
-async def test_a_drawn_schedule_is_its_seeds_and_ends_healed() -> None:
+async def test_a_random_schedule_depends_on_its_seed_and_ends_without_faults() -> None:
     links = [f"l{n}" for n in range(3)]
     assert drawn(7, links, 20.0) == drawn(7, links, 20.0) != drawn(8, links, 20.0)
     proxies = {link: FaultProxy() for link in links}
@@ -102,6 +104,6 @@
 
 
 @pytest.mark.parametrize("bad", [{"mode": "melt"}, {"way": "up"}, {"delay_s": (2.0, 1.0)}, {"rate": -1.0}])
-def test_a_fault_that_is_none_is_refused(bad: dict[str, Any]) -> None:
+def test_an_invalid_fault_is_rejected(bad: dict[str, Any]) -> None:
     with pytest.raises(ConfigError):
         Fault(**{"mode": PASS, "way": BOTH, **bad})
--- a/tests/test_quickstart.py
+++ b/tests/test_quickstart.py
@@ -40,7 +40,7 @@
     headers = dict(word.split(": ") for word in shlex.split(curl) if ": " in word)
     response = await call(port, "GET", "/page", **headers)
     assert response.status == 200 and "served /page" in response.text
-    fleet.send_signal()
+    fleet.signal_process()
     assert await fleet.wait_exit() == 0
     ports = [line["port"] for line in fleet.log_lines if line["event"] == "listening"]
     for closed_port in (port, admin_port, *ports):
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -73,5 +73,5 @@
     await asyncio.sleep(1.5)  # past its lease
     assert (await listed())[0]["lifecycle"] == "ready"
     await lab.restart(service)  # and over a restart of the service
-    one.send_signal()
+    one.signal_process()
     assert await one.wait_exit() == 0 and not await listed()
--- a/woadyard/registry/election.py
+++ b/woadyard/registry/election.py
@@ -319,7 +319,7 @@
         """Raises `PeerError` unless the sender is a member; an empty log has no lineage and may join any."""
         if message.members != self.member_count:
             raise PeerError(
-                f"the peer counts {message.members} members, this process {self.member_count}",
+                f"{message.members} members at the peer, {self.member_count} at this process",
                 "start all members with the same set in --peers",
             )
         if message.name == self.name:
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -223,11 +223,11 @@
             fields = {"peer": peer, "status": status, "error": refusal.error, "remedy": refusal.remedy}
             LOG.error("a member refuses this one", extra=fields)
 
-    async def handle_vote_request(self, request: web.Request) -> web.StreamResponse:
+    async def post_vote(self, request: web.Request) -> web.StreamResponse:
         vote_request = await self._read_message(request, VoteRequest)
         return self._respond(self.election.handle_vote_request(vote_request, time.monotonic()))
 
-    async def handle_heartbeat(self, request: web.Request) -> web.StreamResponse:
+    async def post_heartbeat(self, request: web.Request) -> web.StreamResponse:
         heartbeat = await self._read_message(request, Heartbeat)
         return self._respond(self.election.handle_heartbeat(heartbeat, time.monotonic()))
 
@@ -248,6 +248,6 @@
 
     def routes(self) -> list[web.RouteDef]:
         return [
-            web.post(VOTE_PATH, self.handle_vote_request),
-            web.post(HEARTBEAT_PATH, self.handle_heartbeat),
+            web.post(VOTE_PATH, self.post_vote),
+            web.post(HEARTBEAT_PATH, self.post_heartbeat),
         ]
