--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -1,4 +1,4 @@
-"""Three processes of one log that elect their writer: killed, cut off, and all started anew."""
+"""Three processes of one log that elect their leader: killed, cut off, and all restarted."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Members:
-    """Three of them; each reaches each other by a proxy of its own, where `links`."""
+    """Three members; with `links` each reaches each other through a proxy of its own."""
 
     def __init__(self, lab: Lab) -> None:
         self.lab = lab
@@ -27,13 +27,13 @@
         self.links: dict[tuple[int, int], FaultProxy] = {}
 
     async def start(self, links: bool = False) -> Members:
-        pairs = [(here, there) for here in range(3) for there in range(3) if here != there]
+        pairs = [(origin, target) for origin in range(3) for target in range(3) if origin != target]
         if links:
             self.links = {pair: await self.lab.proxy(self.ports[pair[1]]) for pair in pairs}
 
-        def peers(one: int) -> str:
+        def peers(origin: int) -> str:
             ports = [
-                self.links[pair].port if links else self.ports[pair[1]] for pair in pairs if pair[0] == one
+                self.links[pair].port if links else self.ports[pair[1]] for pair in pairs if pair[0] == origin
             ]
             return ",".join(f"127.0.0.1:{port}" for port in ports)
 
@@ -43,159 +43,161 @@
                 for n in range(3)
             )
         )
-        for one in self.all:
-            await one.wait_logged("membership standing changed", standing="member")
+        for member in self.all:
+            await member.wait_logged("membership standing changed", standing="member")
         return self
 
     async def leader(self, among: list[Program] | None = None) -> Program:
-        """The one that leads, once one of these does."""
+        """Waits until one of these leads and returns it."""
         while True:
-            for one in among or self.all:
-                if (await self.lab.call(one.port, "GET", "/registry/term")).json["leads"]:
-                    return one
+            for member in among or self.all:
+                if (await self.lab.call(member.port, "GET", "/registry/term")).json["leads"]:
+                    return member
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def write(self, name: str, among: list[Program] | None = None) -> HttpResponse:
-        """Once one of these answers it."""
+        """Writes until one of these acknowledges it."""
         while True:
-            for one in among or self.all:
-                if (back := await self.lab.register(one, name, ENTRY)).status == 200:
-                    return back
+            for member in among or self.all:
+                if (response := await self.lab.register(member, name, ENTRY)).status == 200:
+                    return response
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def others(self, one: Program) -> list[Program]:
-        return [other for other in self.all if other is not one]
+    def others(self, member: Program) -> list[Program]:
+        return [other for other in self.all if other is not member]
 
     def elections(self) -> int:
-        return sum(one.events().count(ELECTED) for one in self.all)
+        return sum(member.events().count(ELECTED) for member in self.all)
 
-    async def names(self, one: Program) -> set[str]:
+    async def names(self, member: Program) -> set[str]:
         return {
-            entry["instanceId"] for entry in (await self.lab.call(one.port, "GET", PATH)).json["instances"]
+            entry["instanceId"] for entry in (await self.lab.call(member.port, "GET", PATH)).json["instances"]
         }
 
-    async def shows(self, one: Program, names: set[str]) -> None:
-        """Returns once the list there is of these."""
-        while await self.names(one) != names:
+    async def wait_names(self, member: Program, names: set[str]) -> None:
+        """Waits until the list at this member has exactly these names."""
+        while await self.names(member) != names:
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def cut(self, one: Program, mode: str) -> None:
-        """Both ways, from all others."""
-        at = self.all.index(one)
+    def cut(self, member: Program, mode: str) -> None:
+        """Sets the fault on all links of this member, in both directions."""
+        index = self.all.index(member)
         for pair, link in self.links.items():
-            if at in pair:
+            if index in pair:
                 link.fault(mode)
 
 
-class Told(Watcher):
-    """A sidecar's discovery, with all members to turn to; what left its list is kept."""
+class MemberWatcher(Watcher):
+    """A sidecar's discovery with all members as addresses; records what was removed from its list."""
 
     def __init__(self, members: Members, seed: int) -> None:
-        self.lost: set[str] = set()
-        self.news = asyncio.Event()
+        self.removed_names: set[str] = set()
+        self.changed = asyncio.Event()
         super().__init__(members.ports[seed % 3], seed, 0)
-        turned = members.ports[seed % 3 :] + members.ports[: seed % 3]
-        self.discovery.replicas = [f"127.0.0.1:{port}" for port in turned]
+        addresses_in_turn = members.ports[seed % 3 :] + members.ports[: seed % 3]
+        self.discovery.replicas = [f"127.0.0.1:{port}" for port in addresses_in_turn]
 
     def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         before = set(self.names)
         super().listen(version, whole, entries)
-        self.lost |= before - self.names if whole else set()
-        self.lost |= {one["instanceId"] for one in entries if one["lifecycle"] == "gone"}
-        self.news.set()
+        self.removed_names |= before - self.names if whole else set()
+        self.removed_names |= {entry["instanceId"] for entry in entries if entry["lifecycle"] == "gone"}
+        self.changed.set()
 
-    async def hears(self, name: str) -> None:
+    async def wait_listed(self, name: str) -> None:
         while name not in self.names:
-            self.news.clear()
-            await self.news.wait()
+            self.changed.clear()
+            await self.changed.wait()
 
 
-def renewing(members: Members, name: str) -> asyncio.Task[None]:
-    """A lease kept as an endpoint keeps it: renewed at whoever writes."""
+def keep_lease(members: Members, name: str) -> asyncio.Task[None]:
+    """Keeps a lease as an endpoint does: renewed at the current leader."""
     writer = ListWriter(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
     return asyncio.create_task(writer.keep(0.5, lambda: ("POST", f"{PATH}/{name}/renew", {})))
 
 
-async def test_a_killed_writer_is_replaced_and_nothing_answered_nor_leased_is_lost(lab: Lab) -> None:
+async def test_a_killed_leader_is_replaced_without_loss_of_acknowledged_writes_or_leases(lab: Lab) -> None:
     members = await Members(lab).start()
     await members.write("s-0")
     assert (await lab.register(await members.leader(), "leased", ENTRY, LEASE_MS)).status == 200
-    lease = renewing(members, "leased")
-    answered = {"leased", *(f"s-{n}" for n in range(10))}
+    lease = keep_lease(members, "leased")
+    acknowledged = {"leased", *(f"s-{n}" for n in range(10))}
     for n in range(10):
         await members.write(f"s-{n}")
-    watchers = [Told(members, seed) for seed in range(9)]
-    await asyncio.gather(*(one.hears("s-9") for one in watchers))
+    watchers = [MemberWatcher(members, seed) for seed in range(9)]
+    await asyncio.gather(*(watcher.wait_listed("s-9") for watcher in watchers))
     killed = await members.leader()
-    replicas = members.others(killed)
+    followers = members.others(killed)
     await lab.kill(killed)
-    await members.write("after", replicas)
-    await asyncio.gather(*(one.hears("after") for one in watchers))
-    answered.add("after")
-    leader = await members.leader(replicas)
-    assert await members.names(leader) == answered
+    await members.write("after", followers)
+    await asyncio.gather(*(watcher.wait_listed("after") for watcher in watchers))
+    acknowledged.add("after")
+    leader = await members.leader(followers)
+    assert await members.names(leader) == acknowledged
     killed.start()
-    await members.shows(killed, answered)
-    assert (await lab.register(killed, "s-0", ENTRY)).status == 307, "it follows"
-    assert members.elections() == 2, "and disturbed nobody"
+    await members.wait_names(killed, acknowledged)
+    assert (await lab.register(killed, "s-0", ENTRY)).status == 307, "it is a follower"
+    assert members.elections() == 2, "its return caused no election"
 
-    await lab.kill(*members.all)  # the whole service, and all at once
-    for one in members.all:
-        one.start()
+    await lab.kill(*members.all)  # the whole service at once
+    for member in members.all:
+        member.start()
     await members.write("anew")
-    await asyncio.gather(*(one.hears("anew") for one in watchers))
-    assert await members.names(await members.leader()) == {*answered, "anew"}
-    assert not any(one.lost for one in watchers), "no lease ended, no list came short"
+    await asyncio.gather(*(watcher.wait_listed("anew") for watcher in watchers))
+    assert await members.names(await members.leader()) == {*acknowledged, "anew"}
+    assert not any(watcher.removed_names for watcher in watchers), "no lease expired, no list was incomplete"
     lease.cancel()
     for watcher in watchers:
         watcher.discovery.close()
 
 
-async def test_a_writer_cut_off_answers_no_write_serves_its_list_and_comes_back_as_a_replica(
+async def test_a_leader_cut_off_acknowledges_no_write_serves_its_list_and_returns_as_a_follower(
     lab: Lab,
 ) -> None:
     members = await Members(lab).start(links=True)
     await members.write("s-0")
     cut_off = await members.leader()
-    greater = members.others(cut_off)
-    for one in greater:
-        await members.shows(one, {"s-0"})
+    majority = members.others(cut_off)
+    for member in majority:
+        await members.wait_names(member, {"s-0"})
     members.cut(cut_off, CUT)
-    refused = await lab.register(cut_off, "lost", ENTRY)
-    assert refused.status == 503 and refused.headers["Retry-After"] and refused.json["remedy"]
-    answered = asyncio.create_task(members.write("kept", greater))
-    while not answered.done():
-        assert (await lab.register(cut_off, "lost", ENTRY)).status == 503, "the lesser side answers no write"
+    rejected = await lab.register(cut_off, "lost", ENTRY)
+    assert rejected.status == 503 and rejected.headers["Retry-After"] and rejected.json["remedy"]
+    acknowledged = asyncio.create_task(members.write("kept", majority))
+    while not acknowledged.done():
+        assert (await lab.register(cut_off, "lost", ENTRY)).status == 503, (
+            "the minority side acknowledges no write"
+        )
     await cut_off.wait_logged("this process writes no more")
-    assert "s-0" in await members.names(cut_off), "and serves its list"
-    assert await members.names(await members.leader(greater)) == {"s-0", "kept"}
+    assert "s-0" in await members.names(cut_off), "it still serves its list"
+    assert await members.names(await members.leader(majority)) == {"s-0", "kept"}
     members.cut(cut_off, PASS)
     await cut_off.wait_logged("records thrown away, the writer's state taken whole")
-    for one in members.all:
-        await members.shows(one, {"s-0", "kept"})
+    for member in members.all:
+        await members.wait_names(member, {"s-0", "kept"})
     assert (await lab.register(cut_off, "s-0", ENTRY)).status == 307
     leader = await members.leader()
-    replica = next(one for one in greater if one is not leader)
-    members.cut(replica, CUT)  # a replica is away for longer than an election takes, and comes back
-    while (await lab.call(replica.port, "GET", "/registry/term")).json["writer"] is not None:
+    follower = next(member for member in majority if member is not leader)
+    members.cut(follower, CUT)  # for longer than an election takes
+    while (await lab.call(follower.port, "GET", "/registry/term")).json["writer"] is not None:
         await asyncio.sleep(POLL_INTERVAL_S)
-    assert (await lab.register(replica, "x", ENTRY)).status == 503
-    await members.write("meanwhile", members.others(replica))
-    members.cut(replica, PASS)
-    await members.shows(replica, {"s-0", "kept", "meanwhile"})
-    assert members.elections() == 2, "one at the start, one for the writer that was cut off"
+    assert (await lab.register(follower, "x", ENTRY)).status == 503
+    await members.write("meanwhile", members.others(follower))
+    members.cut(follower, PASS)
+    await members.wait_names(follower, {"s-0", "kept", "meanwhile"})
+    assert members.elections() == 2, "one at the start, one to replace the leader that was cut off"
 
 
-async def test_members_that_name_no_others_or_a_damaged_ballot_do_not_start(lab: Lab) -> None:
+async def test_members_without_peers_or_with_a_damaged_ballot_do_not_start(lab: Lab) -> None:
     for name, more in {"alone": [], "led": ["--peers", "127.0.0.1:1", "--copies", "1"]}.items():
         folder = lab.folder / name
-        words = ["woadyard.registry", "--data", str(folder / "data"), "--elect", *more]
-        program = lab.run(Program(name, folder, words, dict(os.environ)))
+        arguments = ["woadyard.registry", "--data", str(folder / "data"), "--elect", *more]
+        program = lab.run(Program(name, folder, arguments, dict(os.environ)))
         assert await program.wait_exit() == 2 and (await program.wait_logged("can't start"))["remedy"]
     data = lab.folder / "damaged" / "data"
     data.mkdir(parents=True)
     (data / "ballot").write_bytes(b"x")
-    words = ["woadyard.registry", "--data", str(data), "--elect", "--peers", "127.0.0.1:1"]
-    program = lab.run(Program("damaged", data.parent, words, dict(os.environ)))
+    arguments = ["woadyard.registry", "--data", str(data), "--elect", "--peers", "127.0.0.1:1"]
+    program = lab.run(Program("damaged", data.parent, arguments, dict(os.environ)))
     assert await program.wait_exit() == 2
     assert "empty" in (await program.wait_logged("can't start"))["remedy"]
--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -1,4 +1,4 @@
-"""Members that elect, in this process and with short times: what the log and the leases hold to."""
+"""Electing members in one process, with short timeouts: guarantees for the log and the leases."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 TIMING = Timing(0.4, 0.8, 0.08, (0.1, 0.3), newcomer_s=1.6)
 
 
-class Here:
-    """One member, which may be stopped and started anew."""
+class LocalMember:
+    """One member in this process, which may be stopped and restarted."""
 
     def __init__(self, folder: Path, port: int, ports: list[int]) -> None:
         self.folder, self.port = folder, port
-        self.peers = [f"127.0.0.1:{one}" for one in ports if one != port]
+        self.peers = [f"127.0.0.1:{other}" for other in ports if other != port]
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         self.registry = Registry(Journal(self.folder))
         self.elector = Elector(self.registry, self.peers, 5.0, random.Random(self.port), TIMING)
         listening: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        served = serve(self.registry, "127.0.0.1", self.port, listening.set_result, self.elector.routes())
-        self.tasks = [asyncio.create_task(served), asyncio.create_task(self.elector.run())]
+        server = serve(self.registry, "127.0.0.1", self.port, listening.set_result, self.elector.routes())
+        self.tasks = [asyncio.create_task(server), asyncio.create_task(self.elector.run())]
         await listening
 
     async def stop(self) -> None:
-        for one in self.tasks:
-            one.cancel()
+        for task in self.tasks:
+            task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.tasks = []
 
@@ -54,11 +54,11 @@
     async def put(self, name: str, ttl_ms: int = 60_000) -> int:
         return (await call(self.port, "PUT", f"{PATH}/{name}?ttl_ms={ttl_ms}", ENTRY)).status
 
-    async def stands(self, standing: str) -> None:
-        await until(lambda: self.elector.saved_ballot.standing == standing)
+    async def wait_standing(self, standing: str) -> None:
+        await wait_for(lambda: self.elector.saved_ballot.standing == standing)
 
-    async def shows(self, names: set[str]) -> None:
-        await until(lambda: self.names == names)
+    async def wait_names(self, names: set[str]) -> None:
+        await wait_for(lambda: self.names == names)
 
     @property
     def names(self) -> set[str]:
@@ -66,118 +66,124 @@
 
 
 @contextlib.asynccontextmanager
-async def three(
-    folder: Path, before: Callable[[list[Here]], None] = lambda all: None
-) -> AsyncIterator[list[Here]]:
+async def three_members(
+    folder: Path, prepare: Callable[[list[LocalMember]], None] = lambda members: None
+) -> AsyncIterator[list[LocalMember]]:
     ports = [free_port() for _ in range(3)]
-    members = [Here(folder / str(n), port, ports) for n, port in enumerate(ports)]
-    before(members)
+    members = [LocalMember(folder / str(n), port, ports) for n, port in enumerate(ports)]
+    prepare(members)
     try:
-        for one in members:
-            await one.start()
-        for one in members:
-            await one.stands(MEMBER)
+        for member in members:
+            await member.start()
+        for member in members:
+            await member.wait_standing(MEMBER)
         yield members
     finally:
-        for one in members:
-            await one.stop()
+        for member in members:
+            await member.stop()
 
 
-async def until(true: Callable[[], Any]) -> Any:
-    while not (found := true()):
+async def wait_for(condition: Callable[[], Any]) -> Any:
+    while not (value := condition()):
         await asyncio.sleep(0.01)
-    return found
+    return value
 
 
-async def leader(members: list[Here]) -> Here:
-    """The one of these that leads, its own record held by most."""
+async def leader(members: list[LocalMember]) -> LocalMember:
+    """Waits for the leader among these, with its own first entry committed."""
 
-    def found() -> Here | None:
-        running = (one for one in members if one.tasks)
-        return next((one for one in running if one.registry.leads and one.registry.held() > 0), None)
+    def find_leader() -> LocalMember | None:
+        running = (member for member in members if member.tasks)
+        return next(
+            (member for member in running if member.registry.leads and member.registry.held() > 0), None
+        )
 
-    led: Here = await until(found)
-    return led
+    elected: LocalMember = await wait_for(find_leader)
+    return elected
 
 
-async def test_a_member_that_lost_its_disk_neither_votes_nor_counts_until_it_holds_all(
+async def test_a_member_that_lost_its_disk_neither_votes_nor_counts_until_it_holds_the_whole_log(
     tmp_path: Path,
 ) -> None:
-    async with three(tmp_path) as members:
+    async with three_members(tmp_path) as members:
         first = await leader(members)
-        wiped, other = (one for one in members if one is not first)
+        wiped, other = (member for member in members if member is not first)
         await other.stop()
-        assert await first.put("s-0") == 200  # held by the leader and the one that loses it now
+        assert await first.put("s-0") == 200  # held only by the leader and the member wiped next
         await wiped.wipe()
-        await wiped.shows({"s-0"})
-        assert await first.put("s-1") == 503, "a copy that is new does not count"
+        await wiped.wait_names({"s-0"})
+        assert await first.put("s-1") == 503, "a learner does not count"
         await first.stop()
         await other.start()
-        met = await until(lambda: [one.standing for one in other.elector.election.responses.values()])
-        assert met == [NEW] and not wiped.elector.election.is_voter
-        await until(lambda: other.elector.election.campaign)  # it stands, and the other has no vote
+        standings = await wait_for(
+            lambda: [response.standing for response in other.elector.election.responses.values()]
+        )
+        assert standings == [NEW] and not wiped.elector.election.is_voter
+        await wait_for(
+            lambda: other.elector.election.campaign
+        )  # it is a candidate, and the learner has no vote
         assert not other.registry.leads and not wiped.registry.leads
         await first.start()
-        led = await leader(members)
-        await wiped.stands(MEMBER)
-        assert led is not wiped and "s-0" in led.names
-        assert await led.put("s-2") == 200
+        elected = await leader(members)
+        await wiped.wait_standing(MEMBER)
+        assert elected is not wiped and "s-0" in elected.names
+        assert await elected.put("s-2") == 200
 
 
-async def test_a_log_that_was_led_by_hand_goes_on_as_its_members_elect(tmp_path: Path) -> None:
-    def by_hand(members: list[Here]) -> None:
+async def test_a_log_with_an_appointed_leader_continues_when_its_members_elect(tmp_path: Path) -> None:
+    def appoint_leader(members: list[LocalMember]) -> None:
         registry = Registry(Journal(members[1].folder))
         registry.lead()
         registry.write({"op": "put", "entry": {**ENTRY, "instanceId": "s-0"}, "ttl_us": 60_000_000})
         assert registry.timer is not None
         registry.timer.cancel()
 
-    async with three(tmp_path, by_hand) as members:
-        led = await leader(members)
-        assert led is members[1], "nobody begins with less"
-        assert await led.put("s-1") == 200
-        for one in members:
-            await one.shows({"s-0", "s-1"})
-
-
-async def test_a_leader_alone_answers_no_write_of_any_kind_and_ends_no_lease(tmp_path: Path) -> None:
-    async with three(tmp_path) as members:
-        led = await leader(members)
-        assert await led.put("s-0", 900) == 200
-        for one in members:
-            if one is not led:
-                await one.stop()
+    async with three_members(tmp_path, appoint_leader) as members:
+        elected = await leader(members)
+        assert elected is members[1], "no member with a shorter log is elected"
+        assert await elected.put("s-1") == 200
+        for member in members:
+            await member.wait_names({"s-0", "s-1"})
+
+
+async def test_a_leader_without_a_quorum_acknowledges_no_write_and_expires_no_lease(tmp_path: Path) -> None:
+    async with three_members(tmp_path) as members:
+        elected = await leader(members)
+        assert await elected.put("s-0", 900) == 200
+        for member in members:
+            if member is not elected:
+                await member.stop()
         proposal = {"weights": {"s-0": 0.5}}
-        put, planned = await asyncio.gather(
-            led.put("s-1"), call(led.port, "POST", "/registry/plans", proposal)
+        put_status, planned = await asyncio.gather(
+            elected.put("s-1"), call(elected.port, "POST", "/registry/plans", proposal)
         )
-        assert put == planned.status == 503
+        assert put_status == planned.status == 503
         assert planned.headers["Retry-After"] and planned.json["remedy"]
-        await until(lambda: not led.registry.leads)
-        assert led.elector.election.role != LEADER
-        ends = led.registry.book(ListBook).leases["s-0"]
-        await until(lambda: led.registry.clock() > ends)
-        assert "s-0" in led.names
-        for one in members:
-            if one is not led:
-                await one.start()
-        again = await leader(members)
-        assert "s-0" in again.names and again.registry.book(ListBook).leases["s-0"] > ends
-        await until(lambda: "s-0" not in again.names)  # nobody renews it, and somebody leads
-
-
-async def test_nothing_counts_as_held_before_an_elected_writers_own_first_record_does(tmp_path: Path) -> None:
-    """Raft, figure 8: copies of an older term's records may yet be thrown away."""
-    async with three(tmp_path) as members:
-        led = await leader(members)
-        assert await led.put("s-0") == 200
-        registry, before = led.registry, led.registry.host.applied
-        for one in members:
-            if one is not led:
-                await one.stop()
-        registry.lead_elected(led.elector.election.term + 1)
+        await wait_for(lambda: not elected.registry.leads)
+        assert elected.elector.election.role != LEADER
+        expires_us = elected.registry.book(ListBook).leases["s-0"]
+        await wait_for(lambda: elected.registry.clock() > expires_us)
+        assert "s-0" in elected.names
+        for member in members:
+            if member is not elected:
+                await member.start()
+        successor = await leader(members)
+        assert "s-0" in successor.names and successor.registry.book(ListBook).leases["s-0"] > expires_us
+        await wait_for(lambda: "s-0" not in successor.names)  # nobody renews it, and there is a leader
+
+
+async def test_nothing_is_committed_before_the_first_entry_of_an_elected_leader(tmp_path: Path) -> None:
+    """Raft, figure 8: replicated entries of an older term may still be overwritten."""
+    async with three_members(tmp_path) as members:
+        elected = await leader(members)
+        assert await elected.put("s-0") == 200
+        registry, last_index = elected.registry, elected.registry.host.applied
+        for member in members:
+            if member is not elected:
+                await member.stop()
+        registry.lead_elected(elected.elector.election.term + 1)
         assert registry.held() == -1
-        registry.copies.record_match("x", before, time.monotonic())
+        registry.copies.record_match("x", last_index, time.monotonic())
         assert registry.held() == -1
-        registry.copies.record_match("x", before + 1, time.monotonic())
-        assert registry.held() == before + 1
+        registry.copies.record_match("x", last_index + 1, time.monotonic())
+        assert registry.held() == last_index + 1
