--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -9,8 +9,8 @@
 
 from tests.lab import POLL_INTERVAL_S, HttpResponse, Lab, Program, free_port
 from tests.test_registry import ENTRY, Watcher
-from woadyard.lists.service import PATH
-from woadyard.net.listwriter import ListWriter
+from woadyard.lists.service import INSTANCES_PATH
+from woadyard.net.registry_client import RegistryClient
 from woadyard.standins import CUT, PASS, FaultProxy
 
 ELECTED = "elected: this process writes"
@@ -71,7 +71,8 @@
 
     async def names(self, member: Program) -> set[str]:
         return {
-            entry["instanceId"] for entry in (await self.lab.call(member.port, "GET", PATH)).json["instances"]
+            entry["instanceId"]
+            for entry in (await self.lab.call(member.port, "GET", INSTANCES_PATH)).json["instances"]
         }
 
     async def wait_names(self, member: Program, names: set[str]) -> None:
@@ -112,8 +113,10 @@
 
 def keep_lease(members: Members, name: str) -> asyncio.Task[None]:
     """Keeps a lease as an endpoint does: renewed at the current leader."""
-    writer = ListWriter(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
-    return asyncio.create_task(writer.keep(0.5, lambda: ("POST", f"{PATH}/{name}/renew", {})))
+    writer = RegistryClient(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
+    return asyncio.create_task(
+        writer.write_periodically(0.5, lambda: ("POST", f"{INSTANCES_PATH}/{name}/renew", {}))
+    )
 
 
 async def test_a_killed_leader_is_replaced_without_loss_of_acknowledged_writes_or_leases(lab: Lab) -> None:
--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -13,8 +13,8 @@
 
 from tests.lab import call, free_port
 from tests.test_registry import ENTRY
-from woadyard.lists import ListBook
-from woadyard.lists.service import PATH
+from woadyard.lists import EndpointListState
+from woadyard.lists.service import INSTANCES_PATH
 from woadyard.registry.election import LEADER, MEMBER, NEW, Timing
 from woadyard.registry.elector import Elector
 from woadyard.registry.http import serve
@@ -52,7 +52,7 @@
         await self.start()
 
     async def put(self, name: str, ttl_ms: int = 60_000) -> int:
-        return (await call(self.port, "PUT", f"{PATH}/{name}?ttl_ms={ttl_ms}", ENTRY)).status
+        return (await call(self.port, "PUT", f"{INSTANCES_PATH}/{name}?ttl_ms={ttl_ms}", ENTRY)).status
 
     async def wait_standing(self, standing: str) -> None:
         await wait_for(lambda: self.elector.saved_ballot.standing == standing)
@@ -62,7 +62,7 @@
 
     @property
     def names(self) -> set[str]:
-        return set(self.registry.book(ListBook).entries)
+        return set(self.registry.state_machine(EndpointListState).entries)
 
 
 @contextlib.asynccontextmanager
@@ -95,7 +95,7 @@
     def find_leader() -> LocalMember | None:
         running = (member for member in members if member.tasks)
         return next(
-            (member for member in running if member.registry.leads and member.registry.held() > 0), None
+            (member for member in running if member.registry.is_leader and member.registry.replicated_index() > 0), None
         )
 
     elected: LocalMember = await wait_for(find_leader)
@@ -122,7 +122,7 @@
         await wait_for(
             lambda: other.elector.election.campaign
         )  # it is a candidate, and the learner has no vote
-        assert not other.registry.leads and not wiped.registry.leads
+        assert not other.registry.is_leader and not wiped.registry.is_leader
         await first.start()
         elected = await leader(members)
         await wiped.wait_standing(MEMBER)
@@ -133,10 +133,12 @@
 async def test_a_log_with_an_appointed_leader_continues_when_its_members_elect(tmp_path: Path) -> None:
     def appoint_leader(members: list[LocalMember]) -> None:
         registry = Registry(Journal(members[1].folder))
-        registry.lead()
-        registry.write({"op": "put", "entry": {**ENTRY, "instanceId": "s-0"}, "ttl_us": 60_000_000})
-        assert registry.timer is not None
-        registry.timer.cancel()
+        registry.become_leader()
+        registry.append_for_response(
+            {"op": "put", "entry": {**ENTRY, "instanceId": "s-0"}, "ttl_us": 60_000_000}
+        )
+        assert registry.due_timer is not None
+        registry.due_timer.cancel()
 
     async with three_members(tmp_path, appoint_leader) as members:
         elected = await leader(members)
@@ -159,16 +161,19 @@
         )
         assert put_status == planned.status == 503
         assert planned.headers["Retry-After"] and planned.json["remedy"]
-        await wait_for(lambda: not elected.registry.leads)
+        await wait_for(lambda: not elected.registry.is_leader)
         assert elected.elector.election.role != LEADER
-        expires_us = elected.registry.book(ListBook).leases["s-0"]
-        await wait_for(lambda: elected.registry.clock() > expires_us)
+        expires_us = elected.registry.state_machine(EndpointListState).lease_expiries_us["s-0"]
+        await wait_for(lambda: elected.registry.clock_us() > expires_us)
         assert "s-0" in elected.names
         for member in members:
             if member is not elected:
                 await member.start()
         successor = await leader(members)
-        assert "s-0" in successor.names and successor.registry.book(ListBook).leases["s-0"] > expires_us
+        assert (
+            "s-0" in successor.names
+            and successor.registry.state_machine(EndpointListState).lease_expiries_us["s-0"] > expires_us
+        )
         await wait_for(lambda: "s-0" not in successor.names)  # nobody renews it, and there is a leader
 
 
@@ -177,13 +182,13 @@
     async with three_members(tmp_path) as members:
         elected = await leader(members)
         assert await elected.put("s-0") == 200
-        registry, last_index = elected.registry, elected.registry.host.applied
+        registry, last_index = elected.registry, elected.registry.log_state.applied_index
         for member in members:
             if member is not elected:
                 await member.stop()
-        registry.lead_elected(elected.elector.election.term + 1)
-        assert registry.held() == -1
-        registry.copies.record_match("x", last_index, time.monotonic())
-        assert registry.held() == -1
-        registry.copies.record_match("x", last_index + 1, time.monotonic())
-        assert registry.held() == last_index + 1
+        registry.become_elected_leader(elected.elector.election.term + 1)
+        assert registry.replicated_index() == -1
+        registry.replica_progress.record_match("x", last_index, time.monotonic())
+        assert registry.replicated_index() == -1
+        registry.replica_progress.record_match("x", last_index + 1, time.monotonic())
+        assert registry.replicated_index() == last_index + 1
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -12,9 +12,9 @@
 from benchmarks import whatif_world
 from woadyard.errors import LogEntryError, PeerError
 from woadyard.interface import LIST_DELTA, LIST_FULL
-from woadyard.net.weights import Weights
+from woadyard.net.planned_weights import PlannedWeights
 from woadyard.whatif.measure import measure
-from woadyard.whatif.plans import Plans, plan_digest
+from woadyard.whatif.plans import PlansState, plan_digest
 from woadyard.whatif.rollout import Measured, members, step
 from woadyard.whatif.settings import Rules
 from woadyard.whatif.trace import Weighed, read
@@ -40,7 +40,7 @@
     return {"op": "begin", "revision": 1, "at": SECOND, "list": "l", "cut": 1 << 51, **changes}
 
 
-def write(book: Plans, *records: dict[str, Any]) -> Plans:
+def write(book: PlansState, *records: dict[str, Any]) -> PlansState:
     for record in records:
         book.check(record)
         book.apply(json.loads(json.dumps(record)))
@@ -63,7 +63,7 @@
     ],
 )
 def test_the_gate_lets_nothing_out_that_it_must_not(records: list[dict[str, Any]], why: str) -> None:
-    book = write(Plans(), propose(), *records[:-1])
+    book = write(PlansState(), propose(), *records[:-1])
     before = book.dump()
     with pytest.raises(LogEntryError, match=why) as refused:
         book.check(records[-1])
@@ -72,12 +72,12 @@
 
 def test_a_forced_plan_goes_out_and_keeps_its_reason() -> None:
     forced = {"op": "force", "revision": 1, "reason": "rack 4 burns"}
-    book = write(Plans(), propose(), verdict(state="worse"), forced, begin(at=999 * SECOND))
+    book = write(PlansState(), propose(), verdict(state="worse"), forced, begin(at=999 * SECOND))
     assert book.active is not None and (book.active.state, book.active.forced) == ("rolling", "rack 4 burns")
 
 
 def test_a_halt_brings_the_old_weights_back_under_a_newer_revision() -> None:
-    book = write(Plans(), propose(), verdict(), begin())
+    book = write(PlansState(), propose(), verdict(), begin())
     told = {one: book.directive(one)["revision"] for one in FLEET}
     assert set(told.values()) == {0, 1}
     halt = {"op": "halt", "revision": 1, "reason": "p99", "errors": {"p99": 3e4}, "wrong": True}
@@ -97,7 +97,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(OPS, max_size=12))
 def test_any_records_leave_one_plan_revisions_that_grow_and_a_dump_that_loads(ops: list[Any]) -> None:
-    book, last = Plans(), {one: 0 for one in FLEET}
+    book, last = PlansState(), {one: 0 for one in FLEET}
     for record in ops:
         record = {**record, "revision": book.next - 1} if "revision" in record else record
         try:
@@ -108,13 +108,13 @@
         told = {one: book.directive(one)["revision"] for one in FLEET}
         assert len(set(told.values())) <= 2 and all(told[one] >= last[one] for one in FLEET)
         last = told
-    again = Plans()
+    again = PlansState()
     again.load(json.loads(json.dumps(book.dump())))
     assert again.dump() == book.dump()
 
 
-def rolling() -> Plans:
-    return write(Plans(), propose(), verdict(), begin())
+def rolling() -> PlansState:
+    return write(PlansState(), propose(), verdict(), begin())
 
 
 def inside(**changes: tuple[float, float, float]) -> Measured:
@@ -160,19 +160,19 @@
 def test_a_sidecar_resolves_a_plan_for_each_list_and_takes_it_whole_or_not_at_all() -> None:
     weighed: list[Any] = []
     used: list[int] = []
-    weights = Weights(weighed.append, lambda revision, told: used.append(revision))
+    weights = PlannedWeights(weighed.append, lambda revision, told: used.append(revision))
     entries = [{"instanceId": f"e{n}", "machineType": kind} for n, kind in enumerate(["old", "new", "new"])]
     weights.list_applied(LIST_FULL, entries[:2])
     told = {"revision": 3, "weights": {"machineType=old": 1.0, "e1": 4.0, "machineType=new": 2.0}}
-    assert weights.direct(told) == 3 and weighed == [{"e0": 0.25, "e1": 1.0}]
+    assert weights.apply_directive(told) == 3 and weighed == [{"e0": 0.25, "e1": 1.0}]
     weights.list_applied(LIST_DELTA, entries[2:])
     assert weighed[-1] == {"e0": 0.25, "e1": 1.0, "e2": 0.5}
     none: list[Any] = [{"revision": 4, "weights": {"e1": 0}}, {"revision": -1}, {"weights": {}}, [], None]
     for bad in none:
         with pytest.raises(PeerError):
-            weights.direct(bad)
-    assert weights.direct(told) == 3 and used == [3]
-    assert weights.direct({"revision": 5, "weights": {}}) == 5 and weighed[-1] == {}
+            weights.apply_directive(bad)
+    assert weights.apply_directive(told) == 3 and used == [3]
+    assert weights.apply_directive({"revision": 5, "weights": {}}) == 5 and weighed[-1] == {}
 
 
 def test_a_stage_is_measured_from_where_each_sidecar_took_the_plan() -> None:
--- a/woadyard/registry/ballot_file.py
+++ b/woadyard/registry/ballot_file.py
@@ -10,7 +10,7 @@
 
 from woadyard.errors import StateError
 from woadyard.registry.election import Ballot
-from woadyard.registry.log import replace
+from woadyard.registry.log import replace_file
 
 HEADER = struct.Struct(">II")  # length and CRC-32 of the JSON that follows, as for log entries
 
@@ -46,4 +46,4 @@
     def write(self, ballot: Ballot) -> None:
         """Returns once the ballot is on disk; raises OSError where the disk fails."""
         payload = msgspec.json.encode(ballot)
-        replace(self.path, HEADER.pack(len(payload), zlib.crc32(payload)) + payload)
+        replace_file(self.path, HEADER.pack(len(payload), zlib.crc32(payload)) + payload)
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -24,7 +24,6 @@
 from woadyard.errors import ConfigError, PeerError, StateError
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
-from woadyard.registry.answers import answer, body
 from woadyard.registry.ballot_file import BallotFile
 from woadyard.registry.election import (
     LEADER,
@@ -37,8 +36,9 @@
     Timing,
     VoteRequest,
 )
-from woadyard.registry.follow import Follower
-from woadyard.registry.refusal import read_refusal
+from woadyard.registry.error_body import read_error_body
+from woadyard.registry.follower import Follower
+from woadyard.registry.responses import json_response, read_body
 from woadyard.registry.service import Registry
 
 VOTE_PATH, HEARTBEAT_PATH = "/registry/election/vote", "/registry/election/beat"
@@ -79,28 +79,32 @@
         self.saved_ballot = self.ballot_file.read()
         now = time.monotonic()
         self.election = Election(
-            registry.name, list(peers), self.saved_ballot, self._log_state, rng, now, timing
+            registry.member_id, list(peers), self.saved_ballot, self._log_state, rng, now, timing
         )
-        self.election.observe_term(registry.seen, now)
+        self.election.observe_term(registry.highest_term, now)
         registry.election = self.election
-        registry.hear(registry.host.lineage, self.saved_ballot.term, "the ballot")
-        registry.copies.required_replicas = self.election.quorum_peers
-        registry.yield_to(None)
-        self.follower = Follower(registry, rng, stale_s, poll_s=POLL_INTERVAL_S)
+        registry.observe_term(registry.log_state.lineage, self.saved_ballot.term, "the ballot")
+        registry.replica_progress.required_replicas = self.election.quorum_peers
+        registry.follow_elected_leader(None)
+        self.follower = Follower(registry, rng, stale_s, poll_wait_s=POLL_INTERVAL_S)
         self.follow_task: asyncio.Task[None] | None = None
         self.pending_calls: dict[str, set[asyncio.Task[None]]] = {peer: set() for peer in self.election.peers}
         self.last_refusals: dict[str, str] = {}  # by peer: the last refusal, to log each one once
         self.elections_won = Counter(
-            "registry_elections_won", "Elections won by this member", registry=registry.counts.registry
+            "registry_elections_won",
+            "Elections won by this member",
+            registry=registry.metrics.collector_registry,
         )
         leads = Gauge(
-            "registry_leads", "1 while this member is the leader", registry=registry.counts.registry
+            "registry_leads",
+            "1 while this member is the leader",
+            registry=registry.metrics.collector_registry,
         )
-        leads.set_function(lambda: float(registry.leads))
+        leads.set_function(lambda: float(registry.is_leader))
 
     def _log_state(self) -> LogState:
-        host = self.registry.host
-        return LogState(host.lineage, (host.term, host.applied))
+        host = self.registry.log_state
+        return LogState(host.lineage, (host.term, host.applied_index))
 
     async def run(self) -> None:
         """Ticks the election until cancelled."""
@@ -109,8 +113,8 @@
             while True:
                 self._observe_registry_term()
                 self._apply_turn(self.election.tick(time.monotonic()))
-                if self.registry.leaderless:
-                    self.follower.look("no leader is elected")
+                if self.registry.is_leaderless:
+                    self.follower.check_staleness("no leader is elected")
                 await asyncio.sleep(TICK_INTERVAL_S)
         finally:
             for task in [
@@ -122,7 +126,7 @@
 
     def _observe_registry_term(self) -> None:
         """Passes on a greater term that the registry has seen in calls of clients or followers."""
-        self.election.observe_term(self.registry.seen, time.monotonic())
+        self.election.observe_term(self.registry.highest_term, time.monotonic())
 
     def _apply_turn(self, messages: Iterable[Outgoing]) -> None:
         """Stores the ballot, updates the role and sends the messages; sends nothing if the ballot can't be
@@ -150,23 +154,23 @@
         if ballot.standing != self.saved_ballot.standing:
             LOG.info("membership standing changed", extra={"standing": ballot.standing})
         self.saved_ballot = ballot
-        self.registry.hear(self.registry.host.lineage, ballot.term, "the election")
+        self.registry.observe_term(self.registry.log_state.lineage, ballot.term, "the election")
 
     def _update_role(self) -> None:
         election, registry = self.election, self.registry
         if election.role == LEADER:
-            if not registry.leads or registry.host.term != election.term:
+            if not registry.is_leader or registry.log_state.term != election.term:
                 self._become_leader()
             return
         leader_address = election.address_of(election.leader)
-        if registry.leads or registry.writer != leader_address:
+        if registry.is_leader or registry.leader_address != leader_address:
             self._become_follower(leader_address)
 
     def _become_leader(self) -> None:
         election, registry = self.election, self.registry
         self._stop_following()
         try:
-            registry.lead_elected(election.term)
+            registry.become_elected_leader(election.term)
         except StateError as error:
             LOG.error("elected, and can't write", extra=error.fields())
             election.step_down(time.monotonic())
@@ -176,10 +180,10 @@
 
     def _become_follower(self, leader_address: str | None) -> None:
         self._stop_following()
-        if self.registry.leads:
+        if self.registry.is_leader:
             LOG.warning("this process writes no more", extra=self._log_fields())
-            self.follower.heard = time.monotonic()
-        self.registry.yield_to(leader_address)
+            self.follower.last_contact_s = time.monotonic()
+        self.registry.follow_elected_leader(leader_address)
         LOG.info(
             "follows" if leader_address else "no writer is known",
             extra={**self._log_fields(), "writer": leader_address},
@@ -194,8 +198,8 @@
             self.follow_task = None
 
     def _log_fields(self) -> dict[str, int]:
-        host = self.registry.host
-        return {"term": self.election.term, "log_term": host.term, "index": host.applied}
+        host = self.registry.log_state
+        return {"term": self.election.term, "log_term": host.term, "index": host.applied_index}
 
     async def _send(self, peer: str, message: Message) -> None:
         path = VOTE_PATH if isinstance(message, VoteRequest) else HEARTBEAT_PATH
@@ -210,14 +214,14 @@
             response: PeerResponse = msgspec.json.decode(response_body, type=PeerResponse)
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
             return
-        if not self.registry.plausible(response.term, peer):
+        if not self.registry.is_plausible_term(response.term, peer):
             return
         self._observe_registry_term()
         self._apply_turn(self.election.handle_response(peer, message, response, time.monotonic()))
         self.last_refusals.pop(peer, None)
 
     def _log_refusal(self, peer: str, status: int, response_body: bytes) -> None:
-        refusal = read_refusal(response_body)
+        refusal = read_error_body(response_body)
         if self.last_refusals.get(peer) != refusal.error:
             self.last_refusals[peer] = refusal.error
             fields = {"peer": peer, "status": status, "error": refusal.error, "remedy": refusal.remedy}
@@ -232,8 +236,8 @@
         return self._respond(self.election.handle_heartbeat(heartbeat, time.monotonic()))
 
     async def _read_message(self, request: web.Request, message_type: type[M]) -> M:
-        message = await body(request, message_type)
-        if not self.registry.plausible(message.term, f"{message.name} at {request.remote}"):
+        message = await read_body(request, message_type)
+        if not self.registry.is_plausible_term(message.term, f"{message.name} at {request.remote}"):
             raise PeerError(
                 f"term {message.term} is implausible",
                 "check that the member's data folder belongs to this log",
@@ -244,10 +248,7 @@
     def _respond(self, response: PeerResponse) -> web.StreamResponse:
         self._save_ballot()  # on a StateError no vote leaves this process
         self._update_role()
-        return answer(response)
+        return json_response(response)
 
     def routes(self) -> list[web.RouteDef]:
-        return [
-            web.post(VOTE_PATH, self.post_vote),
-            web.post(HEARTBEAT_PATH, self.post_heartbeat),
-        ]
+        return [web.post(VOTE_PATH, self.post_vote), web.post(HEARTBEAT_PATH, self.post_heartbeat)]
