--- a/tests/election_world.py
+++ b/tests/election_world.py
@@ -15,7 +15,7 @@
     NEW,
     Ballot,
     Election,
-    LogState,
+    LogPosition,
     Message,
     Outgoing,
     PeerResponse,
@@ -44,7 +44,9 @@
     def __init__(self, world: World, address: str, disk: Disk) -> None:
         self.world, self.address, self.disk = world, address, disk
         peers = [peer for peer in world.addresses if peer != address]
-        self.election = Election(disk.name, peers, disk.ballot, self.log_state, world.rng, world.now, TIMING)
+        self.election = Election(
+            disk.name, peers, disk.ballot, self.log_position, world.rng, world.now, TIMING
+        )
         self.progress, self.leader_term, self.first_index = (
             ReplicationProgress(self.election.quorum_peers),
             0,
@@ -52,9 +54,9 @@
         )
         self.pending: list[tuple[int, str]] = []
 
-    def log_state(self) -> LogState:
+    def log_position(self) -> LogPosition:
         log = self.disk.log
-        return LogState("a" if log else "", (log[-1][0] if log else 0, len(log)))
+        return LogPosition("a" if log else "", (log[-1][0] if log else 0, len(log)))
 
     def apply_turn(self, messages: list[Outgoing]) -> None:
         """Stores the ballot, then updates the role, then sends, in the order of `Elector`."""
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -24,7 +24,7 @@
     Ballot,
     Election,
     Heartbeat,
-    LogState,
+    LogPosition,
     PeerResponse,
     VoteRequest,
 )
@@ -227,7 +227,7 @@
 def make_election(peers: int = 2, standing: str = MEMBER, name: str = "me") -> Election:
     ballot = Ballot(term=5, standing=standing)
     addresses = [f"p{n}" for n in range(peers)]
-    return Election(name, addresses, ballot, lambda: LogState("a", (5, 9)), random.Random(1), 0.0)
+    return Election(name, addresses, ballot, lambda: LogPosition("a", (5, 9)), random.Random(1), 0.0)
 
 
 def elect(member: Election, response: PeerResponse) -> None:
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -113,9 +113,9 @@
 
 def keep_lease(members: Members, name: str) -> asyncio.Task[None]:
     """Keeps a lease as an endpoint does: renewed at the current leader."""
-    writer = RegistryClient(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
+    client = RegistryClient(",".join(f"127.0.0.1:{port}" for port in members.ports), random.Random(1))
     return asyncio.create_task(
-        writer.write_periodically(0.5, lambda: ("POST", f"{INSTANCES_PATH}/{name}/renew", {}))
+        client.write_periodically(0.5, lambda: ("POST", f"{INSTANCES_PATH}/{name}/renew", {}))
     )
 
 
--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -95,7 +95,12 @@
     def find_leader() -> LocalMember | None:
         running = (member for member in members if member.tasks)
         return next(
-            (member for member in running if member.registry.is_leader and member.registry.replicated_index() > 0), None
+            (
+                member
+                for member in running
+                if member.registry.is_leader and member.registry.replicated_index() > 0
+            ),
+            None,
         )
 
     elected: LocalMember = await wait_for(find_leader)
--- a/woadyard/registry/election.py
+++ b/woadyard/registry/election.py
@@ -59,7 +59,7 @@
     floor: EntryPosition = (0, 0)
 
 
-class LogState(NamedTuple):
+class LogPosition(NamedTuple):
     """A member's log: its lineage and the position of its last entry."""
 
     lineage: str
@@ -129,7 +129,7 @@
         name: str,
         peers: Sequence[str],
         ballot: Ballot,
-        get_log: Callable[[], LogState],
+        get_log: Callable[[], LogPosition],
         rng: random.Random,
         now: float,
         timing: Timing | None = None,
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -29,7 +29,7 @@
     LEADER,
     Election,
     Heartbeat,
-    LogState,
+    LogPosition,
     Message,
     Outgoing,
     PeerResponse,
@@ -79,7 +79,7 @@
         self.saved_ballot = self.ballot_file.read()
         now = time.monotonic()
         self.election = Election(
-            registry.member_id, list(peers), self.saved_ballot, self._log_state, rng, now, timing
+            registry.member_id, list(peers), self.saved_ballot, self._log_position, rng, now, timing
         )
         self.election.observe_term(registry.highest_term, now)
         registry.election = self.election
@@ -102,9 +102,9 @@
         )
         leads.set_function(lambda: float(registry.is_leader))
 
-    def _log_state(self) -> LogState:
-        host = self.registry.log_state
-        return LogState(host.lineage, (host.term, host.applied_index))
+    def _log_position(self) -> LogPosition:
+        log_state = self.registry.log_state
+        return LogPosition(log_state.lineage, (log_state.term, log_state.applied_index))
 
     async def run(self) -> None:
         """Ticks the election until cancelled."""
@@ -198,8 +198,8 @@
             self.follow_task = None
 
     def _log_fields(self) -> dict[str, int]:
-        host = self.registry.log_state
-        return {"term": self.election.term, "log_term": host.term, "index": host.applied_index}
+        log_state = self.registry.log_state
+        return {"term": self.election.term, "log_term": log_state.term, "index": log_state.applied_index}
 
     async def _send(self, peer: str, message: Message) -> None:
         path = VOTE_PATH if isinstance(message, VoteRequest) else HEARTBEAT_PATH
--- a/woadyard/registry/peers.py
+++ b/woadyard/registry/peers.py
@@ -47,18 +47,18 @@
             status, body = await fetch(
                 parse_address(peer), "GET", TERM_PATH, timeout_s=CALL_TIMEOUT_S, headers=headers
             )
-            standing = msgspec.json.decode(body, type=MemberStatus) if status == 200 else None
+            peer_status = msgspec.json.decode(body, type=MemberStatus) if status == 200 else None
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
             return
-        if standing is None or standing.lineage != lineage:
+        if peer_status is None or peer_status.lineage != lineage:
             return
-        registry.observe_term(standing.lineage, standing.seen, f"peer {peer}")
+        registry.observe_term(peer_status.lineage, peer_status.seen, f"peer {peer}")
         has_no_leader = registry.is_deposed or registry.is_stale
         if (
-            standing.leads
-            and standing.term >= registry.highest_term
+            peer_status.leads
+            and peer_status.term >= registry.highest_term
             and has_no_leader
             and registry.leader_address != peer
         ):
-            LOG.warning("following the leading peer", extra={"peer": peer, "term": standing.term})
+            LOG.warning("following the leading peer", extra={"peer": peer, "term": peer_status.term})
             registry.start_following(peer)
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -48,7 +48,10 @@
 class DeposedError(StateError):
     """Another process has, or had, the writer's place."""
 
-    remedy = "start this process with --follow the one that leads now; if none does, the one with the most records with --take-over"
+    remedy = (
+        "start this process with --follow the one that leads now; if none does, the one with "
+        "the most records with --take-over"
+    )
 
 
 class NoLeaderError(DeposedError):
