--- a/tests/election_world.py
+++ b/tests/election_world.py
@@ -97,10 +97,12 @@
         peer = self.election.address_of(self.election.leader)
         if self.election.role == FOLLOWER and peer is not None:
             arguments = self.election.term, self.disk.name, list(self.disk.log)
-            self.world.exchange(self.address, peer, lambda leader: leader.serve_poll(*arguments), self.take)
+            self.world.exchange(
+                self.address, peer, lambda receiver: receiver.serve_poll(*arguments), self.take
+            )
 
     def serve_poll(self, term: int, name: str, log: list[Entry]) -> tuple[int, list[Entry]] | None:
-        self.election.observe_term(term, self.world.now)
+        self.election.adopt_term(term, self.world.now)
         self.apply_turn([])
         if self.election.role != LEADER:
             return None
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,10 +1,10 @@
-"""A soak test: real sidecars under random, overlapping faults, judged by the rules.
+"""A soak test: real sidecars under random, overlapping faults, checked against the rules.
 
-`python -m tests.soak --seeds 1 2 3 --sidecars 24 --seconds 30` plays one day for each seed and prints what
-was broken; short days of it run with the other tests (tests/test_soak.py). The faults: discovery that is
-down, crowded, silent, late or resets its watches; endpoints that drain, err, hang, reset, are late or turn
-away; sidecars killed, ended by SIGTERM, held up, and moved to another address of discovery; clients that
-leave.
+`python -m tests.soak --seeds 1 2 3 --sidecars 24 --seconds 30` runs once for each seed and prints the
+violations; short runs are part of the other tests (tests/test_soak.py). The faults: discovery that is down,
+overloaded, silent, delayed or resets its watches; endpoints that drain, fail, hang, reset, are slow or
+reject; sidecars that are killed, terminated by SIGTERM, paused, and pointed at another address of discovery;
+clients that disconnect.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from typing import Any
 
 from tests.lab import Lab, Program
-from tests.soak_judge import Asked, judge
-from tests.soak_world import Directory, Door, Fate, Record, SoakEndpoint, Weather
+from tests.soak_judge import SentRequest, find_violations
+from tests.soak_world import Directory, DiscoveryFault, DiscoveryListener, EndpointFault, Record, SoakEndpoint
 from tests.sockets import SETTINGS, http_request, read_message
 
 DEADLINE_MS = 1_500
@@ -40,232 +40,244 @@
 ]  # fmt: skip
 INVARIANTS = {"drain-grace-us": 250_000, "ask-within-us": 3_000_000}
 SITE = {**SETTINGS, "classes": CLASSES, "discovery": "ask", "invariants": INVARIANTS, "stage": 0}
-PAUSE_S, LEAVES = 0.04, 0.03  # of a client between requests; the share of requests that it leaves
-HELD_UP_S = 0.15
+# A client's pause between requests, and the share of requests that it drops by disconnecting.
+CLIENT_PAUSE_S, DISCONNECT_SHARE = 0.04, 0.03
+SIDECAR_PAUSE_S = 0.15
 
 
 @dataclass
-class Node:
-    """One sidecar, its doors to discovery, and when it was away by the test's own doing."""
+class SidecarProcess:
+    """A sidecar, its discovery listeners, and the intervals in which the test had it stopped."""
 
     program: Program
-    doors: list[Door]
+    discovery_listeners: list[DiscoveryListener]
     config: Path
-    busy: bool = False  # a fault is acting on it
-    away: list[tuple[float, float]] = field(default_factory=list)
+    is_under_fault: bool = False
+    down_intervals_s: list[tuple[float, float]] = field(default_factory=list)
 
 
-class Soak:
-    """One day."""
+class SoakRun:
+    """One run: real sidecars with simulated discovery, endpoints and clients, under random faults."""
 
     def __init__(self, lab: Lab, seed: int, sidecars: int, seconds: float) -> None:
         self.lab, self.rng, self.sidecars, self.seconds = lab, random.Random(seed), sidecars, seconds
         self.record = Record()
         self.directory = Directory(self.record)
         self.endpoints: dict[str, SoakEndpoint] = {}
-        self.nodes: list[Node] = []
-        self.asked: list[Asked] = []
+        self.sidecar_processes: list[SidecarProcess] = []
+        self.sent_requests: list[SentRequest] = []
         self.faults = Counter[str]()
-        self.ending = False
+        self.is_ending = False
 
     async def run(self) -> list[str]:
-        """Plays the day; what was broken, a line each."""
+        """Runs to the end; returns one line for each violation."""
         for _ in range(max(6, self.sidecars // 2)):
-            await self._join()
-        await asyncio.gather(*(self._start(number) for number in range(self.sidecars)))
-        clients = [asyncio.ensure_future(self._client(node, n)) for node in self.nodes for n in range(2)]
-        await self._trouble()
-        self.directory.turn(Weather.FAIR)
+            await self._add_endpoint()
+        await asyncio.gather(*(self._start_sidecar(number) for number in range(self.sidecars)))
+        clients = [
+            asyncio.ensure_future(self._run_client(sidecar, n))
+            for sidecar in self.sidecar_processes
+            for n in range(2)
+        ]
+        await self._inject_faults()
+        self.directory.set_fault(DiscoveryFault.FAIR)
         for endpoint in self.endpoints.values():
-            endpoint.fates.clear()
+            endpoint.fault_shares.clear()
         await asyncio.sleep(2.0)
-        self.ending = True
+        self.is_ending = True
         await asyncio.gather(*clients)
-        return [*judge(self.record, self.asked), *await self._own_words()]
+        return [*find_violations(self.record, self.sent_requests), *await self._sidecar_findings()]
 
-    async def _start(self, number: int) -> None:
+    async def _start_sidecar(self, number: int) -> None:
         name = f"n{number}"
-        doors = [Door(self.directory, name) for _ in range(2)]
-        for door in doors:
-            await self.lab.listen(door)
+        listeners = [DiscoveryListener(self.directory, name) for _ in range(2)]
+        for listener in listeners:
+            await self.lab.listen(listener)
         entries = list(self.directory.entries.values())
-        program = await self.lab.sidecar(name, entries, doors[0], settings=SITE)
-        self.nodes.append(Node(program, doors, program.folder / "config.json"))
+        program = await self.lab.sidecar(name, entries, listeners[0], settings=SITE)
+        self.sidecar_processes.append(SidecarProcess(program, listeners, program.folder / "config.json"))
 
-    async def _join(self) -> None:
+    async def _add_endpoint(self) -> None:
         name = f"s-{len(self.endpoints)}"
         endpoint = SoakEndpoint(name, self.record, self.rng.randrange(2**32))
         await self.lab.listen(endpoint)
         self.endpoints[name] = endpoint
         await self.directory.put(name, endpoint.entry())
 
-    # --- Faults ---------------------------------------------------------------------
-
-    async def _trouble(self) -> None:
-        acts: list[Callable[[], Coroutine[Any, Any, None]]] = [
-            self._change_weather, self._reset_watches, self._replace, self._replace, self._spoil,
-            self._spoil, self._kill, self._terminate, self._hold_up, self._move,
+    async def _inject_faults(self) -> None:
+        actions: list[Callable[[], Coroutine[Any, Any, None]]] = [
+            self._change_discovery_fault, self._reset_watches, self._replace_endpoint, self._replace_endpoint,
+            self._add_endpoint_fault, self._add_endpoint_fault, self._kill_sidecar, self._terminate_sidecar,
+            self._pause_sidecar, self._change_discovery_address,
         ]  # fmt: skip
         tasks: set[asyncio.Task[None]] = set()
-        end = time.monotonic() + self.seconds
-        while time.monotonic() < end:
-            act = self.rng.choice(acts)
-            self.faults[act.__name__.strip("_")] += 1
-            tasks.add(asyncio.ensure_future(act()))
+        end_s = time.monotonic() + self.seconds
+        while time.monotonic() < end_s:
+            action = self.rng.choice(actions)
+            self.faults[action.__name__.strip("_")] += 1
+            tasks.add(asyncio.ensure_future(action()))
             await asyncio.sleep(self.rng.uniform(0.1, 0.9))
         await asyncio.gather(*tasks)
 
-    async def _change_weather(self) -> None:
-        self.directory.turn(self.rng.choice(list(Weather)))
+    async def _change_discovery_fault(self) -> None:
+        self.directory.set_fault(self.rng.choice(list(DiscoveryFault)))
 
     async def _reset_watches(self) -> None:
         self.directory.reset_watches()
 
-    async def _replace(self) -> None:
-        """One endpoint drains, another joins."""
-        ready = [name for name in self.endpoints if name not in self.record.changes]
-        name = self.rng.choice(ready)
-        self.endpoints[name].answers_until = time.monotonic() + self.rng.uniform(0.0, 2.0)
+    async def _replace_endpoint(self) -> None:
+        """Drains one endpoint and adds another."""
+        candidates = [name for name in self.endpoints if name not in self.record.changes]
+        name = self.rng.choice(candidates)
+        self.endpoints[name].serves_until_s = time.monotonic() + self.rng.uniform(0.0, 2.0)
         await self.directory.drain(name)
-        await self._join()
+        await self._add_endpoint()
 
-    async def _spoil(self) -> None:
+    async def _add_endpoint_fault(self) -> None:
         endpoint = self.rng.choice(list(self.endpoints.values()))
-        endpoint.fates[self.rng.choice(list(Fate))] = self.rng.uniform(0.0, 0.15)
+        endpoint.fault_shares[self.rng.choice(list(EndpointFault))] = self.rng.uniform(0.0, 0.15)
 
-    def _idle_node(self) -> Node | None:
-        free = [node for node in self.nodes if not node.busy]
-        return self.rng.choice(free) if free else None
+    def _pick_sidecar(self) -> SidecarProcess | None:
+        idle = [sidecar for sidecar in self.sidecar_processes if not sidecar.is_under_fault]
+        return self.rng.choice(idle) if idle else None
 
     @contextlib.contextmanager
-    def _acting_on(self, node: Node, away: bool) -> Any:
-        node.busy, began = True, time.monotonic()
-        if away:
-            node.away.append((began, float("inf")))
+    def _under_fault(self, sidecar: SidecarProcess, is_down: bool) -> Any:
+        sidecar.is_under_fault, start_s = True, time.monotonic()
+        if is_down:
+            sidecar.down_intervals_s.append((start_s, float("inf")))
         try:
             yield
         finally:
-            node.busy = False
-            if away:
-                node.away[-1] = (began, time.monotonic())
+            sidecar.is_under_fault = False
+            if is_down:
+                sidecar.down_intervals_s[-1] = (start_s, time.monotonic())
 
-    async def _kill(self) -> None:
+    async def _kill_sidecar(self) -> None:
         await self._restart(signal.SIGKILL)
 
-    async def _terminate(self) -> None:
+    async def _terminate_sidecar(self) -> None:
         await self._restart(signal.SIGTERM)
 
     async def _restart(self, number: int) -> None:
-        if (node := self._idle_node()) is None:
+        if (sidecar := self._pick_sidecar()) is None:
             return
-        with self._acting_on(node, away=True):
-            await self.lab.kill(node.program, number=number)
+        with self._under_fault(sidecar, is_down=True):
+            await self.lab.kill(sidecar.program, number=number)
             await asyncio.sleep(self.rng.uniform(0.0, 1.0))
-            self._keep_known(node)
-            node.program.start()
-            await node.program.wait_ready()
-
-    def _keep_known(self, node: Node) -> None:
-        """The new process starts by the list that the one before it held last."""
-        name = node.program.name
-        self.record.moves = [move for move in self.record.moves if move[1] != name]  # it saw no signal
-        if (held := self.directory.held.get(name)) is None:
+            self._save_last_list(sidecar)
+            sidecar.program.start()
+            await sidecar.program.wait_ready()
+
+    def _save_last_list(self, sidecar: SidecarProcess) -> None:
+        """Lets the next process start from the list that the last one received."""
+        name = sidecar.program.name
+        self.record.moves = [
+            move for move in self.record.moves if move[1] != name
+        ]  # it can't have handled the signal
+        if (last_list := self.directory.last_lists.get(name)) is None:
             return
-        raw = json.loads(node.config.read_text())
-        raw["known"] = {"generation": held[0], "reset": True, "instances": held[1]}
-        node.config.write_text(json.dumps(raw))
+        raw = json.loads(sidecar.config.read_text())
+        raw["known"] = {"generation": last_list[0], "reset": True, "instances": last_list[1]}
+        sidecar.config.write_text(json.dumps(raw))
 
-    async def _hold_up(self) -> None:
-        if (node := self._idle_node()) is None:
+    async def _pause_sidecar(self) -> None:
+        if (sidecar := self._pick_sidecar()) is None:
             return
-        with self._acting_on(node, away=False):
-            node.program.signal_process(signal.SIGSTOP)
-            await asyncio.sleep(HELD_UP_S)
-            node.program.signal_process(signal.SIGCONT)
-
-    async def _move(self) -> None:
-        """A new configuration names another address of discovery."""
-        if (node := self._idle_node()) is None:
+        with self._under_fault(sidecar, is_down=False):
+            sidecar.program.signal_process(signal.SIGSTOP)
+            await asyncio.sleep(SIDECAR_PAUSE_S)
+            sidecar.program.signal_process(signal.SIGCONT)
+
+    async def _change_discovery_address(self) -> None:
+        """Reloads a configuration with another address of discovery."""
+        if (sidecar := self._pick_sidecar()) is None:
             return
-        with self._acting_on(node, away=False):
-            raw = json.loads(node.config.read_text())
-            ports = [door.port for door in node.doors]
-            now = int(raw["discovery"].rpartition(":")[2])
-            raw["discovery"] = f"127.0.0.1:{ports[1 - ports.index(now)]}"
-            node.config.write_text(json.dumps(raw))
-            node.program.signal_process(signal.SIGHUP)
-            self.record.moves.append((time.monotonic(), node.program.name))
-
-    # --- Clients --------------------------------------------------------------------
-
-    async def _client(self, node: Node, number: int) -> None:
-        """One request after another on a connection that is kept as long as the sidecar keeps it."""
-        rng, count = random.Random(f"{node.program.name}-{number}"), 0
-        while not self.ending:
+        with self._under_fault(sidecar, is_down=False):
+            raw = json.loads(sidecar.config.read_text())
+            ports = [listener.port for listener in sidecar.discovery_listeners]
+            current_port = int(raw["discovery"].rpartition(":")[2])
+            raw["discovery"] = f"127.0.0.1:{ports[1 - ports.index(current_port)]}"
+            sidecar.config.write_text(json.dumps(raw))
+            sidecar.program.signal_process(signal.SIGHUP)
+            self.record.moves.append((time.monotonic(), sidecar.program.name))
+
+    async def _run_client(self, sidecar: SidecarProcess, number: int) -> None:
+        """Sends sequential requests on a connection that is reused as long as the sidecar keeps it open."""
+        rng, count = random.Random(f"{sidecar.program.name}-{number}"), 0
+        while not self.is_ending:
             with contextlib.suppress(OSError):
-                reader, writer = await asyncio.open_connection("127.0.0.1", node.program.port)
-                fresh, kept = True, True
-                while kept and not self.ending:
+                reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.program.port)
+                is_first, is_open = True, True
+                while is_open and not self.is_ending:
                     count += 1
                     cls = rng.choice(("page", "put", "pay"))
-                    asked = Asked(f"{node.program.name}-{number}-{count}", node.program.name, cls, fresh)
-                    kept = await self._ask(asked, node, rng, reader, writer)
-                    fresh = False
-                    await asyncio.sleep(PAUSE_S * rng.uniform(0.5, 1.5))
+                    request = SentRequest(
+                        f"{sidecar.program.name}-{number}-{count}", sidecar.program.name, cls, is_first
+                    )
+                    is_open = await self._send_request(request, sidecar, rng, reader, writer)
+                    is_first = False
+                    await asyncio.sleep(CLIENT_PAUSE_S * rng.uniform(0.5, 1.5))
                 writer.close()
-            await asyncio.sleep(PAUSE_S)
-
-    async def _ask(
-        self, asked: Asked, node: Node, rng: random.Random, reader: Any, writer: asyncio.StreamWriter
+            await asyncio.sleep(CLIENT_PAUSE_S)
+
+    async def _send_request(
+        self,
+        request: SentRequest,
+        sidecar: SidecarProcess,
+        rng: random.Random,
+        reader: Any,
+        writer: asyncio.StreamWriter,
     ) -> bool:
-        """Whether the connection is kept."""
-        self.asked.append(asked)
-        asked.sent_at, asked.deadline_ms = time.monotonic(), DEADLINE_MS
-        body = b"" if asked.cls == "page" else b"x"
-        writer.write(http_request(asked.cls, body, deadline_ms=DEADLINE_MS, rid=asked.request_id))
-        leaves_s = rng.uniform(0.0, 0.2) if rng.random() < LEAVES else DEADLINE_MS / 1000 + 3.0
+        """Sends a request and records its outcome; returns whether the connection stays open."""
+        self.sent_requests.append(request)
+        request.sent_s, request.deadline_ms = time.monotonic(), DEADLINE_MS
+        body = b"" if request.cls == "page" else b"x"
+        writer.write(http_request(request.cls, body, deadline_ms=DEADLINE_MS, rid=request.request_id))
+        timeout_s = rng.uniform(0.0, 0.2) if rng.random() < DISCONNECT_SHARE else DEADLINE_MS / 1000 + 3.0
         try:
-            async with asyncio.timeout(leaves_s):
-                back = await read_message(reader)
-                asked.answered_at, asked.status = time.monotonic(), int(back.start_line.split()[1])
-                asked.body = back.body.decode()
-                return back.headers.get("connection", "") != "close"
+            async with asyncio.timeout(timeout_s):
+                response = await read_message(reader)
+                request.response_s, request.status = time.monotonic(), int(response.start_line.split()[1])
+                request.body = response.body.decode()
+                return response.headers.get("connection", "") != "close"
         except TimeoutError:
-            asked.left = leaves_s < 1.0
-            asked.left_at = time.monotonic()
+            request.client_disconnected = timeout_s < 1.0
+            request.disconnected_s = time.monotonic()
         except (OSError, asyncio.IncompleteReadError) as error:
-            asked.cut = True
-            asked.unread = isinstance(error, asyncio.IncompleteReadError) and not error.partial
+            request.is_truncated = True
+            request.got_no_bytes = isinstance(error, asyncio.IncompleteReadError) and not error.partial
         finally:
-            asked.over_at = time.monotonic()
-            asked.excused = any(
-                began <= asked.over_at and asked.sent_at <= end + 1.0 for began, end in node.away
+            request.finished_s = time.monotonic()
+            request.sidecar_was_down = any(
+                start_s <= request.finished_s and request.sent_s <= end_s + 1.0
+                for start_s, end_s in sidecar.down_intervals_s
             )
         writer.transport.abort()
         return False
 
-    async def _own_words(self) -> list[str]:
-        """What the sidecars' own checks counted, and what their logs should not say."""
-        broken = []
-        for node in self.nodes:
-            text = await node.program.metrics()
+    async def _sidecar_findings(self) -> list[str]:
+        """Returns violations counted by the sidecars' own checks, and log events that must not occur."""
+        violations = []
+        for sidecar in self.sidecar_processes:
+            text = await sidecar.program.metrics()
             for line in text.splitlines():
                 if line.startswith("woadyard_invariant_violations_total") and not line.endswith(" 0.0"):
-                    broken.append(f"{node.program.name}: {line}")
-            for event in node.program.events():
+                    violations.append(f"{sidecar.program.name}: {line}")
+            for event in sidecar.program.events():
                 if (
                     event in ("unhandled exception in the balancer", "invariant violated")
                     or "Traceback" in event
                 ):
-                    broken.append(f"{node.program.name} says: {event}")
-        return broken
+                    violations.append(f"{sidecar.program.name} logged: {event}")
+        return violations
 
 
-async def play(folder: Path, seed: int, sidecars: int, seconds: float) -> tuple[list[str], Soak]:
-    """One day; what was broken, and the day."""
+async def play(folder: Path, seed: int, sidecars: int, seconds: float) -> tuple[list[str], SoakRun]:
+    """Executes one run; returns its violations and the run."""
     lab = Lab(folder)
     try:
-        soak = Soak(lab, seed, sidecars, seconds)
+        soak = SoakRun(lab, seed, sidecars, seconds)
         return await soak.run(), soak
     finally:
         lab.close()
@@ -280,11 +292,13 @@
     failed = 0
     for seed in options.seeds:
         with tempfile.TemporaryDirectory() as folder:
-            broken, soak = asyncio.run(play(Path(folder), seed, options.sidecars, options.seconds))
-        statuses = Counter(one.status for one in soak.asked)
-        print(f"seed {seed}: {len(soak.asked)} requests, by status {dict(statuses)}, {dict(soak.faults)}")
-        print("\n".join(broken[:20]) or "nothing broken", flush=True)
-        failed += bool(broken)
+            violations, soak = asyncio.run(play(Path(folder), seed, options.sidecars, options.seconds))
+        statuses = Counter(request.status for request in soak.sent_requests)
+        print(
+            f"seed {seed}: {len(soak.sent_requests)} requests, statuses {dict(statuses)}, {dict(soak.faults)}"
+        )
+        print("\n".join(violations[:20]) or "no violations", flush=True)
+        failed += bool(violations)
     return 1 if failed else 0
 
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -41,8 +41,8 @@
 BOUND_S = 20.0
 
 
-def act(world: World, action: str, index: int) -> None:
-    first, second = (world.addresses[(index + n) % len(world.addresses)] for n in (0, 1))
+def act(world: World, action: str, member_index: int) -> None:
+    first, second = (world.addresses[(member_index + n) % len(world.addresses)] for n in (0, 1))
     if action.endswith("the leader"):
         leader = world.leader()
         if leader is not None:
@@ -121,7 +121,7 @@
         world.run_until(world.now + 2.0)
         assert how == "stop" or leader.election.role != LEADER, "a leader that is cut off steps down"
         assert leader.disk.name not in {
-            name for term, name in world.leaders.items() if term > leader.leader_term
+            leader_name for term, leader_name in world.leaders.items() if term > leader.leader_term
         }
         world.check()
     assert max(durations_s) < TIMING.timeout_most_s + 0.5
@@ -134,7 +134,7 @@
         world.run_until(world.now + 2.0)
         leader = world.leader()
         assert leader is not None
-        isolated = next(address for address in world.addresses if address != leader.address)
+        isolated = next(peer for peer in world.addresses if peer != leader.address)
         world.isolate(isolated)
         world.run_until(world.now + 20.0)
         assert world.members[isolated].election.role == CANDIDATE
@@ -159,16 +159,16 @@
     leader = world.leader()
     assert leader is not None
     minority = [leader.address, next(peer for peer in world.addresses if peer != leader.address)]
-    for address in minority:
+    for minority_peer in minority:
         for other in set(world.addresses) - set(minority):
-            world.cut |= {(address, other), (other, address)}
+            world.cut |= {(minority_peer, other), (other, minority_peer)}
     world.write_until_acknowledged("second", 6.0)
     world.run_until(world.now + 5.0)
     acknowledged_by = {
         entry[1].split("@")[1] for _, entry in world.acknowledged if entry[1].startswith("second")
     }
     assert not acknowledged_by & set(minority)
-    assert all(world.members[address].election.role != LEADER for address in minority)
+    assert all(world.members[peer].election.role != LEADER for peer in minority)
     world.cut.clear()
     world.run_until(world.now + 5.0)
     world.check()
@@ -202,7 +202,7 @@
     world.run_until(world.now + 2.0)
     leader = world.leader()
     assert leader is not None
-    wiped, other = (address for address in world.addresses if address != leader.address)
+    wiped, other = (peer for peer in world.addresses if peer != leader.address)
     world.stop(other)  # so the next write is held only by the leader and the member to be wiped
     world.write_until_acknowledged("second", 2.0)
     act(world, "wipe", world.addresses.index(wiped))
@@ -236,9 +236,9 @@
     while member.campaign is None:
         member.tick(now := now + 0.1)
     for _ in range(2):
-        campaign = member.campaign
-        assert campaign is not None
-        member.handle_response("p0", campaign, structs.replace(response, term=member.term), now)
+        pending_request = member.campaign
+        assert pending_request is not None
+        member.handle_response("p0", pending_request, structs.replace(response, term=member.term), now)
     assert member.role == LEADER
 
 
@@ -297,7 +297,7 @@
         "p1": PeerResponse("y", "", 5, (0, 0), NEW, True),
     }
 
-    def tick(now: float, *responding: str) -> str:
+    def next_promotion(now: float, *responding: str) -> str:
         """Returns the name promoted in the heartbeats of this tick, after these peers have responded."""
         heartbeats = {
             peer: heartbeat for peer, heartbeat in leader.tick(now) if isinstance(heartbeat, Heartbeat)
@@ -312,18 +312,20 @@
     now = leader.leading_since_s + 0.5
     end_s = now + TIMING.newcomer_s
     while now < end_s:
-        assert not tick(now, "p0", "p1"), "a campaign from before it joined may still win"
+        assert not next_promotion(now, "p0", "p1"), "a campaign from before it joined may still win"
         leader.record_poll("x", 9, now)
         leader.record_poll("y", 99, now)
         now += 0.5
     for _ in range(2):
         leader.record_poll("x", 9, now)
-        assert not tick(now, "p1"), "no other member has confirmed since"
+        assert not next_promotion(now, "p1"), "no other member has confirmed since"
         now += 0.5
     leader.learners["y"].match_index = 8
-    assert not tick(now, "p0", "p1") and not tick(now + 0.5, "p0", "p1"), "it lacks an entry"
+    assert not next_promotion(now, "p0", "p1") and not next_promotion(now + 0.5, "p0", "p1"), (
+        "it lacks an entry"
+    )
     assert not leader.record_poll("y", 9, now + 0.5)
-    assert tick(now + 1.0) == "y"
+    assert next_promotion(now + 1.0) == "y"
 
 
 def test_a_paused_process_reads_pending_messages_before_any_timeout_takes_effect() -> None:
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -31,9 +31,9 @@
         if links:
             self.links = {pair: await self.lab.proxy(self.ports[pair[1]]) for pair in pairs}
 
-        def peers(origin: int) -> str:
+        def peers(sender: int) -> str:
             ports = [
-                self.links[pair].port if links else self.ports[pair[1]] for pair in pairs if pair[0] == origin
+                self.links[pair].port if links else self.ports[pair[1]] for pair in pairs if pair[0] == sender
             ]
             return ",".join(f"127.0.0.1:{port}" for port in ports)
 
@@ -82,9 +82,9 @@
 
     def cut(self, member: Program, mode: str) -> None:
         """Sets the fault on all links of this member, in both directions."""
-        index = self.all.index(member)
+        member_index = self.all.index(member)
         for pair, link in self.links.items():
-            if index in pair:
+            if member_index in pair:
                 link.fault(mode)
 
 
@@ -128,12 +128,12 @@
     for n in range(10):
         await members.write(f"s-{n}")
     watchers = [MemberWatcher(members, seed) for seed in range(9)]
-    await asyncio.gather(*(watcher.wait_listed("s-9") for watcher in watchers))
+    await asyncio.gather(*(sidecar.wait_listed("s-9") for sidecar in watchers))
     killed = await members.leader()
     followers = members.others(killed)
     await lab.kill(killed)
     await members.write("after", followers)
-    await asyncio.gather(*(watcher.wait_listed("after") for watcher in watchers))
+    await asyncio.gather(*(sidecar.wait_listed("after") for sidecar in watchers))
     acknowledged.add("after")
     leader = await members.leader(followers)
     assert await members.names(leader) == acknowledged
@@ -146,9 +146,9 @@
     for member in members.all:
         member.start()
     await members.write("anew")
-    await asyncio.gather(*(watcher.wait_listed("anew") for watcher in watchers))
+    await asyncio.gather(*(sidecar.wait_listed("anew") for sidecar in watchers))
     assert await members.names(await members.leader()) == {*acknowledged, "anew"}
-    assert not any(watcher.removed_names for watcher in watchers), "no lease expired, no list was incomplete"
+    assert not any(sidecar.removed_names for sidecar in watchers), "no lease expired, no list was incomplete"
     lease.cancel()
     for watcher in watchers:
         watcher.discovery.close()
--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -67,7 +67,7 @@
 
 @contextlib.asynccontextmanager
 async def three_members(
-    folder: Path, prepare: Callable[[list[LocalMember]], None] = lambda members: None
+    folder: Path, prepare: Callable[[list[LocalMember]], None] = lambda started: None
 ) -> AsyncIterator[list[LocalMember]]:
     ports = [free_port() for _ in range(3)]
     members = [LocalMember(folder / str(n), port, ports) for n, port in enumerate(ports)]
--- a/woadyard/registry/election.py
+++ b/woadyard/registry/election.py
@@ -189,7 +189,7 @@
         }
         return {"role": self.role, "standing": self.ballot.standing, "members": standings}
 
-    def observe_term(self, term: int, now: float) -> None:
+    def adopt_term(self, term: int, now: float) -> None:
         """Adopts a greater term that another process acts on, and steps down."""
         if term > self.term:
             self.ballot = msgspec.structs.replace(self.ballot, term=term, voted_for="")
@@ -288,7 +288,7 @@
         )
         if request.trial:
             return is_eligible and request.term > self.term
-        self.observe_term(request.term, now)
+        self.adopt_term(request.term, now)
         if not is_eligible or request.term < self.term or self.ballot.voted_for not in ("", request.name):
             return False
         self.ballot = msgspec.structs.replace(self.ballot, voted_for=request.name)
@@ -300,7 +300,7 @@
         self._check_sender(heartbeat)
         if heartbeat.term < self.term:
             return self._response(False)
-        self.observe_term(heartbeat.term, now)
+        self.adopt_term(heartbeat.term, now)
         if self.role != FOLLOWER:
             self.step_down(now)
         self.leader, self.last_heartbeat_s = heartbeat.name, now
@@ -339,7 +339,7 @@
             return []
         self.responses[peer] = response
         if response.term > self.term:
-            self.observe_term(response.term, now)
+            self.adopt_term(response.term, now)
         elif isinstance(message, Heartbeat):
             self._record_confirmation(message, response, now)
         elif message is self.campaign and response.granted:
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -81,7 +81,7 @@
         self.election = Election(
             registry.member_id, list(peers), self.saved_ballot, self._log_position, rng, now, timing
         )
-        self.election.observe_term(registry.highest_term, now)
+        self.election.adopt_term(registry.highest_term, now)
         registry.election = self.election
         registry.observe_term(registry.log_state.lineage, self.saved_ballot.term, "the ballot")
         registry.replica_progress.required_replicas = self.election.quorum_peers
@@ -126,7 +126,7 @@
 
     def _observe_registry_term(self) -> None:
         """Passes on a greater term that the registry has seen in calls of clients or followers."""
-        self.election.observe_term(self.registry.highest_term, time.monotonic())
+        self.election.adopt_term(self.registry.highest_term, time.monotonic())
 
     def _apply_turn(self, messages: Iterable[Outgoing]) -> None:
         """Stores the ballot, updates the role and sends the messages; sends nothing if the ballot can't be
