--- a/woadyard/limits/service.py
+++ b/woadyard/limits/service.py
@@ -38,7 +38,7 @@
 
 def routes(registry: Registry) -> list[web.RouteDef]:
     async def hold(request: web.Request) -> web.StreamResponse:
-        if registry.state_machine(AuditState).holder_out(request.match_info["name"]):
+        if registry.state_machine(AuditState).is_holder_shut_out(request.match_info["name"]):
             # What it holds lapses with its lease, never earlier.
             remedy = "it gets shares again once it acts on the list of by now"
             return error_response(409, "shut out by the audit", remedy)
--- a/woadyard/registry/state_machines.py
+++ b/woadyard/registry/state_machines.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from woadyard.audit.ledger import AuditState
-from woadyard.experiment.book import ExperimentsState
+from woadyard.experiment.state_machine import ExperimentsState
 from woadyard.limits import LimitsState
 from woadyard.lists import EndpointListState
 from woadyard.registry.state_machine import StateMachine
