--- a/woadyard/experiment/sample_ratio.py
+++ b/woadyard/experiment/sample_ratio.py
@@ -1,9 +1,10 @@
-"""Did the arms get their shares? A sequential test of sample ratio mismatch.
+"""A sequential test of sample ratio mismatch: whether the arms get their planned shares.
 
-The Bayes factor of a Dirichlet-multinomial against the plan's shares is an e-process: it passes
-1 / alpha at any look with chance alpha at most (Lindon and Malek, "Anytime-valid inference for
-multinomial count data", 2022; Ville). Requests of one key go to one arm together, so the counts
-are first divided by their design effect, as the batches show it (Rao and Scott, 1981).
+The Bayes factor of a Dirichlet-multinomial against the planned shares is an e-process: the
+probability that it exceeds 1 / alpha at any look is at most alpha (Lindon and Malek,
+"Anytime-valid inference for multinomial count data", 2022; Ville's inequality). All requests of a
+key go to the same arm, so the counts are first divided by their design effect, which is estimated
+from the variation between units of time (Rao and Scott, 1981).
 """
 
 from __future__ import annotations
@@ -13,69 +14,82 @@
 
 from scipy.special import gammaln
 
-PRIOR_WEIGHT = 100.0  # the Dirichlet's weight: it looks for shares off by about 0.05
-# Till batches show the design effect it is taken for this, with the weight of so many batches.
+PRIOR_WEIGHT = 100.0  # of the Dirichlet prior: most sensitive to shares off by about 0.05
+# The prior of the design effect, and its weight as a number of units of time.
 DESIGN_EFFECT_PRIOR, DESIGN_EFFECT_PRIOR_UNITS = 4.0, 8.0
-SMALL_SAMPLE_INFLATION = 10.0  # a spread learned from few units is widened by 1 + SMALL / units
+SMALL_SAMPLE_INFLATION = 10.0  # dispersion estimated from few units is multiplied by 1 + this / units
 
 
 class SampleRatioTest:
-    """Counts of requests by unit of time and arm against shares that may change between units."""
+    """Tests counts by unit of time and arm against shares that may change between units."""
 
-    def __init__(self, arms: int) -> None:
+    def __init__(self, arm_count: int) -> None:
         self.units: dict[int, list[int]] = {}
-        self._arms = arms
+        self._arms = arm_count
         self._totals_by_shares: dict[tuple[float, ...], list[int]] = {}
         self._pearson = 0.0
         self._shares_by_unit: dict[int, tuple[float, ...]] = {}
 
-    def add(self, unit: int, arm: int, tried: int, shares: tuple[float, ...] | None) -> None:
-        """`shares` None: they changed within this unit, which tells nothing then."""
-        if shares is None or not tried:
+    def add(self, unit: int, arm: int, requests: int, shares: tuple[float, ...] | None) -> None:
+        """Count requests of an arm in a unit of time.
+
+        `shares` is None if they changed within the unit, which is then left out of the test.
+        """
+        if shares is None or not requests:
             return
         counts = self.units.get(unit)
         if counts is None:
             counts = self.units[unit] = [0] * self._arms
             self._shares_by_unit[unit] = shares
         self._pearson -= _pearson_statistic(counts, shares)
-        counts[arm] += tried
+        counts[arm] += requests
         self._pearson += _pearson_statistic(counts, shares)
         totals = self._totals_by_shares.get(shares)
         if totals is None:
             totals = self._totals_by_shares[shares] = [0] * self._arms
-        totals[arm] += tried
+        totals[arm] += requests
 
     def log_bayes_factor(
         self, newest: int, open_units: int, slack: float, design_effect_prior: float = DESIGN_EFFECT_PRIOR
     ) -> float:
-        """log of the Bayes factor against the plan's shares, without the last `open_units` up to
-        `newest` (they may be half told); 0 while nothing is known. `guess` is the design effect
-        that is taken for likely before batches show it."""
-        held = [unit for unit in range(newest - open_units + 1, newest + 1) if unit in self.units]
-        units = len(self.units) - len(held)
-        if units < 2:
+        """Return the log of the Bayes factor against the planned shares; 0 with too few units.
+
+        The last `open_units` units up to `newest` are left out, because they may be incomplete.
+        `design_effect_prior` is the design effect that is assumed until the units show it.
+        """
+        excluded_units = [unit for unit in range(newest - open_units + 1, newest + 1) if unit in self.units]
+        unit_count = len(self.units) - len(excluded_units)
+        if unit_count < 2:
             return 0.0
         pearson = self._pearson - sum(
-            _pearson_statistic(self.units[unit], self._shares_by_unit[unit]) for unit in held
+            _pearson_statistic(self.units[unit], self._shares_by_unit[unit]) for unit in excluded_units
         )
-        about = 0.0
-        parts = []
+        pearson_about_observed = 0.0
+        counts_and_shares = []
         for shares, totals in self._totals_by_shares.items():
             counts = totals.copy()
-            for unit in held:
+            for unit in excluded_units:
                 if self._shares_by_unit[unit] == shares:
-                    counts = [total - one for total, one in zip(counts, self.units[unit], strict=True)]
-            parts.append((_nearest_shares(shares, counts, slack), counts))
-            about += _pearson_statistic(counts, shares)
-        # Spread between units about what was seen, not about the plan: a steady mismatch is none.
-        spread = max(pearson - about, 0.0) / (self._arms - 1) * (1 + SMALL_SAMPLE_INFLATION / units)
-        effect = max(
+                    counts = [
+                        total - excluded for total, excluded in zip(counts, self.units[unit], strict=True)
+                    ]
+            counts_and_shares.append((_nearest_shares(shares, counts, slack), counts))
+            pearson_about_observed += _pearson_statistic(counts, shares)
+        # The dispersion is taken around the observed shares, not the planned ones: a steady mismatch
+        # must not count as a design effect.
+        spread = (
+            max(pearson - pearson_about_observed, 0.0)
+            / (self._arms - 1)
+            * (1 + SMALL_SAMPLE_INFLATION / unit_count)
+        )
+        design_effect = max(
             (spread + design_effect_prior * DESIGN_EFFECT_PRIOR_UNITS)
-            / (units - 1 + DESIGN_EFFECT_PRIOR_UNITS),
+            / (unit_count - 1 + DESIGN_EFFECT_PRIOR_UNITS),
             1.0,
         )
         return sum(
-            _log_bayes_factor([count / effect for count in counts], shares) for shares, counts in parts
+            _log_bayes_factor([count / design_effect for count in counts], shares)
+            for shares, counts in counts_and_shares
         )
 
 
@@ -83,21 +97,26 @@
     total = sum(counts)
     if not total:
         return 0.0
-    return sum(n * n / (total * share) for n, share in zip(counts, shares, strict=True)) - total
+    return sum(count * count / (total * share) for count, share in zip(counts, shares, strict=True)) - total
 
 
 def _nearest_shares(shares: tuple[float, ...], counts: Sequence[int], slack: float) -> Sequence[float]:
-    """The shares nearest to what was counted within `slack` of the plan's."""
+    """Return the shares within `slack` of the planned ones that are nearest to the observed ones."""
     total = sum(counts)
     if not slack or not total:
         return shares
-    near = [min(max(n / total, s - slack, 1e-9), s + slack) for n, s in zip(counts, shares, strict=True)]
-    return [one / math.fsum(near) for one in near]
+    nearest = [
+        min(max(count / total, planned - slack, 1e-9), planned + slack)
+        for count, planned in zip(counts, shares, strict=True)
+    ]
+    return [share / math.fsum(nearest) for share in nearest]
 
 
 def _log_bayes_factor(counts: Sequence[float], shares: Sequence[float]) -> float:
     total = math.fsum(counts)
-    value = gammaln(PRIOR_WEIGHT) - gammaln(total + PRIOR_WEIGHT)
-    for n, share in zip(counts, shares, strict=True):
-        value += gammaln(n + PRIOR_WEIGHT * share) - gammaln(PRIOR_WEIGHT * share) - n * math.log(share)
-    return float(value)
+    log_factor = gammaln(PRIOR_WEIGHT) - gammaln(total + PRIOR_WEIGHT)
+    for count, share in zip(counts, shares, strict=True):
+        log_factor += (
+            gammaln(count + PRIOR_WEIGHT * share) - gammaln(PRIOR_WEIGHT * share) - count * math.log(share)
+        )
+    return float(log_factor)
