--- a/woadyard/experiment/evidence_totals.py
+++ b/woadyard/experiment/evidence_totals.py
@@ -1,7 +1,8 @@
-"""The evidence of one running experiment as the log keeps it: sums by cell, each counted once.
+"""The evidence of one running experiment as kept in the replicated log: sums by cell.
 
-A sidecar tells a cell's sum so far, again until it knows that the sum is kept for good; the
-greatest sum of a cell counts, so that loss, repetition and order of reports change nothing.
+A sidecar reports the running sums of a cell repeatedly, until it knows that they are stored. The
+greatest sum reported for a cell counts, so the totals don't depend on loss, repetition or order of
+the reports.
 """
 
 from __future__ import annotations
@@ -13,13 +14,16 @@
 from woadyard.experiment.messages import Evidence, Row
 
 CellKey = tuple[int, str, str, str]  # slot, class, zone, arm
-SUMS_PER_CELL = 5
-MAX_CELLS = 65_536  # cells of the sum; later ones of a new slot are left out, and said
+SUMS_PER_CELL = 5  # tried, good, failed, slow, drawn
+MAX_CELLS = 65_536  # requests of further cells are excluded, and counted as such
 
 
 @dataclass
 class ReportSource:
-    """One run of a sidecar: the cells that it may still tell of."""
+    """The rows that one run of a sidecar may still report.
+
+    `reported` holds the last sums of each row; numbers below `lowest_row` are complete.
+    """
 
     lowest_row: int = 0
     reported: dict[int, tuple[CellKey, list[int]]] = field(default_factory=dict)
@@ -27,8 +31,11 @@
 
 @dataclass
 class EvidenceTotals:
-    """`sums` by cell are tried, good, failed, slow, drawn; `left_out` counts requests, by why; `touched`
-    are the cells changed since the stopper was last fed."""
+    """Sums by cell over all sidecars.
+
+    `excluded` counts requests that were left out, by reason; `changed` holds the cells that have
+    changed since the last interim analysis.
+    """
 
     slot_ms: int
     sums: dict[CellKey, list[int]] = field(default_factory=dict)
@@ -37,31 +44,47 @@
     changed: set[CellKey] = field(default_factory=set)
 
     def merge_report(
-        self, source: str, told: Evidence, at_ms: int, arms: Collection[str], revision: int, shut_out: bool
+        self,
+        source: str,
+        evidence: Evidence,
+        received_ms: int,
+        arms: Collection[str],
+        revision: int,
+        is_shut_out: bool,
     ) -> None:
-        """Evidence of one run that came at `at_ms`; counts of another revision are left out."""
-        known = self.sources.setdefault(source, ReportSource())
-        for row in told.rows:
-            if row.k < known.lowest_row:
+        """Add what is new in the evidence of one run; counts of another revision are excluded."""
+        report_source = self.sources.setdefault(source, ReportSource())
+        for row in evidence.rows:
+            if row.k < report_source.lowest_row:
                 continue
-            key, had = known.reported.get(row.k, (self._cell_key(row, told.zone, at_ms), [0] * SUMS_PER_CELL))
-            new = [max(one, was) for one, was in zip(_row_sums(row), had, strict=True)]
-            more = [one - was for one, was in zip(new, had, strict=True)]
-            known.reported[row.k] = key, new
-            if why := self._exclusion_reason(row, key, arms, revision, shut_out):
-                self.excluded[why] = self.excluded.get(why, 0) + more[4]
-            elif any(more):
+            key, old_sums = report_source.reported.get(
+                row.k, (self._cell_key(row, evidence.zone, received_ms), [0] * SUMS_PER_CELL)
+            )
+            new_sums = [
+                max(count, old_count) for count, old_count in zip(_row_sums(row), old_sums, strict=True)
+            ]
+            increments = [count - old_count for count, old_count in zip(new_sums, old_sums, strict=True)]
+            report_source.reported[row.k] = key, new_sums
+            if reason := self._exclusion_reason(row, key, arms, revision, is_shut_out):
+                self.excluded[reason] = self.excluded.get(reason, 0) + increments[4]
+            elif any(increments):
                 sums = self.sums.setdefault(key, [0] * SUMS_PER_CELL)
-                self.sums[key] = [one + plus for one, plus in zip(sums, more, strict=True)]
+                self.sums[key] = [
+                    count + increment for count, increment in zip(sums, increments, strict=True)
+                ]
                 self.changed.add(key)
-        if told.low > known.lowest_row:
-            known.lowest_row = told.low
-            known.reported = {k: one for k, one in known.reported.items() if k >= told.low}
+        if evidence.low > report_source.lowest_row:
+            report_source.lowest_row = evidence.low
+            report_source.reported = {
+                row_number: count
+                for row_number, count in report_source.reported.items()
+                if row_number >= evidence.low
+            }
 
     def _exclusion_reason(
-        self, row: Row, key: CellKey, arms: Collection[str], revision: int, shut_out: bool
+        self, row: Row, key: CellKey, arms: Collection[str], revision: int, is_shut_out: bool
     ) -> str:
-        if shut_out:
+        if is_shut_out:
             return "shut out"
         if row.revision != revision:
             return "old revision"
@@ -69,36 +92,41 @@
             return "no such arm"
         return "no room" if key not in self.sums and len(self.sums) >= MAX_CELLS else ""
 
-    def _cell_key(self, row: Row, zone: str, at_ms: int) -> CellKey:
-        return max(at_ms - row.age_ms, 0) // self.slot_ms, row.cls, zone, row.arm
+    def _cell_key(self, row: Row, zone: str, received_ms: int) -> CellKey:
+        return max(received_ms - row.age_ms, 0) // self.slot_ms, row.cls, zone, row.arm
 
     def tried_by_arm(self) -> dict[str, int]:
-        """Answered requests by arm."""
-        found: dict[str, int] = {}
+        """Return the number of completed requests by arm."""
+        tried: dict[str, int] = {}
         for (_, _, _, arm), sums in self.sums.items():
-            found[arm] = found.get(arm, 0) + sums[0]
-        return found
+            tried[arm] = tried.get(arm, 0) + sums[0]
+        return tried
 
     def dump(self) -> dict[str, Any]:
         return {
             "slot_ms": self.slot_ms,
             "sums": [[*key, *sums] for key, sums in self.sums.items()],
             "sources": {
-                name: [one.lowest_row, [[k, *key, *sums] for k, (key, sums) in one.reported.items()]]
-                for name, one in self.sources.items()
+                name: [
+                    source.lowest_row,
+                    [[row_number, *key, *sums] for row_number, (key, sums) in source.reported.items()],
+                ]
+                for name, source in self.sources.items()
             },
             "left_out": dict(self.excluded),
         }
 
     @classmethod
     def load(cls, raw: dict[str, Any]) -> EvidenceTotals:
-        """What `dump` gave; KeyError, TypeError or ValueError on anything else."""
+        """Decode the result of `dump`; raises KeyError, TypeError or ValueError on other input."""
         sources = {}
-        for name, (low, told) in raw["sources"].items():
-            sources[str(name)] = ReportSource(int(low), {int(k): _decode_cell(cell) for k, *cell in told})
+        for name, (lowest_row, rows) in raw["sources"].items():
+            sources[str(name)] = ReportSource(
+                int(lowest_row), {int(row_number): _decode_cell(cell) for row_number, *cell in rows}
+            )
         sums = dict(_decode_cell(cell) for cell in raw["sums"])
-        left_out = {str(why): int(count) for why, count in raw["left_out"].items()}
-        return cls(int(raw["slot_ms"]), sums, sources, left_out, set(sums))
+        excluded = {str(reason): int(count) for reason, count in raw["left_out"].items()}
+        return cls(int(raw["slot_ms"]), sums, sources, excluded, set(sums))
 
 
 def _row_sums(row: Row) -> list[int]:
@@ -108,5 +136,5 @@
 def _decode_cell(raw: list[Any]) -> tuple[CellKey, list[int]]:
     slot, cls, zone, arm, *sums = raw
     if len(sums) != SUMS_PER_CELL:
-        raise ValueError(f"a cell has {SUMS_PER_CELL} sums")
-    return (int(slot), str(cls), str(zone), str(arm)), [int(one) for one in sums]
+        raise ValueError(f"a cell must have {SUMS_PER_CELL} sums, not {len(sums)}")
+    return (int(slot), str(cls), str(zone), str(arm)), [int(count) for count in sums]
--- a/woadyard/experiment/experiment.py
+++ b/woadyard/experiment/experiment.py
@@ -1,4 +1,4 @@
-"""One experiment in the book: its plan, where it stands, its evidence, its decision."""
+"""One experiment: its plan, state, evidence and decision, and the directive that follows from them."""
 
 from __future__ import annotations
 
@@ -16,28 +16,30 @@
 
 
 class Draft(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an operator sends to begin an experiment."""
+    """The definition of an experiment as an operator submits it; raises `PlanError` if it is invalid."""
 
     plan: Plan
     match: dict[str, Match]  # by arm
-    salt: str = ""  # none: the experiment's name
-    hold_ms: int = 30_000
-    slot_ms: int = 60_000
+    salt: str = ""  # empty: the name of the experiment
+    hold_ms: int = 30_000  # without a response of the service a sidecar then serves control only
+    slot_ms: int = 60_000  # length of the time slots that requests are counted by
 
     def __post_init__(self) -> None:
         if set(self.match) != set(self.plan.arms):
-            raise PlanError(
-                "`match` does not name the plan's arms", "say for each arm which endpoints it has"
-            )
+            raise PlanError("`match` must have the plan's arms as its keys", "give the endpoints of each arm")
         if math.isinf(self.plan.maximum_s):
-            raise PlanError("an experiment needs a maximum_s")
+            raise PlanError("an experiment needs a finite maximum_s")
         if not 1000 <= self.hold_ms <= 3_600_000 or not 100 <= self.slot_ms <= 600_000:
-            raise PlanError("hold_ms is 1,000 to 3,600,000 and slot_ms 100 to 600,000")
+            raise PlanError("hold_ms must be within 1,000 to 3,600,000 and slot_ms within 100 to 600,000")
 
 
 @dataclass
 class Experiment:
-    """Times are the writer's ms; `shares` have since when they hold."""
+    """An experiment as kept by the state machine.
+
+    Times are in ms by the leader's clock; `share_history` has each set of shares with the time
+    from which it applies.
+    """
 
     name: str
     draft: Draft
@@ -47,35 +49,37 @@
     evidence: EvidenceTotals | None = None
     decision: Decision | None = None
     decided_ms: int = 0
-    applied_ms: int | None = None  # when every serving sidecar acted on the decision
+    applied_ms: int | None = None  # when all serving sidecars had applied the decision
 
-    def start(self, at: int) -> None:
+    def start(self, now_ms: int) -> None:
         self.state = transition(self.state, State.RUNNING)
-        self.started_ms, self.evidence = at, EvidenceTotals(self.draft.slot_ms)
-        self.share_history = [(at, self.draft.plan.shares)]
+        self.started_ms, self.evidence = now_ms, EvidenceTotals(self.draft.slot_ms)
+        self.share_history = [(now_ms, self.draft.plan.shares)]
 
-    def reshare(self, at: int, shares: Any) -> None:
-        told = self.draft.plan.normalized_shares(shares)
+    def reshare(self, now_ms: int, shares: Any) -> None:
+        new_shares = self.draft.plan.normalized_shares(shares)
         if self.state is not State.RUNNING:
-            raise PlanError(f"an experiment that is {self.state} has no shares to change")
-        self.share_history.append((at, told))
+            raise PlanError(
+                f"shares can only be changed while an experiment is running, not when it is {self.state}"
+            )
+        self.share_history.append((now_ms, new_shares))
 
-    def decide(self, at: int, decision: Decision) -> None:
-        """Once: `step` refuses a second end."""
+    def decide(self, now_ms: int, decision: Decision) -> None:
+        """End the experiment; raises `PlanError` if it already has a decision."""
         self.state = transition(self.state, decision.state)
-        self.decision, self.decided_ms = decision, at
+        self.decision, self.decided_ms = decision, now_ms
 
-    def mark_applied(self, at: int) -> None:
+    def mark_applied(self, now_ms: int) -> None:
         self.state = transition(self.state, State.APPLIED)
-        self.applied_ms = at
+        self.applied_ms = now_ms
 
     def close(self) -> None:
-        """Its evidence goes; its decision stays on record."""
+        """Discard the evidence; the decision is kept."""
         self.state = transition(self.state, State.CLOSED)
         self.evidence = None
 
     def directive(self, revision: int) -> Directive:
-        """What sidecars do by it; without arms before its start and after its close."""
+        """Return the directive for sidecars; it has no arms before the start and after the close."""
         if self.state in (State.DRAFT, State.CLOSED):
             return Directive(revision)
         plan, draft = self.draft.plan, self.draft
@@ -83,21 +87,21 @@
         shares = self.share_history[-1][1]
         if serve is not None:
             shares = tuple(float(name == serve) for name in plan.arms)
-        pairs = zip(plan.arms, shares, strict=True)
-        arms = tuple(Arm(name, share, draft.match[name]) for name, share in pairs)
+        names_and_shares = zip(plan.arms, shares, strict=True)
+        arms = tuple(Arm(name, share, draft.match[name]) for name, share in names_and_shares)
         salt = draft.salt or self.name
         return Directive(revision, salt, arms, plan.control, serve, draft.hold_ms, draft.slot_ms)
 
     def summary(self) -> dict[str, Any]:
-        """For operators: all but the cells."""
-        took = None if self.applied_ms is None else self.applied_ms - self.decided_ms
+        """Return all but the cells of the evidence, for operators."""
+        applied_after_ms = None if self.applied_ms is None else self.applied_ms - self.decided_ms
         return {
             "name": self.name,
             "state": self.state,
             "started": self.started_ms,
             "decided": self.decided_ms,
             "applied": self.applied_ms,
-            "applied_after_ms": took,
+            "applied_after_ms": applied_after_ms,
             "decision": self.decision,
             "tried": self.evidence.tried_by_arm() if self.evidence else {},
             "left_out": self.evidence.excluded if self.evidence else {},
@@ -121,7 +125,10 @@
 
     @classmethod
     def load(cls, raw: dict[str, Any]) -> Experiment:
-        """What `dump` gave; KeyError, TypeError, ValueError or PlanError on anything else."""
+        """Decode the result of `dump`.
+
+        Raises KeyError, TypeError, ValueError or PlanError on other input.
+        """
         return cls(
             str(raw["name"]),
             msgspec.convert(raw["draft"], Draft),
--- a/woadyard/experiment/messages.py
+++ b/woadyard/experiment/messages.py
@@ -1,4 +1,4 @@
-"""What the service and a sidecar tell each other of an experiment: a directive, and evidence."""
+"""Messages on an experiment: directives of the list service, evidence of sidecars."""
 
 from __future__ import annotations
 
@@ -14,39 +14,52 @@
 
 
 class Match(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True, rename="camel"):
-    """Which listed endpoints are an arm's: those that have every value named here."""
+    """Selects the endpoints of an arm: those whose list entry has every value given here."""
 
     machine_type: str | None = None
     zone: str | None = None
     label: str | None = None
 
     def matches(self, entry: dict[str, Any]) -> bool:
-        named = (("machineType", self.machine_type), ("zone", self.zone), ("label", self.label))
-        wanted = [(key, value) for key, value in named if value is not None]
-        return bool(wanted) and all(entry.get(key) == value for key, value in wanted)
+        conditions = (("machineType", self.machine_type), ("zone", self.zone), ("label", self.label))
+        given = [(key, value) for key, value in conditions if value is not None]
+        return bool(given) and all(entry.get(key) == value for key, value in given)
 
 
 class Arm(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One arm of a traffic split, with its share of the requests."""
+
     name: Identifier
     share: Annotated[float, msgspec.Meta(ge=0, le=1)]
     match: Match
 
 
 class Directive(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a sidecar does by this revision. No arms: no experiment. `serve`: the experiment is
-    over, and all requests go to that arm; then nothing is counted."""
+    """What a sidecar is to do as of this revision.
+
+    Without arms there is no experiment. With `serve` the experiment has ended: all requests go to
+    that arm and nothing is counted.
+    """
 
     revision: Annotated[int, msgspec.Meta(ge=1, lt=2**53)]
     salt: str = ""
     arms: tuple[Arm, ...] = ()
     control: str = ""
     serve: str | None = None
-    hold_ms: Annotated[int, msgspec.Meta(ge=1000)] = 30_000  # without a word of the service
-    slot_ms: Annotated[int, msgspec.Meta(ge=100)] = 60_000  # counts are kept by so long
+    hold_ms: Annotated[int, msgspec.Meta(ge=1000)] = (
+        30_000  # without a response of the service, before control gets all requests
+    )
+    slot_ms: Annotated[int, msgspec.Meta(ge=100)] = (
+        60_000  # length of the time slots that requests are counted by
+    )
 
 
 class Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True, gc=False):
-    """The sums so far of one cell, number `k` of this run, that began `age_ms` before the report."""
+    """The running sums of one cell.
+
+    `k` is the number of the cell in this run of the sidecar; the cell's slot began `age_ms` before
+    the report.
+    """
 
     k: Count
     revision: Count
@@ -57,37 +70,42 @@
     good: Count
     failed: Count
     slow: Count
-    drawn: Count  # assigned to the arm; those tried have had their answer
+    drawn: Count  # requests assigned to the arm; `tried` counts the completed ones
 
 
 class Evidence(msgspec.Struct, forbid_unknown_fields=True):
-    """All cells that the service may not have for good; those below `low` are never told again."""
+    """All cells that may not be stored by the service yet.
+
+    Cells numbered below `low` are never reported again.
+    """
 
     low: Count
     rows: Annotated[list[Row], msgspec.Meta(max_length=MAX_ROWS)] = []
     zone: Annotated[str, msgspec.Meta(max_length=64)] = ""
-    dropped: Count = 0  # requests that no room was left for
+    dropped: Count = 0  # requests not counted because there were too many cells
 
 
 def read_directive(raw: Any) -> Directive:
-    """PeerError on anything but a whole directive."""
+    """Decode a directive; raises `PeerError` if it is invalid."""
     try:
-        told = msgspec.convert(raw, Directive)
+        directive = msgspec.convert(raw, Directive)
     except msgspec.ValidationError as error:
-        raise PeerError(f"no experiment's directive: {error}") from None
-    names = [arm.name for arm in told.arms]
-    if told.arms and (told.control not in names or (told.serve or told.control) not in names):
-        raise PeerError("a directive's control or winner is none of its arms")
-    return told
+        raise PeerError(f"invalid directive of an experiment: {error}") from None
+    names = [arm.name for arm in directive.arms]
+    if directive.arms and (
+        directive.control not in names or (directive.serve or directive.control) not in names
+    ):
+        raise PeerError("the control or the winner of a directive is not one of its arms")
+    return directive
 
 
 def read_evidence(raw: Any) -> Evidence:
-    """PeerError on anything but evidence whose counts fit each other."""
+    """Decode evidence; raises `PeerError` if it is invalid or its counts contradict each other."""
     try:
-        told = msgspec.convert(raw, Evidence)
+        evidence = msgspec.convert(raw, Evidence)
     except msgspec.ValidationError as error:
-        raise PeerError(f"no evidence: {error}") from None
-    for row in told.rows:
+        raise PeerError(f"invalid evidence: {error}") from None
+    for row in evidence.rows:
         if max(row.good, row.failed, row.slow) > row.tried:
-            raise PeerError(f"evidence with more good, failed or slow than tried: cell {row.k}")
-    return told
+            raise PeerError(f"evidence with more good, failed or slow requests than tried in cell {row.k}")
+    return evidence
--- a/woadyard/experiment/states.py
+++ b/woadyard/experiment/states.py
@@ -1,4 +1,4 @@
-"""The states of an experiment and the ways between them."""
+"""The states of an experiment, the transitions between them, and the decision that ends it."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 
 
 class State(StrEnum):
+    """The state of an experiment; the values are stored and sent."""
+
     DRAFT = "draft"
     RUNNING = "running"
     WINNER = "winner"
@@ -22,7 +24,7 @@
     CLOSED = "closed"
 
 
-# How an experiment may end; an end is never taken back.
+# The outcomes of an experiment; an outcome is final.
 END_STATES = (State.WINNER, State.NO_DIFFERENCE, State.HARMFUL, State.INVALID, State.EXPIRED, State.STOPPED)
 
 _TRANSITIONS: dict[State, tuple[State, ...]] = {
@@ -35,30 +37,34 @@
 
 
 def transition(old: State, new: State) -> State:
-    """`new`; `PlanError` where the rules have no way there from `old`."""
+    """Return `new`; raises `PlanError` if there is no transition to it from `old`."""
     if new not in _TRANSITIONS[old]:
-        ways = ", ".join(_TRANSITIONS[old]) or "nothing"
-        raise PlanError(f"an experiment that is {old} can't become {new}", f"from here it may become: {ways}")
+        next_states = ", ".join(_TRANSITIONS[old]) or "nothing"
+        raise PlanError(
+            f"an experiment that is {old} can't become {new}", f"from here it can become: {next_states}"
+        )
     return new
 
 
 class Decision(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the evidence says at one look. `state` is `running` or one of `ENDS`."""
+    """The result of one look at the evidence; `state` is `running` or one of `END_STATES`."""
 
     state: State
-    winner: str | None  # an arm's name, with `winner` alone
-    interval: tuple[float, float]  # share good, the leading arm minus control
-    reason: str  # one line
+    winner: str | None  # name of the winning arm, only in state `winner`
+    interval: tuple[
+        float, float
+    ]  # of the difference in the share of good requests, leading arm minus control
+    reason: str  # one line of text
     at_s: float
-    arm: str | None = None  # the harmful one
-    intervals: dict[str, tuple[float, float]] = {}  # by arm that is not control
+    arm: str | None = None  # name of the harmful arm
+    intervals: dict[str, tuple[float, float]] = {}  # by arm other than control
     tried: dict[str, int] = {}
-    missing: float = 0.0  # share of the fleet's evidence not there at this look
+    missing: float = 0.0  # share of the fleet's evidence missing at this look
 
     @property
     def is_final(self) -> bool:
         return self.state is not State.RUNNING
 
     def serving_arm(self, control: str) -> str:
-        """The arm that all traffic goes to after this end."""
+        """Return the arm that gets all traffic after this decision."""
         return self.winner or control
