--- a/woadyard/experiment/controller.py
+++ b/woadyard/experiment/controller.py
@@ -17,6 +17,7 @@
 from prometheus_client import Counter
 
 from woadyard.errors import LogEntryError, StateError
+from woadyard.experiment.book import ExperimentsState
 from woadyard.experiment.evidence_totals import SUMS_PER_CELL, CellKey
 from woadyard.experiment.experiment import Experiment
 from woadyard.experiment.state_machine import APPLIED, DECIDE, ExperimentsBook
@@ -25,7 +26,6 @@
 
 if TYPE_CHECKING:
     from woadyard.experiment.stopper import Stopper
-
 LOOK_INTERVAL_S = 0.25
 # Of the fleet: the share of its evidence that is missing, and who acts on an older revision.
 MissingShare = Callable[[], float]
@@ -37,7 +37,9 @@
     """The stopper of one trial, fed from the book's cells."""
 
     def __init__(self, trial: Experiment) -> None:
-        from woadyard.experiment.stopper import Stopper  # scipy, once there is an experiment
+        from woadyard.experiment.stopper import (
+            Stopper,  # scipy, once there is an experiment
+        )
 
         self.experiment = trial
         self.consumed_sums: dict[CellKey, list[int]] = {}
@@ -86,12 +88,12 @@
             "registry_experiments_decided",
             "Ends of experiments",
             ["state"],
-            registry=registry.counts.registry,
+            registry=registry.metrics.collector_registry,
         )
 
     @property
-    def experiments_state(self) -> ExperimentsBook:
-        return self.registry.book(ExperimentsBook)
+    def experiments_state(self) -> ExperimentsState:
+        return self.registry.state_machine(ExperimentsState)
 
     def ensure_running(self) -> None:
         """There may be an experiment to see to; with none, nothing runs here."""
@@ -112,7 +114,7 @@
 
     def _experiment_in_progress(self) -> Experiment | None:
         trial = self.experiments_state.active
-        done = trial is None or trial.state is State.APPLIED or not self.registry.leads
+        done = trial is None or trial.state is State.APPLIED or not self.registry.is_leader
         return None if done else trial
 
     def step(self, trial: Experiment) -> None:
@@ -128,20 +130,20 @@
     def _analyze(self, trial: Experiment) -> None:
         if self.analysis is None or self.analysis.experiment is not trial:
             self.analysis = InterimAnalysis(trial)
-        told = self.analysis.analyze(self.registry.clock() // 1000, self.missing_share())
+        told = self.analysis.analyze(self.registry.clock_us() // 1000, self.missing_share())
         self.latest_decision = told
         if told.is_final:
             self.commit_decision(trial, told)
 
     def commit_decision(self, trial: Experiment, told: Decision) -> None:
         """On the log, then in effect: directives are read from the book."""
-        record = {"book": ExperimentsBook.name, "op": DECIDE, "name": trial.name}
-        self.registry.commit({**record, "decision": msgspec.to_builtins(told)})
+        record = {"book": ExperimentsState.name, "op": DECIDE, "name": trial.name}
+        self.registry.append_entry({**record, "decision": msgspec.to_builtins(told)})
         self.decisions_counter.labels(told.state.value).inc()
         fields = {"experiment": trial.name, "state": told.state, "winner": told.winner, "reason": told.reason}
         LOG.warning("experiment decided", extra=fields)
 
     def _commit_applied(self, trial: Experiment) -> None:
-        self.registry.commit({"book": ExperimentsBook.name, "op": APPLIED, "name": trial.name})
+        self.registry.append_entry({"book": ExperimentsState.name, "op": APPLIED, "name": trial.name})
         took = (trial.applied_ms or 0) - trial.decided_ms
         LOG.warning("experiment applied", extra={"experiment": trial.name, "after_ms": took})
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -19,19 +19,20 @@
 from aiohttp import web
 
 from woadyard.audit import questions
-from woadyard.audit.ledger import AuditBook
+from woadyard.audit.ledger import AuditState
 from woadyard.audit.messages import Report
 from woadyard.audit.position import parse
 from woadyard.audit.service import audit_of
 from woadyard.errors import PeerError, PlanError
+from woadyard.experiment.book import ExperimentsState
 from woadyard.experiment.controller import ExperimentController
 from woadyard.experiment.experiment import Draft, Experiment
 from woadyard.experiment.messages import read_evidence
 from woadyard.experiment.state_machine import CLOSE, DRAFT, EVIDENCE, RESHARE, START, ExperimentsBook
 from woadyard.experiment.states import Decision, State
-from woadyard.registry.answers import answer, at_writer, body, query
-from woadyard.registry.book import Record
+from woadyard.registry.responses import json_response, leader_only, read_body, read_query
 from woadyard.registry.service import Registry
+from woadyard.registry.state_machine import LogEntry
 
 PATH = "/registry/experiments"
 REPORT_TIMEOUT_MS = 5_000  # a sidecar not heard for so long: its evidence is missing
@@ -53,18 +54,18 @@
         audit.watchman.directives["experiment"] = self.encoded_directive
 
     @property
-    def experiments_state(self) -> ExperimentsBook:
-        return self.registry.book(ExperimentsBook)
+    def experiments_state(self) -> ExperimentsState:
+        return self.registry.state_machine(ExperimentsState)
 
     # --- Through the audit ------------------------------------------------------------
 
-    def evidence_records(self, batch: Sequence[Report]) -> list[Record]:
+    def evidence_records(self, batch: Sequence[Report]) -> list[LogEntry]:
         """The evidence in a batch of reports as one record; none where nothing is to be counted."""
         self.controller.ensure_running()
         active = self.experiments_state.active
         if active is None or active.state is not State.RUNNING:
             return []
-        told, book = [], self.registry.book(AuditBook)
+        told, book = [], self.registry.state_machine(AuditState)
         for report in batch:
             if report.evidence is None:
                 continue
@@ -75,7 +76,7 @@
                 continue
             source = f"{report.name}@{report.run}"
             told.append([source, report.evidence, book.shut_out(report.name)])
-        return [{"book": ExperimentsBook.name, "op": EVIDENCE, "reports": told}] if told else []
+        return [{"book": ExperimentsState.name, "op": EVIDENCE, "reports": told}] if told else []
 
     def encoded_directive(self, name: str) -> dict[str, Any] | None:
         told = self.experiments_state.directive()
@@ -83,14 +84,14 @@
 
     def missing_share(self) -> float:
         """The share of the sidecars that run whose evidence is not there."""
-        book, now = self.registry.book(AuditBook), self.registry.clock() // 1000
+        book, now = self.registry.state_machine(AuditState), self.registry.clock_us() // 1000
         live = questions.live(book)
         gone = [one for one in live if now - one.heard_at > REPORT_TIMEOUT_MS or book.shut_out(one.name)]
         return len(gone) / len(live) if live else 1.0
 
     def sidecars_behind(self, revision: int) -> list[str]:
         """Sidecars that serve and don't act on this revision yet."""
-        book = self.registry.book(AuditBook)
+        book = self.registry.state_machine(AuditState)
         live = [one for one in questions.live(book) if not book.shut_out(one.name)]
         return [one.name for one in live if parse(one.position).experiment < revision]
 
@@ -98,7 +99,7 @@
 
     async def list_experiments(self, request: web.Request) -> web.StreamResponse:
         told = [one.summary() for one in self.experiments_state.experiments.values()]
-        return answer(
+        return json_response(
             {
                 "revision": self.experiments_state.revision,
                 "experiments": told,
@@ -111,12 +112,12 @@
         active = trial is self.experiments_state.active
         look = self.controller.latest_decision if active else None
         older = self.sidecars_behind(self.experiments_state.revision) if active else []
-        return answer(
+        return json_response(
             {**trial.summary(), "look": look, "revision": self.experiments_state.revision, "not_yet": older}
         )
 
     async def create_draft(self, request: web.Request) -> web.StreamResponse:
-        told = await body(request, Draft)
+        told = await read_body(request, Draft)
         return self._commit(request, {"op": DRAFT, "draft": msgspec.to_builtins(told)})
 
     async def start(self, request: web.Request) -> web.StreamResponse:
@@ -126,15 +127,15 @@
         return self._commit(request, {"op": CLOSE})
 
     async def change_shares(self, request: web.Request) -> web.StreamResponse:
-        return self._commit(request, {"op": RESHARE, "shares": await body(request, list[float])})
+        return self._commit(request, {"op": RESHARE, "shares": await read_body(request, list[float])})
 
     async def stop(self, request: web.Request) -> web.StreamResponse:
-        why, trial = query(request, StopRequest).why, self._find_experiment(request)
-        now_s = self.registry.clock() / 1e6
+        why, trial = read_query(request, StopRequest).why, self._find_experiment(request)
+        now_s = self.registry.clock_us() / 1e6
         latest = self.controller.latest_decision
         interval = latest.interval if latest is not None else (-1.0, 1.0)
         self.controller.commit_decision(trial, Decision(State.STOPPED, None, interval, why, now_s))
-        return answer(trial.summary())
+        return json_response(trial.summary())
 
     def _find_experiment(self, request: web.Request) -> Experiment:
         name = request.match_info["name"]
@@ -144,9 +145,9 @@
 
     def _commit(self, request: web.Request, record: dict[str, Any]) -> web.StreamResponse:
         name = request.match_info["name"]
-        self.registry.commit({"book": ExperimentsBook.name, "name": name, **record})
+        self.registry.append_entry({"book": ExperimentsState.name, "name": name, **record})
         self.controller.ensure_running()
-        return answer(self.experiments_state.experiments[name].summary())
+        return json_response(self.experiments_state.experiments[name].summary())
 
 
 _APIS: WeakKeyDictionary[Registry, ExperimentsApi] = WeakKeyDictionary()
@@ -166,5 +167,5 @@
     return [
         web.get(PATH, calls.list_experiments),
         web.get(one, calls.get_experiment),
-        *(web.post(one + path, at_writer(registry, handler)) for path, handler in writes.items()),
+        *(web.post(one + path, leader_only(registry, handler)) for path, handler in writes.items()),
     ]
--- a/woadyard/experiment/state_machine.py
+++ b/woadyard/experiment/state_machine.py
@@ -36,7 +36,7 @@
 )
 
 
-class ExperimentsBook:
+class ExperimentsState:
     """`forgotten` counts closed experiments that went for room."""
 
     name = "experiments"
--- a/woadyard/net/registry_client.py
+++ b/woadyard/net/registry_client.py
@@ -13,7 +13,7 @@
 from woadyard.net.backoff import Backoff
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
-from woadyard.registry.refusal import read_refusal
+from woadyard.registry.error_body import read_error_body
 
 CALL_TIMEOUT_S = 2.0
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.2, 2.0
@@ -73,7 +73,7 @@
             return 0, b""
 
     def _follow_redirect(self, back: bytes) -> bool:
-        writer = read_refusal(back).writer
+        writer = read_error_body(back).writer
         try:
             self.leader = parse_address(writer) if writer else None
         except ConfigError:
