--- a/tests/test_experiment_controller.py
+++ b/tests/test_experiment_controller.py
@@ -5,11 +5,10 @@
 
 import numpy as np
 import pytest
-from woadyard.experiment.book import ExperimentsState
 
 from woadyard.experiment.controller import ExperimentController
 from woadyard.experiment.experiment import Experiment
-from woadyard.experiment.state_machine import ExperimentsBook
+from woadyard.experiment.state_machine import ExperimentsState
 from woadyard.experiment.states import State
 from woadyard.registry.log import Journal
 from woadyard.registry.service import Registry
--- a/tests/test_experiment_state_machine.py
+++ b/tests/test_experiment_state_machine.py
@@ -6,12 +6,11 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from woadyard.experiment.book import ExperimentsState
 
 from woadyard.errors import LogEntryError
 from woadyard.experiment.messages import Directive, read_directive
 from woadyard.experiment.plan import Plan
-from woadyard.experiment.state_machine import ExperimentsBook
+from woadyard.experiment.state_machine import ExperimentsState
 from woadyard.experiment.states import Decision, State
 from woadyard.interface import Arrival, RequestClass, Settings
 from woadyard.net.experiment_counts import ExperimentCounts
--- a/woadyard/experiment/__init__.py
+++ b/woadyard/experiment/__init__.py
@@ -1,11 +1,11 @@
-"""Sequential tests of traffic splits: end an experiment by rule, at any look, and no sooner.
+"""Sequential tests of traffic splits, which end an experiment by a stopping rule valid at any look.
 
     stopper = Stopper(Plan())
     stopper.add(source, number, at_s, "a", tried, good)
     stopper.decide(at_s).winner
 
-`Stopper` needs `scipy`, so it is loaded when first asked for: a sidecar and a list service without
-an experiment never do.
+`Stopper` needs `scipy`, so it is imported on first use: a sidecar, or a list service without an
+experiment, never loads it.
 """
 
 from __future__ import annotations
--- a/woadyard/experiment/evidence_totals.py
+++ b/woadyard/experiment/evidence_totals.py
@@ -136,5 +136,5 @@
 def _decode_cell(raw: list[Any]) -> tuple[CellKey, list[int]]:
     slot, cls, zone, arm, *sums = raw
     if len(sums) != SUMS_PER_CELL:
-        raise ValueError(f"a cell must have {SUMS_PER_CELL} sums, not {len(sums)}")
+        raise ValueError(f"a cell must have {SUMS_PER_CELL} sums")
     return (int(slot), str(cls), str(zone), str(arm)), [int(count) for count in sums]
--- a/woadyard/experiment/experiment.py
+++ b/woadyard/experiment/experiment.py
@@ -60,7 +60,7 @@
         new_shares = self.draft.plan.normalized_shares(shares)
         if self.state is not State.RUNNING:
             raise PlanError(
-                f"shares can only be changed while an experiment is running, not when it is {self.state}"
+                f"the experiment is {self.state}: its shares can be changed only while it is running"
             )
         self.share_history.append((now_ms, new_shares))
 
--- a/woadyard/experiment/plan.py
+++ b/woadyard/experiment/plan.py
@@ -93,7 +93,7 @@
             raise PlanError(f"{name} is not a number: {raw!r}") from None
         is_inside = low <= value <= high if is_closed else low < value < high
         if not is_inside or (math.isinf(value) and name != "maximum_s"):
-            raise PlanError(f"{name} must be between {low:g} and {high:g}, not {raw!r}")
+            raise PlanError(f"{name} is {raw!r}, but must be between {low:g} and {high:g}")
         msgspec.structs.force_setattr(self, name, int(value) if isinstance(raw, int) else value)
 
 
