--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -1,11 +1,12 @@
-"""What the stopper does over many simulated experiments, each looked at after every batch.
+"""Error rates, power and length of the stopping rule in simulated experiments.
 
     python -m benchmarks.experiment [--runs N] [--processes P] [--seed S] [SETTING ...]
 
-Settings: false winners of A/A runs (independent requests, keys of three requests, a trouble that
-strikes both arms half way), power and length at the smallest difference and at twice it, and at
-none. A batch is a second of 100 requests in each arm on average. Lengths are held against a test
-of fixed size with the same power (two-sided, known variance).
+There is a look after every batch. The settings are A/A tests for the rate of false winners
+(independent requests, keys of three correlated requests, a fault of both arms half way), and tests
+for power and length at no difference, at the smallest difference and at twice that. A batch is a
+second with a mean of 100 requests in each arm. Lengths are compared with a fixed-size test of the
+same power (two-sided, known variance).
 """
 
 from __future__ import annotations
@@ -26,115 +27,129 @@
 
 
 @dataclass(frozen=True)
-class Setting:
-    base: float = 0.9
-    difference: float = 0.0
-    key: int = 1  # requests of one key, all alike: the design effect
-    trouble: float = 0.0  # off both arms in the second half
+class Scenario:
+    """A simulated experiment."""
+
+    good_share: float = 0.9
+    difference: float = 0.0  # of the shares of good requests, b minus a
+    requests_per_key: int = 1  # with the same outcome: the design effect
+    fault: float = 0.0  # reduces the share of good requests in both arms in the second half
     batches: int = 300
-    batch: int = 100  # requests of an arm in a batch, on average
-    smallest: float = 0.02
-    step_s: float = 1.0
-    reshared: float = 0.5  # b's share in the second half
-
-
-SETTINGS = {
-    "aa": Setting(),
-    "aa-keys": Setting(key=3),
-    "aa-trouble": Setting(trouble=0.3),
-    "aa-keys-trouble": Setting(key=3, trouble=0.3),
-    "aa-reshared": Setting(trouble=0.3, reshared=0.2),
-    "aa-rare": Setting(base=0.995, smallest=0.005),
-    "aa-small": Setting(batch=8, batches=600),
-    "aa-keys-minutes": Setting(key=3, step_s=60.0),
-    "none": Setting(batches=1000),
-    "smallest": Setting(difference=0.02),
-    "smallest-keys": Setting(difference=0.02, key=3, batches=600),
-    "twice": Setting(difference=0.04),
-    "twice-keys": Setting(difference=0.04, key=3, batches=600),
+    batch_size: int = 100  # mean requests of an arm in a batch
+    smallest_effect: float = 0.02
+    batch_interval_s: float = 1.0
+    second_half_share: float = 0.5  # b's share in the second half
+
+
+SCENARIOS = {
+    "aa": Scenario(),
+    "aa-keys": Scenario(requests_per_key=3),
+    "aa-trouble": Scenario(fault=0.3),
+    "aa-keys-trouble": Scenario(requests_per_key=3, fault=0.3),
+    "aa-reshared": Scenario(fault=0.3, second_half_share=0.2),
+    "aa-rare": Scenario(good_share=0.995, smallest_effect=0.005),
+    "aa-small": Scenario(batch_size=8, batches=600),
+    "aa-keys-minutes": Scenario(requests_per_key=3, batch_interval_s=60.0),
+    "none": Scenario(batches=1000),
+    "smallest": Scenario(difference=0.02),
+    "smallest-keys": Scenario(difference=0.02, requests_per_key=3, batches=600),
+    "twice": Scenario(difference=0.04),
+    "twice-keys": Scenario(difference=0.04, requests_per_key=3, batches=600),
 }
 
 
-def counts(one: Setting, rng: np.random.Generator) -> Iterator[tuple[np.ndarray, np.ndarray]]:
-    """Tried and good by batch, of each arm."""
-    half = one.batches // 2
-    later = np.arange(one.batches) >= half
-    share = np.where(later, one.reshared, 0.5)
-    keys = rng.poisson(2 * one.batch / one.key, one.batches)
-    of_b = rng.binomial(keys, share)
-    off = np.where(later, one.trouble, 0.0)
-    for arm_keys, better in ((keys - of_b, 0.0), (of_b, one.difference)):
-        good = rng.binomial(arm_keys, one.base + better - off)
-        yield arm_keys * one.key, good * one.key
-
-
-def play(one: Setting, seed: tuple[int, int]) -> tuple[State, str | None, int]:
-    """One experiment to its end; returns the end and the requests it took."""
-    (tried_a, good_a), (tried_b, good_b) = counts(one, np.random.default_rng(seed))
-    stopper = Stopper(Plan(smallest_difference=one.smallest))
-    if one.reshared != 0.5:
-        stopper.reshare(one.batches // 2 * one.step_s, (1 - one.reshared, one.reshared))
-    for index in range(one.batches):
-        at = index * one.step_s
-        stopper.add("one", 2 * index, at, "a", tried_a[index], good_a[index])
-        stopper.add("one", 2 * index + 1, at, "b", tried_b[index], good_b[index])
-        decision = stopper.decide(at)
+def generate_counts(scenario: Scenario, rng: np.random.Generator) -> Iterator[tuple[np.ndarray, np.ndarray]]:
+    """Generate for each arm the numbers of requests and of good requests by batch."""
+    half_index = scenario.batches // 2
+    is_second_half = np.arange(scenario.batches) >= half_index
+    b_shares = np.where(is_second_half, scenario.second_half_share, 0.5)
+    keys = rng.poisson(2 * scenario.batch_size / scenario.requests_per_key, scenario.batches)
+    b_keys = rng.binomial(keys, b_shares)
+    fault_effect = np.where(is_second_half, scenario.fault, 0.0)
+    for arm_keys, improvement in ((keys - b_keys, 0.0), (b_keys, scenario.difference)):
+        good = rng.binomial(arm_keys, scenario.good_share + improvement - fault_effect)
+        yield arm_keys * scenario.requests_per_key, good * scenario.requests_per_key
+
+
+def run_experiment(scenario: Scenario, seed: tuple[int, int]) -> tuple[State, str | None, int]:
+    """Run one experiment to its end; return its state, winner and number of requests."""
+    (tried_a, good_a), (tried_b, good_b) = generate_counts(scenario, np.random.default_rng(seed))
+    stopper = Stopper(Plan(smallest_difference=scenario.smallest_effect))
+    if scenario.second_half_share != 0.5:
+        stopper.reshare(
+            scenario.batches // 2 * scenario.batch_interval_s,
+            (1 - scenario.second_half_share, scenario.second_half_share),
+        )
+    for index in range(scenario.batches):
+        at_s = index * scenario.batch_interval_s
+        stopper.add("one", 2 * index, at_s, "a", tried_a[index], good_a[index])
+        stopper.add("one", 2 * index + 1, at_s, "b", tried_b[index], good_b[index])
+        decision = stopper.decide(at_s)
         if decision.is_final:
             break
     return decision.state, decision.winner, sum(decision.tried.values())
 
 
-def wilson(hits: int, runs: int) -> tuple[float, float]:
-    """A 95 % interval of a share."""
+def wilson_interval(hits: int, runs: int) -> tuple[float, float]:
+    """Return the 95 % Wilson interval of a share."""
     z = float(norm.ppf(0.975))
-    p, scale = hits / runs, 1 + z * z / runs
-    middle = (p + z * z / (2 * runs)) / scale
-    half = z * float(np.sqrt(p * (1 - p) / runs + z * z / (4 * runs * runs))) / scale
-    return middle - half, middle + half
+    share, scale = hits / runs, 1 + z * z / runs
+    middle = (share + z * z / (2 * runs)) / scale
+    half_width = z * float(np.sqrt(share * (1 - share) / runs + z * z / (4 * runs * runs))) / scale
+    return middle - half_width, middle + half_width
 
 
-def fixed(one: Setting, difference: float, power: float, alpha: float = 0.05) -> float:
-    """Requests (both arms) of a fixed-size test that finds `difference` with `power`."""
-    p0, p1 = one.base, one.base + difference
+def fixed_size(scenario: Scenario, difference: float, power: float, alpha: float = 0.05) -> float:
+    """Return the requests (both arms) of a fixed-size test that detects `difference` with `power`."""
+    control_share, treatment_share = scenario.good_share, scenario.good_share + difference
     z = float(norm.ppf(1 - alpha / 2) + norm.ppf(min(power, 0.9999)))
-    return 2 * one.key * z * z * (p0 * (1 - p0) + p1 * (1 - p1)) / difference**2
+    return (
+        2
+        * scenario.requests_per_key
+        * z
+        * z
+        * (control_share * (1 - control_share) + treatment_share * (1 - treatment_share))
+        / difference**2
+    )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("settings", nargs="*", default=list(SETTINGS))
+    parser.add_argument("settings", nargs="*", default=list(SCENARIOS))
     parser.add_argument("--runs", type=int, default=10_000)
     parser.add_argument("--processes", type=int, default=3)
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args()
-    with ProcessPoolExecutor(told.processes) as pool:
-        for name in told.settings:
-            one, began = SETTINGS[name], time.perf_counter()
-            seeds = [(told.seed, run) for run in range(told.runs)]
-            ends = list(pool.map(partial(play, one), seeds, chunksize=50))
-            report(name, one, ends, time.perf_counter() - began)
-
-
-def report(name: str, one: Setting, ends: list[tuple[State, str | None, int]], took: float) -> None:
-    runs = len(ends)
-    states = dict(Counter(str(state) for state, _, _ in ends))
-    mean = sum(tried for _, _, tried in ends) / runs
-    line = f"{name}: {runs} runs, {took:.0f} s, {states}, mean requests {mean:.0f}"
-    if not one.difference:
-        named = sum(winner is not None for _, winner, _ in ends)
-        low, high = wilson(named, runs)
-        line += f", false winners {named / runs:.4f} (Wilson {low:.4f} to {high:.4f})"
+    arguments = parser.parse_args()
+    with ProcessPoolExecutor(arguments.processes) as pool:
+        for name in arguments.settings:
+            scenario, started_s = SCENARIOS[name], time.perf_counter()
+            seeds = [(arguments.seed, run) for run in range(arguments.runs)]
+            outcomes = list(pool.map(partial(run_experiment, scenario), seeds, chunksize=50))
+            print_report(name, scenario, outcomes, time.perf_counter() - started_s)
+
+
+def print_report(
+    name: str, scenario: Scenario, outcomes: list[tuple[State, str | None, int]], duration_s: float
+) -> None:
+    runs = len(outcomes)
+    states = dict(Counter(str(state) for state, _, _ in outcomes))
+    mean = sum(tried for _, _, tried in outcomes) / runs
+    line = f"{name}: {runs} runs, {duration_s:.0f} s, {states}, mean requests {mean:.0f}"
+    if not scenario.difference:
+        false_winners = sum(winner is not None for _, winner, _ in outcomes)
+        low, high = wilson_interval(false_winners, runs)
+        line += f", false winners {false_winners / runs:.4f} (Wilson {low:.4f} to {high:.4f})"
     else:
-        right = sum(winner == "b" for _, winner, _ in ends) / runs
-        wrong = sum(winner == "a" for _, winner, _ in ends)
-        line += f", power {right:.4f}, wrong winners {wrong}"
-        # A fixed size is drawn up for the smallest difference: the true one is not known before.
-        for what, size, power in (
-            ("of power 0.8 at the smallest difference", one.smallest, 0.8),
-            ("of this power at the smallest difference", one.smallest, right),
-            ("of power 0.8 at the true difference", one.difference, 0.8),
+        power = sum(winner == "b" for _, winner, _ in outcomes) / runs
+        wrong = sum(winner == "a" for _, winner, _ in outcomes)
+        line += f", power {power:.4f}, wrong winners {wrong}"
+        # A fixed-size test is planned for the smallest difference, as the true one is unknown.
+        for label, size, planned_power in (
+            ("of power 0.8 at the smallest difference", scenario.smallest_effect, 0.8),
+            ("of this power at the smallest difference", scenario.smallest_effect, power),
+            ("of power 0.8 at the true difference", scenario.difference, 0.8),
         ):
-            line += f", ratio to a fixed size {what} {mean / fixed(one, size, power):.3f}"
+            line += f", ratio to a fixed size {label} {mean / fixed_size(scenario, size, planned_power):.3f}"
     print(line, file=sys.stdout, flush=True)
 
 
--- a/tests/test_experiment_end_to_end.py
+++ b/tests/test_experiment_end_to_end.py
@@ -1,4 +1,4 @@
-"""An experiment's way through the real programs: from a call to the traffic, and back as evidence."""
+"""End-to-end tests of experiments with the real programs: API request, traffic split, evidence."""
 
 from __future__ import annotations
 
@@ -22,52 +22,61 @@
 }  # fmt: skip
 
 
-async def fails_each_fourth(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def fail_every_fourth(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     writer.write(http_response(500 if len(endpoint.received) % 4 == 0 else 200))
 
 
-class Scene:
-    """A list service, sidecars under load, and endpoints of two types; the old type fails more."""
+class ExperimentScenario:
+    """A list service, two sidecars under load, and endpoints of two types; the old type fails more."""
 
     def __init__(self, lab: Lab) -> None:
         self.lab, self.tasks = lab, [asyncio.create_task(asyncio.sleep(0))]
 
     async def open(self) -> None:
         lab = self.lab
-        self.old = [await lab.endpoint(fails_each_fourth) for _ in range(2)]
-        self.new = [await lab.endpoint() for _ in range(2)]
+        self.old_endpoints = [await lab.endpoint(fail_every_fourth) for _ in range(2)]
+        self.new_endpoints = [await lab.endpoint() for _ in range(2)]
         self.service = await lab.service()
-        for n, one in enumerate(self.old):
-            await lab.register(self.service, f"o-{n}", one.entry(f"o-{n}"))
-        for n, one in enumerate(self.new):
-            await lab.register(self.service, f"n-{n}", one.entry(f"n-{n}", machineType="large"))
-        self.link = await lab.proxy(self.service)
-        self.sidecars = [await self._sidecar(f"s{n}", self.service if n else self.link) for n in range(2)]
-
-    async def _sidecar(self, name: str, reports: Any) -> Program:
-        audit = {"service": f"127.0.0.1:{reports.port}", "every-ms": 200}
-        one = await self.lab.sidecar(name, discovery=self.service, audit=audit)
-        load = one.load(4, 0.01, cls="pay", headers=f"X-Caller: {name}\r\n")
+        for number, listed_endpoint in enumerate(self.old_endpoints):
+            await lab.register(self.service, f"o-{number}", listed_endpoint.entry(f"o-{number}"))
+        for number, listed_endpoint in enumerate(self.new_endpoints):
+            await lab.register(
+                self.service, f"n-{number}", listed_endpoint.entry(f"n-{number}", machineType="large")
+            )
+        self.report_proxy = await lab.proxy(self.service)
+        self.sidecars = [
+            await self._sidecar(f"s{number}", self.service if number else self.report_proxy)
+            for number in range(2)
+        ]
+
+    async def _sidecar(self, name: str, report_target: Any) -> Program:
+        audit = {"service": f"127.0.0.1:{report_target.port}", "every-ms": 200}
+        program = await self.lab.sidecar(name, discovery=self.service, audit=audit)
+        load = program.load(4, 0.01, cls="pay", headers=f"X-Caller: {name}\r\n")
         self.tasks.append(asyncio.create_task(load))
-        return one
-
-    def got(self, which: list[Endpoint], caller: str = "") -> int:
-        return sum(caller in ("", one.headers["x-caller"]) for at in which for one in at.received)
-
-    async def write(self, step: str = "", body: Any = None) -> Any:
-        back = await call(self.service.port, "POST", PATH + step, body)
-        assert back.status == 200, back.text
-        return back.json
-
-    async def told(self, *states: str) -> dict[str, Any]:
-        """The experiment, once it is in one of these states."""
-        while (told := (await call(self.service.port, "GET", PATH)).json)["state"] not in states:
+        return program
+
+    def received_count(self, endpoints: list[Endpoint], client: str = "") -> int:
+        return sum(
+            client in ("", request.headers["x-caller"])
+            for endpoint in endpoints
+            for request in endpoint.received
+        )
+
+    async def post(self, step: str = "", body: Any = None) -> Any:
+        response = await call(self.service.port, "POST", PATH + step, body)
+        assert response.status == 200, response.text
+        return response.json
+
+    async def wait_for_state(self, *states: str) -> dict[str, Any]:
+        """Return the summary of the experiment once it is in one of these states."""
+        while (summary := (await call(self.service.port, "GET", PATH)).json)["state"] not in states:
             await asyncio.sleep(LOOK_S)
-        return dict(told)
+        return dict(summary)
 
-    async def more(self, which: list[Endpoint], count: int, caller: str = "") -> None:
-        goal = self.got(which, caller) + count
-        while self.got(which, caller) < goal:
+    async def wait_for_requests(self, endpoints: list[Endpoint], count: int, client: str = "") -> None:
+        goal = self.received_count(endpoints, client) + count
+        while self.received_count(endpoints, client) < goal:
             await asyncio.sleep(LOOK_S)
 
     def close(self) -> None:
@@ -76,42 +85,48 @@
 
 
 @pytest.mark.timeout(120)
-async def test_winner_takes_all_and_a_sidecar_cut_off_falls_to_control(lab: Lab) -> None:
-    scene = Scene(lab)
+async def test_winner_gets_all_traffic_and_a_disconnected_sidecar_serves_control(lab: Lab) -> None:
+    scenario = ExperimentScenario(lab)
     try:
-        await scene.open()
-        await scene.write("", DRAFT)
-        await scene.more(scene.old, 1)
-        assert (await scene.told("draft"))["tried"] == {}  # nothing is counted before the start
-        await scene.write("/start")
-        told = await scene.told("applied")
-        assert told["decision"]["state"] == "winner" and told["decision"]["winner"] == "new"
-        assert min(told["tried"].values()) >= 100
-        assert (await scene.service.said("experiment applied"))["after_ms"] == told["applied_after_ms"]
-        await scene.more(scene.new, 20)  # what was under way is over
-        before = [scene.got(scene.old, name) for name in ("s0", "s1")]
-        await scene.more(scene.new, 200)
-        assert before == [scene.got(scene.old, name) for name in ("s0", "s1")]
-
-        scene.link.fault(DROP)  # of the first sidecar's reports
-        await scene.more(scene.old, 20, "s0")
-        assert scene.got(scene.old, "s1") == before[1]
-        scene.link.fault(PASS)
-        await scene.write("/close")
-        await scene.more(scene.old, 20, "s1")  # both types serve all again
-        await scene.more(scene.new, 20, "s0")
+        await scenario.open()
+        await scenario.post("", DRAFT)
+        await scenario.wait_for_requests(scenario.old_endpoints, 1)
+        assert (await scenario.wait_for_state("draft"))["tried"] == {}  # nothing is counted before the start
+        await scenario.post("/start")
+        summary = await scenario.wait_for_state("applied")
+        assert summary["decision"]["state"] == "winner" and summary["decision"]["winner"] == "new"
+        assert min(summary["tried"].values()) >= 100
+        assert (await scenario.service.said("experiment applied"))["after_ms"] == summary["applied_after_ms"]
+        # Requests in flight at the decision complete.
+        await scenario.wait_for_requests(scenario.new_endpoints, 20)
+        before = [scenario.received_count(scenario.old_endpoints, name) for name in ("s0", "s1")]
+        await scenario.wait_for_requests(scenario.new_endpoints, 200)
+        assert before == [scenario.received_count(scenario.old_endpoints, name) for name in ("s0", "s1")]
+
+        scenario.report_proxy.fault(DROP)  # the reports of the first sidecar
+        await scenario.wait_for_requests(scenario.old_endpoints, 20, "s0")
+        assert scenario.received_count(scenario.old_endpoints, "s1") == before[1]
+        scenario.report_proxy.fault(PASS)
+        await scenario.post("/close")
+        # Both types serve both sidecars again.
+        await scenario.wait_for_requests(scenario.old_endpoints, 20, "s1")
+        await scenario.wait_for_requests(scenario.new_endpoints, 20, "s0")
     finally:
-        scene.close()
+        scenario.close()
 
 
-async def test_without_an_experiment_reports_hold_no_evidence(lab: Lab) -> None:
-    scene = Scene(lab)
+async def test_reports_have_no_evidence_without_an_experiment(lab: Lab) -> None:
+    scenario = ExperimentScenario(lab)
     try:
-        await scene.open()
-        await scene.more(scene.old, 50)
-        await scene.more(scene.new, 50)
-        acted = {one.headers["x-acted-on"].split(".")[5] for at in scene.old for one in at.received}
-        assert acted == {"0"}
-        assert (await call(scene.service.port, "GET", "/registry/experiments")).json["revision"] == 0
+        await scenario.open()
+        await scenario.wait_for_requests(scenario.old_endpoints, 50)
+        await scenario.wait_for_requests(scenario.new_endpoints, 50)
+        revisions = {
+            request.headers["x-acted-on"].split(".")[5]
+            for endpoint in scenario.old_endpoints
+            for request in endpoint.received
+        }
+        assert revisions == {"0"}
+        assert (await call(scenario.service.port, "GET", "/registry/experiments")).json["revision"] == 0
     finally:
-        scene.close()
+        scenario.close()
--- a/tests/test_experiment_state_machine.py
+++ b/tests/test_experiment_state_machine.py
@@ -1,4 +1,4 @@
-"""The book of experiments: evidence that counts once, one decision, ways between states."""
+"""Tests of the experiments' state machine: evidence is counted once, one decision, transitions."""
 
 from typing import Any
 
@@ -19,48 +19,48 @@
 END = msgspec.to_builtins(Decision(State.WINNER, "b", (0.01, 0.1), "better", 1.0))
 
 
-def put(book: ExperimentsState, op: str, at_s: float = 0.0, **fields: Any) -> None:
-    record = {"op": op, "name": "one", "at": int(at_s * 1e6), **fields}
-    book.check(record)
-    book.apply(record)
+def apply_entry(state_machine: ExperimentsState, operation: str, at_s: float = 0.0, **fields: Any) -> None:
+    entry = {"op": operation, "name": "one", "at": int(at_s * 1e6), **fields}
+    state_machine.check(entry)
+    state_machine.apply(entry)
 
 
-def running() -> ExperimentsState:
-    book = ExperimentsState()
-    put(book, "draft", draft=DRAFT)
-    put(book, "start")
-    return book
+def running_state() -> ExperimentsState:
+    state_machine = ExperimentsState()
+    apply_entry(state_machine, "draft", draft=DRAFT)
+    apply_entry(state_machine, "start")
+    return state_machine
 
 
-def sums(book: ExperimentsState) -> dict[str, int]:
-    active = book.active
+def tried_by_arm_of_active(state_machine: ExperimentsState) -> dict[str, int]:
+    active = state_machine.active
     assert active is not None and active.evidence is not None
     return active.evidence.tried_by_arm()
 
 
-def test_a_decision_is_made_once_and_directs_all_traffic() -> None:
-    book = running()
-    assert book.directive() == Directive(
-        1, "one", read_directive(msgspec.to_builtins(book.directive())).arms, "a", None, 30_000, 1000
+def test_decision_is_made_once_and_directs_all_traffic() -> None:
+    state_machine = running_state()
+    assert state_machine.directive() == Directive(
+        1, "one", read_directive(msgspec.to_builtins(state_machine.directive())).arms, "a", None, 30_000, 1000
     )
-    put(book, "decide", 5.0, decision=END)
-    with pytest.raises(LogEntryError) as told:
-        put(book, "decide", 6.0, decision={**END, "winner": "a"})
-    assert "winner" in str(told.value) and "applied" in told.value.remedy
-    directive = book.directive()
+    apply_entry(state_machine, "decide", 5.0, decision=END)
+    with pytest.raises(LogEntryError) as raised:
+        apply_entry(state_machine, "decide", 6.0, decision={**END, "winner": "a"})
+    assert "winner" in str(raised.value) and "applied" in raised.value.remedy
+    directive = state_machine.directive()
     assert directive is not None and (directive.revision, directive.serve) == (2, "b")
     assert [arm.share for arm in directive.arms] == [0.0, 1.0]
-    other = ExperimentsState()
-    other.load(msgspec.json.decode(msgspec.json.encode(book.dump())))
-    assert other.dump() == book.dump() and other.directive() == directive
-    put(other, "applied", 7.5)
-    assert other.experiments["one"].summary()["applied_after_ms"] == 2500
-    put(other, "close")
-    assert other.active is None and other.directive() == Directive(3)
+    restored = ExperimentsState()
+    restored.load(msgspec.json.decode(msgspec.json.encode(state_machine.dump())))
+    assert restored.dump() == state_machine.dump() and restored.directive() == directive
+    apply_entry(restored, "applied", 7.5)
+    assert restored.experiments["one"].summary()["applied_after_ms"] == 2500
+    apply_entry(restored, "close")
+    assert restored.active is None and restored.directive() == Directive(3)
 
 
 @pytest.mark.parametrize(
-    "record",
+    "entry",
     [
         {"op": "draft", "name": "one", "at": 0, "draft": DRAFT},
         {"op": "draft", "name": "two", "at": 0, "draft": {**DRAFT, "match": {}}},
@@ -74,63 +74,71 @@
         {},
     ],
 )
-def test_a_record_that_fits_nothing_is_refused_and_changes_nothing(record: dict[str, Any]) -> None:
-    book = running()
-    before = book.dump()
-    for call in (book.check, book.apply):
+def test_invalid_entry_is_rejected_and_changes_nothing(entry: dict[str, Any]) -> None:
+    state_machine = running_state()
+    before = state_machine.dump()
+    for check_or_apply in (state_machine.check, state_machine.apply):
         with pytest.raises(LogEntryError):
-            call(record)
-    assert book.dump() == before
+            check_or_apply(entry)
+    assert state_machine.dump() == before
 
 
-def counted(steps: list[tuple[int, int]]) -> list[tuple[int, Any]]:
-    """A sidecar's reports over some seconds: requests of each arm by second, one report each."""
-    aim = RequestClass(aim_us=100_000, deadline_us=200_000)
+def sidecar_reports(steps: list[tuple[int, int]]) -> list[tuple[int, Any]]:
+    """A sidecar's reports over some seconds, one each; `steps` are (requests, good) by second."""
+    request_class = RequestClass(aim_us=100_000, deadline_us=200_000)
     arms = {number: arm for number, arm in enumerate([0, 1] * 2000)}
     counts = ExperimentCounts(lambda event: arms[event.request], "z1")
-    counts.settings_applied(0, Settings((aim,)), {})
-    book = running()
-    counts.set_directive(book.directive())
-    told, request = [], 0
-    for second, (many, good) in enumerate(steps):
-        now = second * 1_000_000 + 500_000
-        for index in range(many):
-            counts.request_accepted(now, Arrival(request, 0, now + 200_000))
-            counts.request_answered(now + (1000 if index < good else 150_000), request, 200)
+    counts.settings_applied(0, Settings((request_class,)), {})
+    state_machine = running_state()
+    counts.set_directive(state_machine.directive())
+    reports, request = [], 0
+    for second, (request_count, good) in enumerate(steps):
+        now_us = second * 1_000_000 + 500_000
+        for index in range(request_count):
+            counts.request_accepted(now_us, Arrival(request, 0, now_us + 200_000))
+            counts.request_answered(now_us + (1000 if index < good else 150_000), request, 200)
             request += 1
-        told.append((second, counts.report(now)))
+        reports.append((second, counts.report(now_us)))
         if second % 3 == 2:
             counts.reports_acknowledged([counts.report_number - 1])
-    return told
+    return reports
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 12), st.integers(0, 12)), min_size=1, max_size=12), st.randoms())
-def test_loss_repetition_and_order_of_reports_change_no_count(steps: list[tuple[int, int]], rng: Any) -> None:
-    told = counted(steps)
-    orderly, other = running(), running()
-    for second, raw in told:
+def test_counts_do_not_depend_on_loss_repetition_or_order_of_reports(
+    steps: list[tuple[int, int]], rng: Any
+) -> None:
+    numbered_reports = sidecar_reports(steps)
+    in_order, out_of_order = running_state(), running_state()
+    for second, raw in numbered_reports:
         if raw is not None:
-            put(orderly, "evidence", second, reports=[["s@1", raw, False]])
-    # Of three reports the second was acked, so it came; the others may be lost, all of them late
-    # and twice. The last of all comes.
-    for begin in range(0, len(told), 3):
-        block = [one for one in told[begin : begin + 3] if one[0] % 3 == 1 or rng.random() < 0.5]
-        some = block + [one for one in told[: begin + 3] if rng.random() < 0.3]
-        rng.shuffle(some)
-        for second, raw in [*some, *told[-1:]] if begin + 3 >= len(told) else some:
+            apply_entry(in_order, "evidence", second, reports=[["s@1", raw, False]])
+    # The second of every three reports is acknowledged, so it must be delivered. The others may be
+    # lost, and any may be late or repeated. The very last report is delivered.
+    for begin in range(0, len(numbered_reports), 3):
+        block = [
+            report
+            for report in numbered_reports[begin : begin + 3]
+            if report[0] % 3 == 1 or rng.random() < 0.5
+        ]
+        delivered = block + [report for report in numbered_reports[: begin + 3] if rng.random() < 0.3]
+        rng.shuffle(delivered)
+        for second, raw in (
+            [*delivered, *numbered_reports[-1:]] if begin + 3 >= len(numbered_reports) else delivered
+        ):
             if raw is not None:
-                put(other, "evidence", second, reports=[["s@1", raw, False]])
-    made = sum(many for many, _ in steps)
-    assert sum(sums(orderly).values()) == made
-    assert sums(other) == sums(orderly)
-
-
-def test_counts_of_an_old_revision_or_a_shut_out_sidecar_are_left_out_and_shown() -> None:
-    book = running()
-    (_, raw) = counted([(10, 10)])[0]
-    put(book, "reshare", 1.0, shares=[0.2, 0.8])
-    put(book, "evidence", 1.0, reports=[["s@1", raw, False], ["t@1", raw, True]])
-    assert sums(book) == {}
-    assert book.experiments["one"].summary()["left_out"] == {"old revision": 10, "shut out": 10}
-    assert book.experiments["one"].draft.plan == Plan()
+                apply_entry(out_of_order, "evidence", second, reports=[["s@1", raw, False]])
+    request_count = sum(count for count, _ in steps)
+    assert sum(tried_by_arm_of_active(in_order).values()) == request_count
+    assert tried_by_arm_of_active(out_of_order) == tried_by_arm_of_active(in_order)
+
+
+def test_counts_of_an_old_revision_or_a_shut_out_sidecar_are_excluded_and_reported() -> None:
+    state_machine = running_state()
+    (_, raw) = sidecar_reports([(10, 10)])[0]
+    apply_entry(state_machine, "reshare", 1.0, shares=[0.2, 0.8])
+    apply_entry(state_machine, "evidence", 1.0, reports=[["s@1", raw, False], ["t@1", raw, True]])
+    assert tried_by_arm_of_active(state_machine) == {}
+    assert state_machine.experiments["one"].summary()["left_out"] == {"old revision": 10, "shut out": 10}
+    assert state_machine.experiments["one"].draft.plan == Plan()
