--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -57,9 +57,9 @@
     tally: Tally
     first_sent: dict[int, float]
 
-    async def _send_report(self, within_s: float, final: bool = False) -> bool:
-        began = self.first_sent[self.spans.n + 1] = time.monotonic()
-        done = await super()._send_report(within_s, final)
+    async def _send_report(self, report_timeout_s: float, final: bool = False) -> bool:
+        began = self.first_sent[self.spans.last_report_number + 1] = time.monotonic()
+        done = await super()._send_report(report_timeout_s, final)
         self.tally.sent += 1
         if done:
             self.tally.calls_s.append(round(time.monotonic() - began, 5))
@@ -136,7 +136,7 @@
         while not self.still:
             self.attempts += 1
             self.reporter.attempt_started(now_us(), Send(self.attempts, 1, 0))
-            self.reporter.spans.ended(self.attempts, 1, True)
+            self.reporter.spans.record_attempt_end(self.attempts, 1, True)
             await asyncio.sleep(ATTEMPT_S)
 
     def in_force(self, version: int) -> float:
--- a/tests/test_experiment_end_to_end.py
+++ b/tests/test_experiment_end_to_end.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.lab import LOOK_S, Lab, Program, call
+from tests.lab import POLL_INTERVAL_S, Lab, Program, call
 from tests.sockets import Endpoint, Message, Writer, http_response
 from woadyard.standins import DROP, PASS
 
@@ -52,7 +52,7 @@
     async def _sidecar(self, name: str, report_target: Any) -> Program:
         audit = {"service": f"127.0.0.1:{report_target.port}", "every-ms": 200}
         program = await self.lab.sidecar(name, discovery=self.service, audit=audit)
-        load = program.load(4, 0.01, cls="pay", headers=f"X-Caller: {name}\r\n")
+        load = program.run_load(4, 0.01, cls="pay", headers=f"X-Caller: {name}\r\n")
         self.tasks.append(asyncio.create_task(load))
         return program
 
@@ -71,13 +71,13 @@
     async def wait_for_state(self, *states: str) -> dict[str, Any]:
         """Return the summary of the experiment once it is in one of these states."""
         while (summary := (await call(self.service.port, "GET", PATH)).json)["state"] not in states:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return dict(summary)
 
     async def wait_for_requests(self, endpoints: list[Endpoint], count: int, client: str = "") -> None:
         goal = self.received_count(endpoints, client) + count
         while self.received_count(endpoints, client) < goal:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def close(self) -> None:
         for task in self.tasks:
@@ -96,7 +96,7 @@
         summary = await scenario.wait_for_state("applied")
         assert summary["decision"]["state"] == "winner" and summary["decision"]["winner"] == "new"
         assert min(summary["tried"].values()) >= 100
-        assert (await scenario.service.said("experiment applied"))["after_ms"] == summary["applied_after_ms"]
+        assert (await scenario.service.wait_logged("experiment applied"))["after_ms"] == summary["applied_after_ms"]
         # Requests in flight at the decision complete.
         await scenario.wait_for_requests(scenario.new_endpoints, 20)
         before = [scenario.received_count(scenario.old_endpoints, name) for name in ("s0", "s1")]
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -19,11 +19,11 @@
 import msgspec
 from aiohttp import web
 
-from woadyard.audit import questions
+from woadyard.audit import queries
 from woadyard.audit.ledger import AuditState
 from woadyard.audit.messages import Report
-from woadyard.audit.position import parse
-from woadyard.audit.service import audit_of
+from woadyard.audit.position import parse_position
+from woadyard.audit.service import audit_service_for
 from woadyard.errors import PeerError, PlanError
 from woadyard.experiment.controller import ExperimentController
 from woadyard.experiment.experiment import Draft, Experiment
@@ -51,9 +51,9 @@
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
         self.controller = ExperimentController(registry, self.missing_share, self.sidecars_behind)
-        audit = audit_of(registry)
-        audit.batches.sinks.append(self.evidence_records)
-        audit.watchman.directives["experiment"] = self.encoded_directive
+        audit = audit_service_for(registry)
+        audit.report_batcher.sinks.append(self.evidence_records)
+        audit.monitor.directives["experiment"] = self.encoded_directive
 
     @property
     def experiments_state(self) -> ExperimentsState:
@@ -77,7 +77,7 @@
                 LOG.warning("evidence rejected", extra={"sidecar": report.name, **error.fields()})
                 continue
             source = f"{report.name}@{report.run}"
-            reports.append([source, report.evidence, audit_state.shut_out(report.name)])
+            reports.append([source, report.evidence, audit_state.is_shut_out(report.name)])
         return [{"book": ExperimentsState.name, "op": EVIDENCE, "reports": reports}] if reports else []
 
     def encoded_directive(self, name: str) -> dict[str, Any] | None:
@@ -87,11 +87,11 @@
     def missing_share(self) -> float:
         """Return the share of the live sidecars whose evidence is missing; 1 if there are none."""
         audit_state, now_ms = self.registry.state_machine(AuditState), self.registry.clock_us() // 1000
-        live_sidecars = questions.live(audit_state)
+        live_sidecars = queries.live_runs(audit_state)
         missing = [
             sidecar
             for sidecar in live_sidecars
-            if now_ms - sidecar.heard_at > REPORT_TIMEOUT_MS or audit_state.shut_out(sidecar.name)
+            if now_ms - sidecar.heard_at > REPORT_TIMEOUT_MS or audit_state.is_shut_out(sidecar.name)
         ]
         return len(missing) / len(live_sidecars) if live_sidecars else 1.0
 
@@ -99,9 +99,9 @@
         """Return the names of serving sidecars that don't act on this revision yet."""
         audit_state = self.registry.state_machine(AuditState)
         serving = [
-            sidecar for sidecar in questions.live(audit_state) if not audit_state.shut_out(sidecar.name)
+            sidecar for sidecar in queries.live_runs(audit_state) if not audit_state.is_shut_out(sidecar.name)
         ]
-        return [sidecar.name for sidecar in serving if parse(sidecar.position).experiment < revision]
+        return [sidecar.name for sidecar in serving if parse_position(sidecar.position).experiment < revision]
 
     # --- Requests ---------------------------------------------------------------------
 
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -1,10 +1,10 @@
-"""A member's side of an election that does I/O: its timers, its calls to peers, its ballot.
+"""The I/O of the leader election: timers, calls to the peers, the stored ballot and the HTTP endpoints.
 
-- `POST /registry/election/vote`: a candidate's `Ask`; a `Reply`.
-- `POST /registry/election/beat`: a leader's `Beat`; a `Reply`.
+- `POST /registry/election/vote`: takes a candidate's `VoteRequest`, answers a `PeerResponse`.
+- `POST /registry/election/beat`: takes a leader's `Heartbeat`, answers a `PeerResponse`.
 
-It decides nothing: election.py does. In each turn the ballot is on disk before the role is
-changed, and both before anything is sent or answered.
+All decisions are made in election.py. In each turn the ballot is written to disk before the role
+changes, and both happen before anything is sent or answered.
 """
 
 from __future__ import annotations
@@ -24,35 +24,47 @@
 from woadyard.errors import ConfigError, PeerError, StateError
 from woadyard.net.config import parse_address
 from woadyard.net.fetch import FetchError, fetch
-from woadyard.registry.ballots import Ballots
-from woadyard.registry.election import LEADER, Ask, Beat, Call, Election, Log, Message, Reply, Timing
+from woadyard.registry.ballot_file import BallotFile
+from woadyard.registry.election import (
+    LEADER,
+    Election,
+    Heartbeat,
+    LogState,
+    Message,
+    Outgoing,
+    PeerResponse,
+    Timing,
+    VoteRequest,
+)
 from woadyard.registry.error_body import read_error_body
 from woadyard.registry.follower import Follower
 from woadyard.registry.responses import json_response, read_body
 from woadyard.registry.service import Registry
 
-VOTE_PATH, BEAT_PATH = "/registry/election/vote", "/registry/election/beat"
-TICK_S, CALL_S = 0.05, 1.0
-# A member polls so often that its leader knows of it well within an election timeout.
-POLL_S = 0.4
-CALLS_MOST = 4  # under way at one peer: a cut link holds each until its time is over
+VOTE_PATH, HEARTBEAT_PATH = "/registry/election/vote", "/registry/election/beat"
+TICK_INTERVAL_S, CALL_TIMEOUT_S = 0.05, 1.0
+# Followers poll often enough for the leader to see them well within an election timeout.
+POLL_INTERVAL_S = 0.4
+MAX_PENDING_CALLS = 4  # to one peer: with the link cut, each call stays pending until it times out
 LOG = logging.getLogger(__name__)
-M = TypeVar("M", Ask, Beat)
+M = TypeVar("M", VoteRequest, Heartbeat)
 
 
-def members(listen: str, peers: str) -> list[str]:
-    """The other members' addresses; ConfigError where there are none."""
-    found = [one.strip() for one in peers.split(",") if one.strip()]
-    others = [one for one in dict.fromkeys(found) if one != listen]
+def other_members(listen: str, peers: str) -> list[str]:
+    """Parses the addresses of the other members; raises ConfigError where there are none."""
+    addresses = [address.strip() for address in peers.split(",") if address.strip()]
+    others = [address for address in dict.fromkeys(addresses) if address != listen]
     if not others:
-        raise ConfigError("--elect needs the other members", "name them in --peers, HOST:PORT,HOST:PORT")
-    for one in others:
-        parse_address(one)
+        raise ConfigError(
+            "--elect requires at least one other member", "name the others in --peers HOST:PORT,HOST:PORT"
+        )
+    for address in others:
+        parse_address(address)
     return others
 
 
 class Elector:
-    """Runs the election of `registry`'s log among this process and `peers`."""
+    """Runs the leader election of `registry`'s log between this process and `peers`."""
 
     def __init__(
         self,
@@ -63,88 +75,98 @@
         timing: Timing | None = None,
     ) -> None:
         self.registry, self.rng = registry, rng
-        self.ballots = Ballots(registry.journal.folder)
-        self.kept = self.ballots.read()
+        self.ballot_file = BallotFile(registry.journal.folder)
+        self.saved_ballot = self.ballot_file.read()
         now = time.monotonic()
-        self.election = Election(registry.member_id, list(peers), self.kept, self._log, rng, now, timing)
-        self.election.observe(registry.highest_term, now)
+        self.election = Election(
+            registry.member_id, list(peers), self.saved_ballot, self._log_state, rng, now, timing
+        )
+        self.election.observe_term(registry.highest_term, now)
         registry.election = self.election
-        registry.observe_term(registry.log_state.lineage, self.kept.term, "the ballot")
-        registry.replica_progress.needed = self.election.needed
+        registry.observe_term(registry.log_state.lineage, self.saved_ballot.term, "the ballot")
+        registry.replica_progress.required_replicas = self.election.quorum_peers
         registry.follow_elected_leader(None)
-        self.follower = Follower(registry, rng, stale_s, poll_wait_s=POLL_S)
-        self.following: asyncio.Task[None] | None = None
-        self.calls: dict[str, set[asyncio.Task[None]]] = {peer: set() for peer in self.election.peers}
-        self.refused: dict[str, str] = {}  # by peer: its last refusal, which is logged once
-        self.won = Counter(
-            "registry_elections_won", "Elections won here", registry=registry.metrics.collector_registry
+        self.follower = Follower(registry, rng, stale_s, poll_wait_s=POLL_INTERVAL_S)
+        self.follow_task: asyncio.Task[None] | None = None
+        self.pending_calls: dict[str, set[asyncio.Task[None]]] = {peer: set() for peer in self.election.peers}
+        self.last_refusals: dict[str, str] = {}  # by peer: the last refusal, to log each one once
+        self.elections_won = Counter(
+            "registry_elections_won",
+            "Elections won by this member",
+            registry=registry.metrics.collector_registry,
         )
         leads = Gauge(
-            "registry_leads", "1 while this member writes", registry=registry.metrics.collector_registry
+            "registry_leads",
+            "1 while this member is the leader",
+            registry=registry.metrics.collector_registry,
         )
         leads.set_function(lambda: float(registry.is_leader))
 
-    def _log(self) -> Log:
+    def _log_state(self) -> LogState:
         host = self.registry.log_state
-        return Log(host.lineage, (host.term, host.applied_index))
+        return LogState(host.lineage, (host.term, host.applied_index))
 
     async def run(self) -> None:
-        """Until cancelled."""
-        self.registry.set_stale(True)  # until a writer's first word
+        """Ticks the election until cancelled."""
+        self.registry.set_stale(True)  # until the first message of a leader
         try:
             while True:
-                self._hear()
-                self._act(self.election.tick(time.monotonic()))
+                self._observe_registry_term()
+                self._apply_turn(self.election.tick(time.monotonic()))
                 if self.registry.is_leaderless:
-                    self.follower.check_staleness("no writer is elected")
-                await asyncio.sleep(TICK_S)
+                    self.follower.check_staleness("no leader is elected")
+                await asyncio.sleep(TICK_INTERVAL_S)
         finally:
-            for task in [*(one for tasks in self.calls.values() for one in tasks), self.following]:
+            for task in [
+                *(call for calls in self.pending_calls.values() for call in calls),
+                self.follow_task,
+            ]:
                 if task is not None:
                     task.cancel()
 
-    def _hear(self) -> None:
-        """Clients and replicas may have told of a greater term."""
-        self.election.observe(self.registry.highest_term, time.monotonic())
+    def _observe_registry_term(self) -> None:
+        """Passes on a greater term that the registry has seen in calls of clients or followers."""
+        self.election.observe_term(self.registry.highest_term, time.monotonic())
 
-    def _act(self, calls: Iterable[Call]) -> None:
-        """What a turn of the election comes to; nothing is sent where the ballot is not kept."""
+    def _apply_turn(self, messages: Iterable[Outgoing]) -> None:
+        """Stores the ballot, updates the role and sends the messages; sends nothing if the ballot can't be
+        stored."""
         try:
-            self._keep()
+            self._save_ballot()
         except StateError as error:
-            LOG.error("the ballot can't be kept", extra=error.fields())
+            LOG.error("can't store the ballot", extra=error.fields())
             return
-        self._take_role()
-        for peer, message in calls:
-            if len(self.calls[peer]) < CALLS_MOST:
-                task = asyncio.get_running_loop().create_task(self._call(peer, message))
-                self.calls[peer].add(task)
-                task.add_done_callback(self.calls[peer].discard)
-
-    def _keep(self) -> None:
+        self._update_role()
+        for peer, message in messages:
+            if len(self.pending_calls[peer]) < MAX_PENDING_CALLS:
+                task = asyncio.get_running_loop().create_task(self._send(peer, message))
+                self.pending_calls[peer].add(task)
+                task.add_done_callback(self.pending_calls[peer].discard)
+
+    def _save_ballot(self) -> None:
         ballot = self.election.ballot
-        if ballot == self.kept:
+        if ballot == self.saved_ballot:
             return
         try:
-            self.ballots.write(ballot)
+            self.ballot_file.write(ballot)
         except OSError as error:
-            raise StateError(f"can't write the ballot: {error}") from None
-        if ballot.standing != self.kept.standing:
-            LOG.info("standing among the members", extra={"standing": ballot.standing})
-        self.kept = ballot
+            raise StateError(f"can't write the ballot file: {error}") from None
+        if ballot.standing != self.saved_ballot.standing:
+            LOG.info("membership standing changed", extra={"standing": ballot.standing})
+        self.saved_ballot = ballot
         self.registry.observe_term(self.registry.log_state.lineage, ballot.term, "the election")
 
-    def _take_role(self) -> None:
+    def _update_role(self) -> None:
         election, registry = self.election, self.registry
         if election.role == LEADER:
             if not registry.is_leader or registry.log_state.term != election.term:
-                self._lead()
+                self._become_leader()
             return
-        writer = election.peer(election.leader)
-        if registry.is_leader or registry.leader_address != writer:
-            self._follow(writer)
+        leader_address = election.address_of(election.leader)
+        if registry.is_leader or registry.leader_address != leader_address:
+            self._become_follower(leader_address)
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         election, registry = self.election, self.registry
         self._stop_following()
         try:
@@ -153,74 +175,83 @@
             LOG.error("elected, and can't write", extra=error.fields())
             election.step_down(time.monotonic())
             return
-        self.won.inc()
-        LOG.info("elected: this process writes", extra=self._fields())
+        self.elections_won.inc()
+        LOG.info("elected: this process writes", extra=self._log_fields())
 
-    def _follow(self, writer: str | None) -> None:
+    def _become_follower(self, leader_address: str | None) -> None:
         self._stop_following()
         if self.registry.is_leader:
-            LOG.warning("this process writes no more", extra=self._fields())
+            LOG.warning("this process writes no more", extra=self._log_fields())
             self.follower.last_contact_s = time.monotonic()
-        self.registry.follow_elected_leader(writer)
-        LOG.info("follows" if writer else "no writer is known", extra={**self._fields(), "writer": writer})
-        if writer is not None:
+        self.registry.follow_elected_leader(leader_address)
+        LOG.info(
+            "follows" if leader_address else "no writer is known",
+            extra={**self._log_fields(), "writer": leader_address},
+        )
+        if leader_address is not None:
             self.follower.backoff.reset()
-            self.following = asyncio.get_running_loop().create_task(self.follower.follow())
+            self.follow_task = asyncio.get_running_loop().create_task(self.follower.follow())
 
     def _stop_following(self) -> None:
-        if self.following is not None:
-            self.following.cancel()
-            self.following = None
+        if self.follow_task is not None:
+            self.follow_task.cancel()
+            self.follow_task = None
 
-    def _fields(self) -> dict[str, int]:
+    def _log_fields(self) -> dict[str, int]:
         host = self.registry.log_state
         return {"term": self.election.term, "log_term": host.term, "index": host.applied_index}
 
-    # --- Calls ------------------------------------------------------------------------
-
-    async def _call(self, peer: str, message: Message) -> None:
-        path = VOTE_PATH if isinstance(message, Ask) else BEAT_PATH
-        raw = msgspec.json.encode(message)
+    async def _send(self, peer: str, message: Message) -> None:
+        path = VOTE_PATH if isinstance(message, VoteRequest) else HEARTBEAT_PATH
+        request_body = msgspec.json.encode(message)
         try:
-            status, back = await fetch(parse_address(peer), "POST", path, raw, timeout_s=CALL_S)
+            status, response_body = await fetch(
+                parse_address(peer), "POST", path, request_body, timeout_s=CALL_TIMEOUT_S
+            )
             if status != HTTPStatus.OK:
-                self._refused(peer, status, back)
+                self._log_refusal(peer, status, response_body)
                 return
-            reply: Reply = msgspec.json.decode(back, type=Reply)
+            response: PeerResponse = msgspec.json.decode(response_body, type=PeerResponse)
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
             return
-        if not self.registry.is_plausible_term(reply.term, peer):
+        if not self.registry.is_plausible_term(response.term, peer):
             return
-        self._hear()
-        self._act(self.election.replied(peer, message, reply, time.monotonic()))
-        self.refused.pop(peer, None)
-
-    def _refused(self, peer: str, status: int, back: bytes) -> None:
-        found = read_error_body(back)
-        if self.refused.get(peer) != found.error:
-            self.refused[peer] = found.error
-            fields = {"peer": peer, "status": status, "error": found.error, "remedy": found.remedy}
+        self._observe_registry_term()
+        self._apply_turn(self.election.handle_response(peer, message, response, time.monotonic()))
+        self.last_refusals.pop(peer, None)
+
+    def _log_refusal(self, peer: str, status: int, response_body: bytes) -> None:
+        refusal = read_error_body(response_body)
+        if self.last_refusals.get(peer) != refusal.error:
+            self.last_refusals[peer] = refusal.error
+            fields = {"peer": peer, "status": status, "error": refusal.error, "remedy": refusal.remedy}
             LOG.error("a member refuses this one", extra=fields)
 
-    async def vote(self, request: web.Request) -> web.StreamResponse:
-        asked = await self._read(request, Ask)
-        return self._answer(self.election.asked(asked, time.monotonic()))
+    async def handle_vote_request(self, request: web.Request) -> web.StreamResponse:
+        vote_request = await self._read_message(request, VoteRequest)
+        return self._respond(self.election.handle_vote_request(vote_request, time.monotonic()))
 
-    async def beat(self, request: web.Request) -> web.StreamResponse:
-        beat = await self._read(request, Beat)
-        return self._answer(self.election.beaten(beat, time.monotonic()))
+    async def handle_heartbeat(self, request: web.Request) -> web.StreamResponse:
+        heartbeat = await self._read_message(request, Heartbeat)
+        return self._respond(self.election.handle_heartbeat(heartbeat, time.monotonic()))
 
-    async def _read(self, request: web.Request, kind: type[M]) -> M:
-        message = await read_body(request, kind)
+    async def _read_message(self, request: web.Request, message_type: type[M]) -> M:
+        message = await read_body(request, message_type)
         if not self.registry.is_plausible_term(message.term, f"{message.name} at {request.remote}"):
-            raise PeerError(f"term {message.term} can't be", "see that the member's folder is of this log")
-        self._hear()
+            raise PeerError(
+                f"term {message.term} is implausible",
+                "check that the member's data folder belongs to this log",
+            )
+        self._observe_registry_term()
         return message
 
-    def _answer(self, reply: Reply) -> web.StreamResponse:
-        self._keep()  # StateError, and the vote is not told
-        self._take_role()
-        return json_response(reply)
+    def _respond(self, response: PeerResponse) -> web.StreamResponse:
+        self._save_ballot()  # on a StateError no vote leaves this process
+        self._update_role()
+        return json_response(response)
 
     def routes(self) -> list[web.RouteDef]:
-        return [web.post(VOTE_PATH, self.vote), web.post(BEAT_PATH, self.beat)]
+        return [
+            web.post(VOTE_PATH, self.handle_vote_request),
+            web.post(HEARTBEAT_PATH, self.handle_heartbeat),
+        ]
--- a/woadyard/registry/peers.py
+++ b/woadyard/registry/peers.py
@@ -1,7 +1,7 @@
-"""A process asks its peers, once a second, who leads: so two that both write find out.
+"""Polls the peers once a second for the current leader, so that two processes that both lead detect it.
 
-It tells each its own term, and hears theirs. One that lost its place, or its writer,
-follows the peer that leads; one about to lead follows where its log missed a term.
+Terms are exchanged in both directions. A process that was deposed, or lost its leader, follows the peer
+that leads; a process about to lead follows it if its own log misses a term.
 """
 
 from __future__ import annotations
@@ -18,32 +18,34 @@
 from woadyard.registry.responses import TERM_HEADER
 from woadyard.registry.service import Registry
 
-EVERY_S, CALL_S = 1.0, 1.0
+POLL_INTERVAL_S, CALL_TIMEOUT_S = 1.0, 1.0
 LOG = logging.getLogger(__name__)
 
 
-class Peers:
+class PeerPoller:
+    """Polls the term endpoint of all peers; `addresses` are separated by commas."""
+
     def __init__(self, registry: Registry, addresses: str, rng: random.Random) -> None:
         self.registry, self.rng = registry, rng
-        self.addresses = [one.strip() for one in addresses.split(",") if one.strip()]
+        self.addresses = [address.strip() for address in addresses.split(",") if address.strip()]
 
     async def run(self) -> None:
         while True:
-            await self.ask()
-            # Spread, so that peers that began together do not ask in step.
-            await asyncio.sleep(EVERY_S * self.rng.uniform(0.75, 1.25))
+            await self.poll_all()
+            # Jitter, so that peers started together do not poll in step.
+            await asyncio.sleep(POLL_INTERVAL_S * self.rng.uniform(0.75, 1.25))
 
-    async def ask(self) -> None:
-        """Ask all of them once, each at most `CALL_S`."""
-        await asyncio.gather(*(self._ask(one) for one in self.addresses))
+    async def poll_all(self) -> None:
+        """Polls all peers once, each for at most `CALL_TIMEOUT_S`."""
+        await asyncio.gather(*(self._poll(address) for address in self.addresses))
 
-    async def _ask(self, peer: str) -> None:
+    async def _poll(self, peer: str) -> None:
         registry = self.registry
         lineage = registry.log_state.lineage
         headers = f"{TERM_HEADER}: {lineage}:{registry.highest_term}\r\n" if lineage else ""
         try:
             status, body = await fetch(
-                parse_address(peer), "GET", TERM_PATH, timeout_s=CALL_S, headers=headers
+                parse_address(peer), "GET", TERM_PATH, timeout_s=CALL_TIMEOUT_S, headers=headers
             )
             standing = msgspec.json.decode(body, type=MemberStatus) if status == 200 else None
         except (FetchError, msgspec.DecodeError, UnicodeDecodeError):
@@ -51,12 +53,12 @@
         if standing is None or standing.lineage != lineage:
             return
         registry.observe_term(standing.lineage, standing.seen, f"peer {peer}")
-        lost = registry.is_deposed or registry.is_stale
+        has_no_leader = registry.is_deposed or registry.is_stale
         if (
             standing.leads
             and standing.term >= registry.highest_term
-            and lost
+            and has_no_leader
             and registry.leader_address != peer
         ):
-            LOG.warning("following the peer that leads", extra={"peer": peer, "term": standing.term})
+            LOG.warning("following the leading peer", extra={"peer": peer, "term": standing.term})
             registry.start_following(peer)
