--- a/tests/test_experiment_end_to_end.py
+++ b/tests/test_experiment_end_to_end.py
@@ -96,7 +96,9 @@
         summary = await scenario.wait_for_state("applied")
         assert summary["decision"]["state"] == "winner" and summary["decision"]["winner"] == "new"
         assert min(summary["tried"].values()) >= 100
-        assert (await scenario.service.wait_logged("experiment applied"))["after_ms"] == summary["applied_after_ms"]
+        assert (await scenario.service.wait_logged("experiment applied"))["after_ms"] == summary[
+            "applied_after_ms"
+        ]
         # Requests in flight at the decision complete.
         await scenario.wait_for_requests(scenario.new_endpoints, 20)
         before = [scenario.received_count(scenario.old_endpoints, name) for name in ("s0", "s1")]
--- a/woadyard/experiment/evidence_totals.py
+++ b/woadyard/experiment/evidence_totals.py
@@ -76,8 +76,8 @@
         if evidence.low > report_source.lowest_row:
             report_source.lowest_row = evidence.low
             report_source.reported = {
-                row_number: count
-                for row_number, count in report_source.reported.items()
+                row_number: cell
+                for row_number, cell in report_source.reported.items()
                 if row_number >= evidence.low
             }
 
--- a/woadyard/experiment/experiment.py
+++ b/woadyard/experiment/experiment.py
@@ -21,7 +21,8 @@
     plan: Plan
     match: dict[str, Match]  # by arm
     salt: str = ""  # empty: the name of the experiment
-    hold_ms: int = 30_000  # without a response of the service a sidecar then serves control only
+    # Without a response of the service for so long, a sidecar sends all requests to control.
+    hold_ms: int = 30_000
     slot_ms: int = 60_000  # length of the time slots that requests are counted by
 
     def __post_init__(self) -> None:
--- a/woadyard/experiment/messages.py
+++ b/woadyard/experiment/messages.py
@@ -46,12 +46,10 @@
     arms: tuple[Arm, ...] = ()
     control: str = ""
     serve: str | None = None
-    hold_ms: Annotated[int, msgspec.Meta(ge=1000)] = (
-        30_000  # without a response of the service, before control gets all requests
-    )
-    slot_ms: Annotated[int, msgspec.Meta(ge=100)] = (
-        60_000  # length of the time slots that requests are counted by
-    )
+    # Without a response of the service for so long, the sidecar sends all requests to control.
+    hold_ms: Annotated[int, msgspec.Meta(ge=1000)] = 30_000
+    # Length of the time slots that requests are counted by.
+    slot_ms: Annotated[int, msgspec.Meta(ge=100)] = 60_000
 
 
 class Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True, gc=False):
--- a/woadyard/experiment/sample_ratio.py
+++ b/woadyard/experiment/sample_ratio.py
@@ -25,7 +25,7 @@
 
     def __init__(self, arm_count: int) -> None:
         self.units: dict[int, list[int]] = {}
-        self._arms = arm_count
+        self._arm_count = arm_count
         self._totals_by_shares: dict[tuple[float, ...], list[int]] = {}
         self._pearson = 0.0
         self._shares_by_unit: dict[int, tuple[float, ...]] = {}
@@ -39,14 +39,14 @@
             return
         counts = self.units.get(unit)
         if counts is None:
-            counts = self.units[unit] = [0] * self._arms
+            counts = self.units[unit] = [0] * self._arm_count
             self._shares_by_unit[unit] = shares
         self._pearson -= _pearson_statistic(counts, shares)
         counts[arm] += requests
         self._pearson += _pearson_statistic(counts, shares)
         totals = self._totals_by_shares.get(shares)
         if totals is None:
-            totals = self._totals_by_shares[shares] = [0] * self._arms
+            totals = self._totals_by_shares[shares] = [0] * self._arm_count
         totals[arm] += requests
 
     def log_bayes_factor(
@@ -79,7 +79,7 @@
         # must not count as a design effect.
         spread = (
             max(pearson - pearson_about_observed, 0.0)
-            / (self._arms - 1)
+            / (self._arm_count - 1)
             * (1 + SMALL_SAMPLE_INFLATION / unit_count)
         )
         design_effect = max(
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -52,7 +52,7 @@
         self.registry = registry
         self.controller = ExperimentController(registry, self.missing_share, self.sidecars_behind)
         audit = audit_service_for(registry)
-        audit.report_batcher.sinks.append(self.evidence_records)
+        audit.report_batcher.sinks.append(self.evidence_entries)
         audit.monitor.directives["experiment"] = self.encoded_directive
 
     @property
@@ -61,7 +61,7 @@
 
     # --- Evidence and directives ------------------------------------------------------
 
-    def evidence_records(self, batch: Sequence[Report]) -> list[LogEntry]:
+    def evidence_entries(self, batch: Sequence[Report]) -> list[LogEntry]:
         """Return the evidence of a batch of reports as one log entry; none if nothing counts."""
         self.controller.ensure_running()
         active = self.experiments_state.active
--- a/woadyard/experiment/state_machine.py
+++ b/woadyard/experiment/state_machine.py
@@ -65,7 +65,7 @@
         active = self.active
         return active.directive(self.revision) if active is not None else Directive(self.revision)
 
-    # --- State machine ---------------------------------------------------------------------
+    # --- State machine ----------------------------------------------------------------
 
     def check(self, entry: Mapping[str, Any]) -> None:
         """Raise `LogEntryError` if the entry can't be applied.
--- a/woadyard/experiment/states.py
+++ b/woadyard/experiment/states.py
@@ -51,9 +51,8 @@
 
     state: State
     winner: str | None  # name of the winning arm, only in state `winner`
-    interval: tuple[
-        float, float
-    ]  # of the difference in the share of good requests, leading arm minus control
+    # Of the difference in the share of good requests, leading arm minus control.
+    interval: tuple[float, float]
     reason: str  # one line of text
     at_s: float
     arm: str | None = None  # name of the harmful arm
