--- a/benchmarks/whatif_fidelity.py
+++ b/benchmarks/whatif_fidelity.py
@@ -36,7 +36,7 @@
 from woadyard.whatif.settings import Rules
 from woadyard.whatif.study import Work
 from woadyard.whatif.tally import quantile
-from woadyard.whatif.weights import resolve
+from woadyard.whatif.weights import resolve_factors
 from woadyard.wire import read_settings
 
 KINDS = ["small", "small", "large", "large", "old", "old"]
@@ -159,7 +159,7 @@
 
     def weigh(self, weights: dict[str, float]) -> None:
         entries = [(one["instanceId"], one["machineType"], one["zone"]) for one in self.entries]
-        self.driver.set_planned_weights(resolve(weights, entries) if weights else {})
+        self.driver.set_planned_weights(resolve_factors(weights, entries) if weights else {})
 
 
 async def span(
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -15,7 +15,7 @@
 from woadyard.net.planned_weights import PlannedWeights
 from woadyard.whatif.measure import measure
 from woadyard.whatif.plans import PlansState, plan_digest
-from woadyard.whatif.rollout import Measured, members, step
+from woadyard.whatif.rollout import Measurement, next_step, updated_sidecars
 from woadyard.whatif.settings import Rules
 from woadyard.whatif.trace import Weighed, read
 
@@ -83,7 +83,7 @@
     halt = {"op": "halt", "revision": 1, "reason": "p99", "errors": {"p99": 3e4}, "wrong": True}
     write(book, halt)
     assert {json.dumps(book.directive(one)) for one in FLEET} == {'{"revision": 2, "weights": {}}'}
-    assert book.widen > 1.0 and book.history[-1].errors == {"p99": 3e4}
+    assert book.widening > 1.0 and book.history[-1].errors == {"p99": 3e4}
 
 
 OPS = st.sampled_from([
@@ -99,7 +99,7 @@
 def test_any_records_leave_one_plan_revisions_that_grow_and_a_dump_that_loads(ops: list[Any]) -> None:
     book, last = PlansState(), {one: 0 for one in FLEET}
     for record in ops:
-        record = {**record, "revision": book.next - 1} if "revision" in record else record
+        record = {**record, "revision": book.next_revision - 1} if "revision" in record else record
         try:
             book.check(record)
         except LogEntryError:
@@ -117,8 +117,8 @@
     return write(PlansState(), propose(), verdict(), begin())
 
 
-def inside(**changes: tuple[float, float, float]) -> Measured:
-    return Measured(6 * SECOND, 500, {"aim": (0.95, 0.94, 0.96), "p99": (9e4, 8e4, 1e5), **changes})
+def inside(**changes: tuple[float, float, float]) -> Measurement:
+    return Measurement(6 * SECOND, 500, {"aim": (0.95, 0.94, 0.96), "p99": (9e4, 8e4, 1e5), **changes})
 
 
 def test_a_rollout_waits_for_the_audit_then_measures_then_goes_on_to_the_end() -> None:
@@ -126,22 +126,24 @@
     plan = book.active
     assert plan is not None
     acting = dict.fromkeys(FLEET, 0)
-    assert step(2 * SECOND, plan, acting, inside(), RULES).record is None
+    assert next_step(2 * SECOND, plan, acting, inside(), RULES).entry is None
     late, *others = [one for one in FLEET if book.directive(one)["revision"] == 1]
     acting |= dict.fromkeys(others, 1)
     # One is cut off: it holds the old plan, and the stage waits for it, past its time too.
-    waits = step(999 * SECOND, plan, acting, inside(), RULES)
-    assert waits.record is None and late in waits.why
+    waits = next_step(999 * SECOND, plan, acting, inside(), RULES)
+    assert waits.entry is None and late in waits.reason
     most = Rules(window_s=5, measured_least=100, stage_wait_s=30, missing_most=0.5)
-    assert step(2 * SECOND, plan, acting, inside(), most).record is None  # by rule goes on, after the wait
-    assert (step(999 * SECOND, plan, acting, inside(), most).record or {})["op"] == "stage"
+    assert (
+        next_step(2 * SECOND, plan, acting, inside(), most).entry is None
+    )  # by rule goes on, after the wait
+    assert (next_step(999 * SECOND, plan, acting, inside(), most).entry or {})["op"] == "stage"
     acting[late] = 1
-    assert step(2 * SECOND, plan, acting, Measured(SECOND, 90), RULES).record is None
-    done = step(2 * SECOND, plan, acting, inside(), RULES).record
+    assert next_step(2 * SECOND, plan, acting, Measurement(SECOND, 90), RULES).entry is None
+    done = next_step(2 * SECOND, plan, acting, inside(), RULES).entry
     assert done is not None
     write(book, done)
-    assert members(plan, dict.fromkeys(FLEET, 1)) == FLEET
-    last = step(9 * SECOND, plan, dict.fromkeys(FLEET, 1), inside(), RULES).record
+    assert updated_sidecars(plan, dict.fromkeys(FLEET, 1)) == FLEET
+    last = next_step(9 * SECOND, plan, dict.fromkeys(FLEET, 1), inside(), RULES).entry
     assert last is not None and last["op"] == "done"
     write(book, last)
     assert book.active is None and book.directive("new")["weights"] == WEIGHTS
@@ -151,7 +153,7 @@
     book = rolling()
     assert book.active is not None
     acting = {one: book.directive(one)["revision"] for one in FLEET}
-    record = step(9 * SECOND, book.active, acting, inside(p99=(3e5, 2e5, 4e5)), RULES).record
+    record = next_step(9 * SECOND, book.active, acting, inside(p99=(3e5, 2e5, 4e5)), RULES).entry
     assert record is not None and record["op"] == "halt" and "p99" in record["reason"]
     write(book, record)
     assert book.history[-1].errors["p99"] == pytest.approx(2.1e5)
--- a/tests/test_whatif_replay.py
+++ b/tests/test_whatif_replay.py
@@ -14,7 +14,7 @@
 from woadyard.whatif.model import fit_queue
 from woadyard.whatif.pool import Job, play
 from woadyard.whatif.scene import Scene
-from woadyard.whatif.settings import Rules, read_rules
+from woadyard.whatif.settings import Rules, parse_rules
 from woadyard.whatif.study import Work
 from woadyard.whatif.tally import quantile, tally
 from woadyard.whatif.trace import read
@@ -103,7 +103,7 @@
         work().study({"e0": 0.0})
     for raw in ({"seeds": 0}, {"stages": [0.5, 0.1]}, {"surprise": 1}):
         with pytest.raises(ConfigError) as failed:
-            read_rules(raw)
+            parse_rules(raw)
         assert failed.value.remedy
     with pytest.raises(TraceError):
         Work(record(KINDS, seconds=3, rate=20)[0], RULES)
--- a/tests/test_whatif_door.py
+++ b/tests/test_whatif_trace_fetcher.py
@@ -24,9 +24,9 @@
 )
 from woadyard.errors import PeerError
 from woadyard.interface import OK
-from woadyard.whatif import doors
-from woadyard.whatif.doors import Door
+from woadyard.whatif import trace_fetcher
 from woadyard.whatif.trace import read
+from woadyard.whatif.trace_fetcher import TraceFetcher
 
 ASKED = 400
 
@@ -38,7 +38,7 @@
 def test_a_recording_comes_whole_through_a_link_that_is_cut_and_reset(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(doors, "TRIES_MOST", 1_000)
+    monkeypatch.setattr(trace_fetcher, "MAX_FAILED_ATTEMPTS", 1_000)
 
     async def test() -> None:
         endpoints, registry = [Endpoint(big_or_small) for _ in range(3)], FakeDiscovery()
@@ -61,7 +61,11 @@
                 await read_message(reader)
             proxy = FaultProxy(target=door)
             await proxy.start()
-            fetched, chance, ended = Door(f"127.0.0.1:{proxy.port}"), random.Random(3), asyncio.Event()
+            fetched, chance, ended = (
+                TraceFetcher(f"127.0.0.1:{proxy.port}"),
+                random.Random(3),
+                asyncio.Event(),
+            )
 
             async def trouble() -> None:
                 while not ended.is_set():
@@ -70,7 +74,7 @@
 
             troubled = asyncio.create_task(trouble())
             async with aiohttp.ClientSession() as session:
-                trace = read(await fetched.pull(session, chance))
+                trace = read(await fetched.fetch(session, chance))
             ended.set()
             await troubled
             assert [one.request for one in trace.requests] == list(range(1, ASKED + 1))
@@ -87,12 +91,12 @@
 
 
 def test_a_door_that_is_gone_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(doors, "TRIES_MOST", 2)
+    monkeypatch.setattr(trace_fetcher, "MAX_FAILED_ATTEMPTS", 2)
 
     async def test() -> None:
         async with aiohttp.ClientSession() as session:
             with pytest.raises(PeerError) as failed:
-                await Door(f"127.0.0.1:{free_port()}").pull(session, random.Random(1))
+                await TraceFetcher(f"127.0.0.1:{free_port()}").fetch(session, random.Random(1))
         assert failed.value.remedy
 
     run_test(test())
--- a/woadyard/net/planned_weights.py
+++ b/woadyard/net/planned_weights.py
@@ -10,7 +10,7 @@
 
 from woadyard.errors import PeerError, PlanError
 from woadyard.interface import LIST_DELTA, LIST_FAILED
-from woadyard.whatif.weights import check_weights, resolve
+from woadyard.whatif.weights import resolve_factors, validate_weights
 
 LOG = logging.getLogger(__name__)
 RevisionListener = Callable[[int, dict[str, float]], None]
@@ -45,7 +45,7 @@
         """
         try:
             directive = msgspec.convert(raw, PlanDirective)
-            weights = check_weights(directive.weights) if directive.weights else {}
+            weights = validate_weights(directive.weights) if directive.weights else {}
         except (msgspec.ValidationError, PlanError) as error:
             raise PeerError(f"invalid plan directive: {error}") from None
         if directive.revision != self.revision:
@@ -70,4 +70,4 @@
             self._apply()
 
     def _apply(self) -> None:
-        self.set_factors(resolve(self.weights, self.entries.values()) if self.weights else {})
+        self.set_factors(resolve_factors(self.weights, self.entries.values()) if self.weights else {})
--- a/woadyard/registry/command.py
+++ b/woadyard/registry/command.py
@@ -23,8 +23,8 @@
 from woadyard.registry.log import Journal
 from woadyard.registry.peers import PeerPoller
 from woadyard.registry.service import Registry
-from woadyard.whatif.planner import Planner
-from woadyard.whatif.settings import PlansSettings, read_plans
+from woadyard.whatif.controller import PlanController
+from woadyard.whatif.settings import PlansSettings, read_plans_settings
 
 LOG = logging.getLogger("woadyard")
 
@@ -56,7 +56,7 @@
             follower = Follower(registry, random.Random(), arguments.stale_after)
             tasks.append(loop.create_task(follower.run()))
         if plans is not None:
-            tasks.append(loop.create_task(Planner(registry, plans).run()))
+            tasks.append(loop.create_task(PlanController(registry, plans).run()))
         if peers.addresses and elector is None:
             tasks.append(loop.create_task(peers.run()))
 
@@ -101,7 +101,7 @@
             parse_address(arguments.follow)
         if arguments.peers:
             parse_addresses(arguments.peers)
-        plans = read_plans(arguments.plans) if arguments.plans is not None else None
+        plans = read_plans_settings(arguments.plans) if arguments.plans is not None else None
         registry = Registry(
             Journal(arguments.data), leader_address=arguments.follow, required_replicas=arguments.copies
         )
--- a/woadyard/whatif/__main__.py
+++ b/woadyard/whatif/__main__.py
@@ -13,22 +13,22 @@
 import msgspec
 
 from woadyard.errors import PeerError, WoadyardError
-from woadyard.whatif.settings import read_rules
+from woadyard.whatif.settings import parse_rules
 from woadyard.whatif.study import Study, Work
 
 
-class Ask(msgspec.Struct, forbid_unknown_fields=True):
+class StudyRequest(msgspec.Struct, forbid_unknown_fields=True):
     weights: dict[str, float]
     rules: dict[str, Any] = {}
 
 
-def study(folder: Path) -> Study:
+def run_study(folder: Path) -> Study:
     try:
-        ask: Ask = msgspec.json.decode((folder / "ask.json").read_bytes(), type=Ask)
+        ask: StudyRequest = msgspec.json.decode((folder / "ask.json").read_bytes(), type=StudyRequest)
     except msgspec.MsgspecError as error:
         raise PeerError(f"ask.json: {error}") from None
     data = [path.read_bytes() for path in sorted(folder.glob("*.trace"))]
-    return Work(data, read_rules(ask.rules)).study(ask.weights)
+    return Work(data, parse_rules(ask.rules)).study(ask.weights)
 
 
 def main() -> int:
@@ -36,7 +36,7 @@
         print(__doc__, file=sys.stderr)
         return 2
     try:
-        found = study(Path(sys.argv[1]))
+        found = run_study(Path(sys.argv[1]))
     except WoadyardError as error:
         sys.stdout.buffer.write(msgspec.json.encode(error.fields()))
         return 1
--- a/woadyard/whatif/planner.py
+++ b/woadyard/whatif/controller.py
@@ -23,18 +23,18 @@
 from woadyard.errors import LogEntryError, StateError, TraceError, WoadyardError
 from woadyard.lists import EndpointListState
 from woadyard.registry.service import Registry
-from woadyard.whatif.doors import Door, pull_all
 from woadyard.whatif.measure import measure
 from woadyard.whatif.plans import PROPOSED, ROLLING, Plan, PlansState, plan_digest
-from woadyard.whatif.rollout import Measured, Step, members, step
+from woadyard.whatif.rollout import Measurement, RolloutStep, next_step, updated_sidecars
 from woadyard.whatif.settings import PlansSettings, Rules
+from woadyard.whatif.trace_fetcher import TraceFetcher, fetch_traces
 
 LOG = logging.getLogger(__name__)
-MEASURED_MOST = 20  # sidecars of a stage whose recordings are looked at
-SHOWN = ("aim", "p50", "p99", "refused", "failed")
+MAX_MEASURED_SIDECARS = 20  # sidecars of a stage whose recordings are looked at
+FORECAST_FIGURES = ("aim", "p50", "p99", "refused", "failed")
 
 
-class Told(msgspec.Struct):
+class StudyResult(msgspec.Struct):
     """What the planner reads of a study, or of its refusal."""
 
     verdict: dict[str, str] = {}
@@ -51,7 +51,7 @@
     return blake2b(msgspec.json.encode(told), digest_size=16).hexdigest()
 
 
-def acting(registry: Registry) -> dict[str, int]:
+def applied_revisions(registry: Registry) -> dict[str, int]:
     """The plan revision that each live sidecar acts on, by the audit's ledger."""
     if AuditState.name not in registry.state_machines:
         return {}
@@ -59,28 +59,28 @@
     return {run.name: parse_position(run.position).plan for run in runs if run.position}
 
 
-class Planner:
+class PlanController:
     def __init__(self, registry: Registry, settings: PlansSettings) -> None:
         self.registry, self.settings = registry, settings
-        self.doors = {name: Door(address) for name, address in settings.doors.items()}
+        self.fetchers = {name: TraceFetcher(address) for name, address in settings.doors.items()}
         self.rng = random.Random()
-        self.why = ""  # what the rollout waits for, for the operator
+        self.last_reason = ""  # what the rollout waits for, for the operator
 
     @property
-    def book(self) -> PlansState:
+    def plans(self) -> PlansState:
         return self.registry.state_machine(PlansState)
 
     async def run(self) -> None:
         while True:
             await asyncio.sleep(self.settings.every_ms / 1000)
-            plan = self.book.active
+            plan = self.plans.active
             if not self.registry.is_leader or plan is None:
                 continue
             try:
                 if plan.state == PROPOSED:
-                    await self._judge(plan)
+                    await self._evaluate(plan)
                 elif plan.state == ROLLING:
-                    await self._roll(plan)
+                    await self._advance_rollout(plan)
             except (LogEntryError, StateError) as error:
                 LOG.warning("plans: not written", extra=error.fields())
             except Exception:
@@ -88,15 +88,15 @@
 
     # --- Judging -------------------------------------------------------------------
 
-    async def _judge(self, plan: Plan) -> None:
+    async def _evaluate(self, plan: Plan) -> None:
         digest = list_digest(self.registry)
         rules = msgspec.structs.replace(
-            self.settings.rules, widen=min(10.0, self.settings.rules.widen * self.book.widen)
+            self.settings.rules, widen=min(10.0, self.settings.rules.widen * self.plans.widening)
         )
         try:
-            told = await self._study(plan, rules)
+            told = await self._run_study(plan, rules)
         except WoadyardError as error:
-            told = Told(error=str(error))
+            told = StudyResult(error=str(error))
         if told.error:
             told.verdict = {"state": "cannot tell", "reason": told.error}
         figures = told.forecast.get("figures", {})
@@ -105,19 +105,19 @@
             "at": self.registry.clock_us(), "age_us": int(rules.age_s * 1e6),
             "figures": {
                 name: [figures[name][one] for one in ("value", "low", "high", "recorded")]
-                for name in SHOWN if name in figures
+                for name in FORECAST_FIGURES if name in figures
             },
             **told.verdict,
         }  # fmt: skip
         LOG.info("plan judged", extra={"revision": plan.revision, **told.verdict})
-        if self.book.active is plan and plan.state == PROPOSED:
-            self._write({"op": "judge", "revision": plan.revision, "verdict": verdict})
+        if self.plans.active is plan and plan.state == PROPOSED:
+            self._append_entry({"op": "judge", "revision": plan.revision, "verdict": verdict})
 
-    async def _study(self, plan: Plan, rules: Rules) -> Told:
-        await pull_all(self.doors, self.rng)
+    async def _run_study(self, plan: Plan, rules: Rules) -> StudyResult:
+        await fetch_traces(self.fetchers, self.rng)
         with tempfile.TemporaryDirectory(prefix="whatif-") as folder:
-            for number, name in enumerate(sorted(self.doors)):
-                if data := self.doors[name].data:
+            for number, name in enumerate(sorted(self.fetchers)):
+                if data := self.fetchers[name].data:
                     (Path(folder) / f"{number:04d}.trace").write_bytes(data)
             asked = {"weights": plan.weights, "rules": msgspec.to_builtins(rules)}
             (Path(folder) / "ask.json").write_bytes(msgspec.json.encode(asked))
@@ -134,34 +134,34 @@
                     tool.kill()
                     await tool.wait()
         try:
-            return msgspec.json.decode(out, type=Told)
+            return msgspec.json.decode(out, type=StudyResult)
         except msgspec.DecodeError:
             raise TraceError(f"the study ended with status {tool.returncode}") from None
 
     # --- Rolling out ------------------------------------------------------------------
 
-    async def _roll(self, plan: Plan) -> None:
-        told, rules, measured = acting(self.registry), self.settings.rules, Measured()
+    async def _advance_rollout(self, plan: Plan) -> None:
+        told, rules, measured = applied_revisions(self.registry), self.settings.rules, Measurement()
         if self.registry.clock_us() - plan.since >= rules.window_s * 1e6:  # before that there is too little
-            known = [name for name in members(plan, told) if name in self.doors]
-            doors = {name: self.doors[name] for name in known[:MEASURED_MOST]}
-            traces = await pull_all(doors, self.rng)
+            known = [name for name in updated_sidecars(plan, told) if name in self.fetchers]
+            doors = {name: self.fetchers[name] for name in known[:MAX_MEASURED_SIDECARS]}
+            traces = await fetch_traces(doors, self.rng)
             if len(traces) == len(doors):
                 # Off the loop: a recording has some ten thousand requests.
                 measured = await asyncio.to_thread(
                     measure, list(traces.values()), plan.revision, rules.confidence
                 )
-        if self.book.active is not plan or plan.state != ROLLING:
+        if self.plans.active is not plan or plan.state != ROLLING:
             return  # an operator was quicker
-        self._take(plan, step(self.registry.clock_us(), plan, told, measured, rules))
+        self._apply_step(plan, next_step(self.registry.clock_us(), plan, told, measured, rules))
 
-    def _take(self, plan: Plan, made: Step) -> None:
-        if made.why != self.why:
-            self.why = made.why
-            LOG.info("rollout", extra={"revision": plan.revision, "stage": plan.stage, "why": made.why})
-        if made.record is not None:
-            self._write(made.record)
-            LOG.info("rollout goes on", extra={"revision": plan.revision, "op": made.record["op"]})
+    def _apply_step(self, plan: Plan, made: RolloutStep) -> None:
+        if made.reason != self.last_reason:
+            self.last_reason = made.reason
+            LOG.info("rollout", extra={"revision": plan.revision, "stage": plan.stage, "why": made.reason})
+        if made.entry is not None:
+            self._append_entry(made.entry)
+            LOG.info("rollout goes on", extra={"revision": plan.revision, "op": made.entry["op"]})
 
-    def _write(self, record: dict[str, Any]) -> None:
+    def _append_entry(self, record: dict[str, Any]) -> None:
         self.registry.append_entry({"book": PlansState.name, **record})
--- a/woadyard/whatif/measure.py
+++ b/woadyard/whatif/measure.py
@@ -10,7 +10,7 @@
 from math import sqrt
 from statistics import NormalDist
 
-from woadyard.whatif.rollout import Measured
+from woadyard.whatif.rollout import Measurement
 from woadyard.whatif.scene import Side
 from woadyard.whatif.trace import ANSWERED, FAILED, REFUSED, Asked, Trace, Weighed, end_of
 
@@ -46,7 +46,7 @@
     return (asked[-1].at - began, asked) if asked else (0, [])
 
 
-def measure(traces: Iterable[Trace], revision: int, confidence: float) -> Measured:
+def measure(traces: Iterable[Trace], revision: int, confidence: float) -> Measurement:
     z = NormalDist().inv_cdf(0.5 + confidence / 2)
     spans, good, took, ends = [], 0, [], [0, 0, 0]
     for trace in traces:
@@ -61,10 +61,10 @@
                 good += time <= side.aim(one)
     of = sum(ends)
     if not spans or not of:
-        return Measured()
+        return Measurement()
     figures = {"aim": wilson(good, of, z)}
     figures["refused"] = wilson(ends[REFUSED], of, z)
     figures["failed"] = wilson(ends[FAILED], of, z)
     if took:
         figures["p50"], figures["p99"] = ranked(took, 0.5, z), ranked(took, 0.99, z)
-    return Measured(min(spans), of, figures)
+    return Measurement(min(spans), of, figures)
--- a/woadyard/whatif/plans.py
+++ b/woadyard/whatif/plans.py
@@ -16,18 +16,18 @@
 
 from woadyard.errors import LogEntryError, PlanError
 from woadyard.registry.state_machine import LogEntry
-from woadyard.whatif.weights import check_weights
+from woadyard.whatif.weights import validate_weights
 
 PROPOSED, JUDGED, ROLLING = "proposed", "judged", "rolling"
 DONE, HALTED, WITHDRAWN = "done", "halted", "withdrawn"
-LETS_OUT = frozenset(("better", "harmless"))
-HISTORY_MOST = 64
+ACCEPTED_VERDICTS = frozenset(("better", "harmless"))
+MAX_CLOSED_PLANS = 64
 # Forecasts that fail widen the intervals of those that follow; those that hold narrow them again.
-WIDER, NARROWER, WIDEST = 1.5, 0.9, 5.0
-SPOTS = 1 << 52  # of the hashes of sidecars; a JSON number holds them
+WIDEN_FACTOR, NARROW_FACTOR, MAX_WIDENING = 1.5, 0.9, 5.0
+HASH_SPACE = 1 << 52  # of the hashes of sidecars; a JSON number holds them
 
 
-class Judgement(msgspec.Struct, frozen=True):
+class PlanVerdict(msgspec.Struct, frozen=True):
     """A verdict and what it is for: digests of the plan, the traces and the list. `figures`: name
     to value, low, high and recorded."""
 
@@ -48,7 +48,7 @@
     by: str
     stages: list[float]
     state: str = PROPOSED
-    verdict: Judgement | None = None
+    verdict: PlanVerdict | None = None
     forced: str = ""
     stage: int = -1
     cut: int = -1  # sidecars whose hash is up to this have the plan
@@ -57,16 +57,16 @@
     errors: dict[str, float] = {}  # measured less forecast
 
 
-class Force(msgspec.Struct):
+class WeightsInForce(msgspec.Struct):
     """The weights in force; revision 0: none were ever set."""
 
     revision: int = 0
     weights: dict[str, float] = {}
 
 
-class _Dump(msgspec.Struct, forbid_unknown_fields=True):
+class _Snapshot(msgspec.Struct, forbid_unknown_fields=True):
     next: int
-    force: Force
+    force: WeightsInForce
     active: Plan | None
     history: list[Plan]
     widen: float
@@ -77,21 +77,21 @@
     name = "plans"
 
     def __init__(self) -> None:
-        self.next = 1
-        self.force = Force()
+        self.next_revision = 1
+        self.in_force = WeightsInForce()
         self.active: Plan | None = None
         self.history: list[Plan] = []
-        self.widen = 1.0
-        self.dropped = 0  # plans that the history no longer has
+        self.widening = 1.0
+        self.dropped_plans = 0  # plans that the history no longer has
 
     # --- What sidecars are told ---------------------------------------------------
 
     def directive(self, sidecar: str) -> dict[str, Any]:
         """The revision and weights that this sidecar is to act on."""
         plan = self.active
-        if plan is not None and plan.state == ROLLING and spot(plan.revision, sidecar) <= plan.cut:
+        if plan is not None and plan.state == ROLLING and sidecar_hash(plan.revision, sidecar) <= plan.cut:
             return {"revision": plan.revision, "weights": plan.weights}
-        return {"revision": self.force.revision, "weights": self.force.weights}
+        return {"revision": self.in_force.revision, "weights": self.in_force.weights}
 
     # --- The log --------------------------------------------------------------------
 
@@ -105,34 +105,34 @@
             raise LogEntryError(f"no plan {record.get('revision')} is under way", "see GET /registry/plans")
         match op:
             case "judge":
-                self._need(plan, PROPOSED, JUDGED)
+                self._require_state(plan, PROPOSED, JUDGED)
                 self._check_verdict(plan, record)
             case "force":
-                self._need(plan, PROPOSED, JUDGED)
+                self._require_state(plan, PROPOSED, JUDGED)
                 if not isinstance(record.get("reason"), str) or not record["reason"].strip():
                     raise LogEntryError("a plan is forced only with a reason", "say why in `reason`")
             case "begin":
-                self._need(plan, PROPOSED, JUDGED)
+                self._require_state(plan, PROPOSED, JUDGED)
                 self._check_gate(plan, record)
-                _cut(record)
+                _read_cutoff(record)
             case "stage":
-                self._need(plan, ROLLING)
+                self._require_state(plan, ROLLING)
                 if record.get("stage") != plan.stage + 1 or plan.stage + 1 >= len(plan.stages):
                     raise LogEntryError(f"stage {record.get('stage')} does not follow {plan.stage}")
-                _cut(record)
+                _read_cutoff(record)
             case "done":
-                self._need(plan, ROLLING)
+                self._require_state(plan, ROLLING)
                 if plan.stage != len(plan.stages) - 1:
                     raise LogEntryError(f"the plan is done after stage {len(plan.stages) - 1}")
             case "halt":
-                self._need(plan, ROLLING)
+                self._require_state(plan, ROLLING)
             case "withdraw" | "again":
-                self._need(plan, PROPOSED, JUDGED)
+                self._require_state(plan, PROPOSED, JUDGED)
             case _:
                 raise LogEntryError(f"no record of plans: {op!r}")
 
     @staticmethod
-    def _need(plan: Plan, *states: str) -> None:
+    def _require_state(plan: Plan, *states: str) -> None:
         if plan.state not in states:
             raise LogEntryError(f"plan {plan.revision} is {plan.state}")
 
@@ -141,7 +141,7 @@
             what = f"plan {self.active.revision} is {self.active.state}: there is one plan at a time"
             raise LogEntryError(what, "wait for it, withdraw it, or halt it")
         try:
-            check_weights(record.get("weights"))
+            validate_weights(record.get("weights"))
             stages = msgspec.convert(record.get("stages"), list[float])
         except (PlanError, msgspec.ValidationError) as error:
             raise LogEntryError(f"no plan: {error}") from None
@@ -151,7 +151,7 @@
 
     @staticmethod
     def _check_verdict(plan: Plan, record: LogEntry) -> None:
-        verdict = _judgement(record)
+        verdict = _read_verdict(record)
         if verdict.plan != plan.digest:
             raise LogEntryError("the verdict is for another plan", "have this plan judged")
 
@@ -163,7 +163,7 @@
         verdict, remedy = plan.verdict, "have the plan judged again, or force it with a reason"
         if verdict is None:
             raise LogEntryError("the plan has no verdict", remedy)
-        if verdict.state not in LETS_OUT:
+        if verdict.state not in ACCEPTED_VERDICTS:
             raise LogEntryError(f"the verdict is {verdict.state}: {verdict.reason}", remedy)
         if not isinstance(record.get("list"), str) or record["list"] != verdict.list:
             raise LogEntryError("the verdict is for another list", remedy)
@@ -173,31 +173,35 @@
     def apply(self, record: LogEntry) -> bool:
         op = record["op"]
         if op == "propose":
-            weights = check_weights(record["weights"])
+            weights = validate_weights(record["weights"])
             self.active = Plan(
-                self.next, weights, plan_digest(weights), str(record.get("by", "")), list(record["stages"])
+                self.next_revision,
+                weights,
+                plan_digest(weights),
+                str(record.get("by", "")),
+                list(record["stages"]),
             )
-            self.next += 1
+            self.next_revision += 1
             return True
         plan = self.active
         assert plan is not None
         match op:
             case "judge":
-                plan.verdict, plan.state = _judgement(record), JUDGED
+                plan.verdict, plan.state = _read_verdict(record), JUDGED
             case "again":
                 plan.verdict, plan.state = None, PROPOSED
             case "force":
                 plan.forced = str(record["reason"]).strip()
             case "begin" | "stage":
                 plan.state, plan.stage = ROLLING, plan.stage + 1
-                plan.cut, plan.since = _cut(record), int(record.get("at", 0))
+                plan.cut, plan.since = _read_cutoff(record), int(record.get("at", 0))
             case "done":
-                self.force = Force(plan.revision, plan.weights)
+                self.in_force = WeightsInForce(plan.revision, plan.weights)
                 self._close(plan, DONE, record)
             case "halt":
                 # A newer revision with the old weights, for those that have the plan and all others.
-                self.force = Force(self.next, self.force.weights)
-                self.next += 1
+                self.in_force = WeightsInForce(self.next_revision, self.in_force.weights)
+                self.next_revision += 1
                 self._close(plan, HALTED, record)
             case "withdraw":
                 self._close(plan, WITHDRAWN, record)
@@ -207,38 +211,40 @@
         plan.state, plan.why = state, str(record.get("reason", ""))[:1000]
         plan.errors = {str(k): float(v) for k, v in dict(record.get("errors") or {}).items()}
         if state != WITHDRAWN and plan.errors:
-            step = WIDER if record.get("wrong") else NARROWER
-            self.widen = min(WIDEST, max(1.0, self.widen * step))
+            step = WIDEN_FACTOR if record.get("wrong") else NARROW_FACTOR
+            self.widening = min(MAX_WIDENING, max(1.0, self.widening * step))
         self.active = None
         self.history.append(plan)
-        while len(self.history) > HISTORY_MOST:
+        while len(self.history) > MAX_CLOSED_PLANS:
             del self.history[0]
-            self.dropped += 1
+            self.dropped_plans += 1
 
     def dump(self) -> Any:
-        dump = _Dump(self.next, self.force, self.active, self.history, self.widen, self.dropped)
+        dump = _Snapshot(
+            self.next_revision, self.in_force, self.active, self.history, self.widening, self.dropped_plans
+        )
         return msgspec.to_builtins(dump)
 
     def load(self, raw: Any) -> None:
         try:
-            told = msgspec.convert(raw, _Dump)
+            told = msgspec.convert(raw, _Snapshot)
         except msgspec.ValidationError as error:
             raise LogEntryError(f"no dump of plans: {error}") from None
-        self.next, self.force, self.active = told.next, told.force, told.active
-        self.history, self.widen, self.dropped = told.history, told.widen, told.dropped
+        self.next_revision, self.in_force, self.active = told.next, told.force, told.active
+        self.history, self.widening, self.dropped_plans = told.history, told.widen, told.dropped
 
 
-def spot(revision: int, sidecar: str) -> int:
+def sidecar_hash(revision: int, sidecar: str) -> int:
     """The sidecar's hash, by which stages choose: another one for each plan."""
     raw = f"{revision}:{sidecar}".encode()
-    return int.from_bytes(blake2b(raw, digest_size=8).digest(), "big") % SPOTS
+    return int.from_bytes(blake2b(raw, digest_size=8).digest(), "big") % HASH_SPACE
 
 
-def cut_for(revision: int, sidecars: list[str], share: float) -> int:
+def cutoff_hash(revision: int, sidecars: list[str], share: float) -> int:
     """The hash up to which `share` of these sidecars have the plan, one at least; all of any at 1."""
     if share >= 1.0 or not sidecars:
-        return SPOTS
-    spots = sorted(spot(revision, one) for one in sidecars)
+        return HASH_SPACE
+    spots = sorted(sidecar_hash(revision, one) for one in sidecars)
     return spots[max(1, min(len(spots), round(share * len(spots)))) - 1]
 
 
@@ -247,15 +253,15 @@
     return blake2b(raw, digest_size=16).hexdigest()
 
 
-def _cut(record: LogEntry) -> int:
+def _read_cutoff(record: LogEntry) -> int:
     cut = record.get("cut")
-    if type(cut) is not int or not 0 <= cut <= SPOTS:
+    if type(cut) is not int or not 0 <= cut <= HASH_SPACE:
         raise LogEntryError(f"no cut of the sidecars: {cut!r}")
     return cut
 
 
-def _judgement(record: LogEntry) -> Judgement:
+def _read_verdict(record: LogEntry) -> PlanVerdict:
     try:
-        return msgspec.convert(record.get("verdict"), Judgement)
+        return msgspec.convert(record.get("verdict"), PlanVerdict)
     except msgspec.ValidationError as error:
         raise LogEntryError(f"no verdict: {error}") from None
--- a/woadyard/whatif/rollout.py
+++ b/woadyard/whatif/rollout.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from woadyard.whatif.plans import Plan, cut_for, spot
+from woadyard.whatif.plans import Plan, cutoff_hash, sidecar_hash
 from woadyard.whatif.settings import Rules
 
 # What a stage is judged by.
-WATCHED = ("aim", "p99", "refused", "failed")
+MONITORED_FIGURES = ("aim", "p99", "refused", "failed")
 
 
 @dataclass(frozen=True)
-class Measured:
+class Measurement:
     """Of a stage's sidecars, since each acts on the plan: how long the shortest has, and figures,
     each with its own interval: a stage of few sidecars is measured coarsely."""
 
@@ -28,52 +28,56 @@
 
 
 @dataclass(frozen=True)
-class Step:
+class RolloutStep:
     """What to do: a record to write, or (None) wait; `why` for the operator."""
 
-    record: dict[str, Any] | None
-    why: str
+    entry: dict[str, Any] | None
+    reason: str
 
 
-def missing(plan: Plan, acting: Mapping[str, int]) -> list[str]:
+def lagging_sidecars(plan: Plan, acting: Mapping[str, int]) -> list[str]:
     """Sidecars of the stage that act on something older; `acting` is each live one's revision."""
-    chosen = (one for one in acting if spot(plan.revision, one) <= plan.cut)
+    chosen = (one for one in acting if sidecar_hash(plan.revision, one) <= plan.cut)
     return sorted(one for one in chosen if acting[one] < plan.revision)
 
 
-def members(plan: Plan, acting: Mapping[str, int]) -> list[str]:
+def updated_sidecars(plan: Plan, acting: Mapping[str, int]) -> list[str]:
     """Sidecars of the stage that act on the plan."""
     return sorted(
-        one for one in acting if spot(plan.revision, one) <= plan.cut and acting[one] == plan.revision
+        one for one in acting if sidecar_hash(plan.revision, one) <= plan.cut and acting[one] == plan.revision
     )
 
 
-def step(now: int, plan: Plan, acting: Mapping[str, int], measured: Measured, rules: Rules) -> Step:
+def next_step(
+    now: int, plan: Plan, acting: Mapping[str, int], measured: Measurement, rules: Rules
+) -> RolloutStep:
     """The next step of a plan that is rolling. `now` is the service's wall time, µs."""
-    late, here = missing(plan, acting), members(plan, acting)
+    late, here = lagging_sidecars(plan, acting), updated_sidecars(plan, acting)
     if not here:
-        return Step(None, "no sidecar acts on the plan yet")
+        return RolloutStep(None, "no sidecar acts on the plan yet")
     if late:
         waited = now - plan.since >= rules.stage_wait_s * 1e6
         if not waited or len(late) > rules.missing_most * (len(late) + len(here)):
-            return Step(None, f"waits for {', '.join(late)}")
-    if outside := compare(plan, measured, rules):
-        return _halt(plan, measured, "; ".join(outside))
+            return RolloutStep(None, f"waits for {', '.join(late)}")
+    if outside := find_deviations(plan, measured, rules):
+        return _halt_step(plan, measured, "; ".join(outside))
     if measured.span_us < rules.window_s * 1e6 or measured.requests < rules.measured_least:
-        return Step(None, f"measured {measured.requests} requests over {measured.span_us / 1e6:.1f} s")
+        return RolloutStep(None, f"measured {measured.requests} requests over {measured.span_us / 1e6:.1f} s")
     if plan.stage + 1 < len(plan.stages):
-        cut = max(plan.cut, cut_for(plan.revision, list(acting), plan.stages[plan.stage + 1]))
+        cut = max(plan.cut, cutoff_hash(plan.revision, list(acting), plan.stages[plan.stage + 1]))
         record = {"op": "stage", "revision": plan.revision, "stage": plan.stage + 1, "cut": cut}
-        return Step(record, "all inside the forecast")
-    return Step({"op": "done", "revision": plan.revision, "errors": errors(plan, measured)}, "done")
+        return RolloutStep(record, "all inside the forecast")
+    return RolloutStep(
+        {"op": "done", "revision": plan.revision, "errors": forecast_errors(plan, measured)}, "done"
+    )
 
 
-def _halt(plan: Plan, measured: Measured, why: str) -> Step:
-    found = {"errors": errors(plan, measured), "wrong": True}
-    return Step({"op": "halt", "revision": plan.revision, "reason": why, **found}, why)
+def _halt_step(plan: Plan, measured: Measurement, why: str) -> RolloutStep:
+    found = {"errors": forecast_errors(plan, measured), "wrong": True}
+    return RolloutStep({"op": "halt", "revision": plan.revision, "reason": why, **found}, why)
 
 
-def compare(plan: Plan, measured: Measured, rules: Rules) -> list[str]:
+def find_deviations(plan: Plan, measured: Measurement, rules: Rules) -> list[str]:
     """Figures outside of their intervals, once there is enough to judge by. While only a part of the
     sidecars has the plan the fleet is between what was recorded and the forecast, and so may be they."""
     if plan.verdict is None or measured.requests < rules.measured_least:
@@ -81,7 +85,7 @@
     if measured.span_us < rules.window_s * 1e6:
         return []
     found = []
-    for name in WATCHED:
+    for name in MONITORED_FIGURES:
         if name in measured.figures and name in plan.verdict.figures:
             value, low, high, recorded = plan.verdict.figures[name]
             if plan.stages[plan.stage] < 1.0:
@@ -92,7 +96,7 @@
     return found
 
 
-def errors(plan: Plan, measured: Measured) -> dict[str, float]:
+def forecast_errors(plan: Plan, measured: Measurement) -> dict[str, float]:
     """Measured less forecast."""
     if plan.verdict is None:
         return {}
--- a/woadyard/whatif/scene.py
+++ b/woadyard/whatif/scene.py
@@ -11,7 +11,7 @@
 from woadyard.interface import DRAINING, GONE, READY, Entry, Settings
 from woadyard.net.state import endpoint_number
 from woadyard.whatif.trace import Asked, Listed, Retuned, Trace
-from woadyard.whatif.weights import Weights, resolve
+from woadyard.whatif.weights import Weights, resolve_factors
 
 # Scenes begin this far from 0, so that an endpoint started before has a time above 0: 0 is long ago.
 LEAD_US = 3_600_000_000
@@ -108,5 +108,5 @@
 
     def factors(self, weights: Weights) -> dict[int, float]:
         """A plan's factors by the module's number."""
-        found = resolve(weights, zip(self.endpoints, self.kinds, self.zones, strict=True))
+        found = resolve_factors(weights, zip(self.endpoints, self.kinds, self.zones, strict=True))
         return {endpoint_number(name): value for name, value in found.items()}
--- a/woadyard/whatif/service.py
+++ b/woadyard/whatif/service.py
@@ -20,8 +20,8 @@
 from woadyard.errors import LogEntryError
 from woadyard.registry.responses import Handler, json_response, leader_only, read_body
 from woadyard.registry.service import Registry
-from woadyard.whatif.planner import acting, list_digest
-from woadyard.whatif.plans import PlansState, cut_for
+from woadyard.whatif.controller import applied_revisions, list_digest
+from woadyard.whatif.plans import PlansState, cutoff_hash
 from woadyard.whatif.settings import Rules
 
 PATH = "/registry/plans"
@@ -45,7 +45,7 @@
         registry.append_entry({"book": PlansState.name, **record})
         active = book().active
         return json_response(
-            {"revision": active.revision if active else None, "force": book().force.revision}
+            {"revision": active.revision if active else None, "force": book().in_force.revision}
         )
 
     def revision(request: web.Request) -> int:
@@ -64,7 +64,7 @@
     async def go(request: web.Request) -> web.StreamResponse:
         number, plan = revision(request), book().active
         share = plan.stages[0] if plan is not None else 1.0
-        cut = cut_for(number, list(acting(registry)), share)
+        cut = cutoff_hash(number, list(applied_revisions(registry)), share)
         record = {"op": "begin", "revision": number, "list": list_digest(registry), "cut": cut}
         return write({**record, "stage": 0})
 
--- a/woadyard/whatif/settings.py
+++ b/woadyard/whatif/settings.py
@@ -9,7 +9,7 @@
 
 from woadyard.errors import ConfigError
 
-Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, msgspec.Meta(gt=0.0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
@@ -25,30 +25,30 @@
     blocks_least: Count = 8
     requests_least: Count = 500
     # The check on itself: the replay of what is in force may differ so far from the recording.
-    check_aim: Share = 0.02
+    check_aim: Fraction = 0.02
     check_p99: Positive = 0.3
-    check_endpoint: Share = 0.05
-    check_refused: Share = 0.02
+    check_endpoint: Fraction = 0.05
+    check_refused: Fraction = 0.02
     # The verdict.
     confidence: Annotated[float, msgspec.Meta(gt=0.5, lt=1.0)] = 0.9
-    harm: Share = 0.01  # a loss of share in aim that is still harmless
-    gain: Share = 0.002  # a gain that is worth the name
+    harm: Fraction = 0.01  # a loss of share in aim that is still harmless
+    gain: Fraction = 0.002  # a gain that is worth the name
     harm_time: Positive = 0.25  # a rise of p99 that is still harmless
     gain_time: Positive = 0.05
-    thin_most: Share = 0.3  # of attempts that rest on what the trace can't tell
-    over_most: Share = 0.02  # of an endpoint's attempts that find its limit reached
+    thin_most: Fraction = 0.3  # of attempts that rest on what the trace can't tell
+    over_most: Fraction = 0.02  # of an endpoint's attempts that find its limit reached
     # The interval of what is measured later.
     window_s: Count = 10
-    floor_share: Share = 0.005
-    floor_time: Share = 0.07
-    floor_endpoint: Share = 0.01
-    floor_thin: Share = 0.2  # times the share of attempts that rest on what the trace can't tell
+    floor_share: Fraction = 0.005
+    floor_time: Fraction = 0.07
+    floor_endpoint: Fraction = 0.01
+    floor_thin: Fraction = 0.2  # times the share of attempts that rest on what the trace can't tell
     widen: Annotated[float, msgspec.Meta(ge=1.0, le=10.0)] = 1.0  # raised by forecasts that failed
     # The rollout.
     age_s: Positive = 600.0
     stages: Annotated[tuple[Positive, ...], msgspec.Meta(min_length=1, max_length=16)] = (0.1, 0.5, 1.0)
     stage_wait_s: Positive = 60.0  # for sidecars to act on the plan
-    missing_most: Share = 0.0  # of a stage's sidecars that may be left behind after that
+    missing_most: Fraction = 0.0  # of a stage's sidecars that may be left behind after that
     measured_least: Count = 200  # requests that a stage is judged by
 
     def __post_init__(self) -> None:
@@ -69,7 +69,7 @@
 T = TypeVar("T")
 
 
-def _read(raw: Any, kind: type[T]) -> T:
+def _convert(raw: Any, kind: type[T]) -> T:
     """`ConfigError` names the first fault; nothing is taken in part."""
     try:
         return msgspec.convert(raw, kind)
@@ -77,13 +77,13 @@
         raise ConfigError(f"what-if: {error}", "mend the setting that the message names") from None
 
 
-def read_rules(raw: Any) -> Rules:
-    return _read(raw, Rules)
+def parse_rules(raw: Any) -> Rules:
+    return _convert(raw, Rules)
 
 
-def read_plans(path: Path) -> PlansSettings:
+def read_plans_settings(path: Path) -> PlansSettings:
     try:
         raw = msgspec.json.decode(path.read_bytes())
     except (OSError, msgspec.DecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
-    return _read(raw, PlansSettings)
+    return _convert(raw, PlansSettings)
--- a/woadyard/whatif/study.py
+++ b/woadyard/whatif/study.py
@@ -19,7 +19,7 @@
 from woadyard.whatif.tally import Frame, Tally, tally
 from woadyard.whatif.trace import read
 from woadyard.whatif.verdict import Verdict, judge
-from woadyard.whatif.weights import Weights, check_weights
+from woadyard.whatif.weights import Weights, validate_weights
 
 
 class Study(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
         )  # fmt: skip
 
     def study(self, weights: Weights) -> Study:
-        chosen = check_weights(weights)
+        chosen = validate_weights(weights)
         seeds = range(self.rules.seeds)
         force: list[Job] = [] if self.force else [(seed, None) for seed in seeds]
         jobs = [*force, *((seed, chosen) for seed in seeds)]
--- a/woadyard/whatif/doors.py
+++ b/woadyard/whatif/trace_fetcher.py
@@ -15,33 +15,33 @@
 from woadyard.whatif.trace import Trace, read
 
 LOG = logging.getLogger(__name__)
-CALL_S = 5.0
-TRIES_MOST = 8  # in a row without a piece
+REQUEST_TIMEOUT_S = 5.0
+MAX_FAILED_ATTEMPTS = 8  # in a row without a piece
 # Past this a recording is fetched anew, from what the ring still has.
-KEPT_MOST = 64 * 1024 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 
 
-class Door:
+class TraceFetcher:
     """One sidecar's recording, as far as it was fetched."""
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.forget()
+        self.reset()
 
-    def forget(self) -> None:
-        self.incarnation, self.next, self.data = "", 0, b""
+    def reset(self) -> None:
+        self.incarnation, self.next_offset, self.data = "", 0, b""
 
-    async def pull(self, session: aiohttp.ClientSession, rng: random.Random) -> bytes:
+    async def fetch(self, session: aiohttp.ClientSession, rng: random.Random) -> bytes:
         """All that the ring has by now; PeerError where the door can't be reached."""
-        if len(self.data) > KEPT_MOST:
-            self.forget()
+        if len(self.data) > MAX_BUFFERED_BYTES:
+            self.reset()
         tries, wait = 0, Backoff(rng, 0.05, 2.0)
         while True:
             try:
-                piece = await self._piece(session)
+                piece = await self._fetch_piece(session)
             except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as error:
                 tries += 1
-                if tries >= TRIES_MOST:
+                if tries >= MAX_FAILED_ATTEMPTS:
                     what = f"no trace from {self.address}: {type(error).__name__}: {error}"
                     remedy = "see whether the sidecar's door can be reached and it records"
                     raise PeerError(what, remedy) from None
@@ -49,16 +49,18 @@
                 continue
             tries = 0
             wait.reset()
-            self._take(piece)
+            self._append_piece(piece)
             if piece.next >= piece.end:
                 return self.data
 
-    async def _piece(self, session: aiohttp.ClientSession) -> Piece:
-        query = {"from": str(self.next)}
+    async def _fetch_piece(self, session: aiohttp.ClientSession) -> Piece:
+        query = {"from": str(self.next_offset)}
         if self.incarnation:
             query["incarnation"] = self.incarnation
         url = f"http://{self.address}/_trace"
-        async with session.get(url, params=query, timeout=aiohttp.ClientTimeout(total=CALL_S)) as answer:
+        async with session.get(
+            url, params=query, timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
+        ) as answer:
             if answer.status != 200:
                 raise PeerError(
                     f"no trace from {self.address}: status {answer.status}",
@@ -66,21 +68,21 @@
                 )
             return msgspec.msgpack.decode(await answer.read(), type=Piece)
 
-    def _take(self, piece: Piece) -> None:
-        if piece.incarnation != self.incarnation or piece.start != self.next:
+    def _append_piece(self, piece: Piece) -> None:
+        if piece.incarnation != self.incarnation or piece.start != self.next_offset:
             # Another process, or the ring lost what lies between: its state comes first again.
-            self.forget()
-        self.incarnation, self.next = piece.incarnation, piece.next
+            self.reset()
+        self.incarnation, self.next_offset = piece.incarnation, piece.next
         self.data += piece.data
 
 
-async def pull_all(doors: dict[str, Door], rng: random.Random) -> dict[str, Trace]:
+async def fetch_traces(doors: dict[str, TraceFetcher], rng: random.Random) -> dict[str, Trace]:
     """The traces by sidecar; one that can't be had is left out, with a log line."""
     found: dict[str, Trace] = {}
     async with aiohttp.ClientSession() as session:
         names = sorted(doors)
         results = await asyncio.gather(
-            *(doors[name].pull(session, rng) for name in names), return_exceptions=True
+            *(doors[name].fetch(session, rng) for name in names), return_exceptions=True
         )
     for name, data in zip(names, results, strict=True):
         try:
--- a/woadyard/whatif/weights.py
+++ b/woadyard/whatif/weights.py
@@ -8,13 +8,13 @@
 from woadyard.errors import PlanError
 
 Weights = Mapping[str, float]
-KEYS_MOST = 4096
+MAX_WEIGHTS = 4096
 
 
-def check_weights(weights: Any) -> dict[str, float]:
+def validate_weights(weights: Any) -> dict[str, float]:
     """`PlanError` unless it maps names to numbers above 0."""
-    if not isinstance(weights, Mapping) or not 0 < len(weights) <= KEYS_MOST:
-        raise PlanError(f"a plan has 1 to {KEYS_MOST} weights")
+    if not isinstance(weights, Mapping) or not 0 < len(weights) <= MAX_WEIGHTS:
+        raise PlanError(f"a plan has 1 to {MAX_WEIGHTS} weights")
     for key, value in weights.items():
         number = isinstance(value, int | float) and not isinstance(value, bool)
         if not isinstance(key, str) or not key or not number or not 0.0 < value < float("inf"):
@@ -22,7 +22,7 @@
     return {key: float(value) for key, value in weights.items()}
 
 
-def resolve(weights: Weights, entries: Iterable[tuple[str, str, str]]) -> dict[str, float]:
+def resolve_factors(weights: Weights, entries: Iterable[tuple[str, str, str]]) -> dict[str, float]:
     """Factors up to 1 by instance id, from entries of (instance id, machine type, zone). A weight is
     named by the id, by `machineType=NAME` or by `zone=NAME`, and goes in this order; 1 where none is."""
     found = {}
