--- a/benchmarks/scale/exchange.py
+++ b/benchmarks/scale/exchange.py
@@ -24,7 +24,7 @@
 from benchmarks import gossip
 from benchmarks.scale import listings, points, usage
 from benchmarks.scale.points import Point
-from benchmarks.scale.state import LIMIT, OWN
+from benchmarks.scale.state import ENDPOINTS_PER_SIDECAR, LIMIT_ATTEMPTS
 from tests.lab import Lab
 from woadyard.net.limit_shares import LimitHooks, LimitShares
 from woadyard.net.state import endpoint_number
@@ -32,12 +32,12 @@
 
 OUT = Path("docs/capacity/exchange.jsonl")
 SIZES, TURNS = (100, 200, 400, 700, 1_100), 1
-ACCUSING, NEWS_RUNS = 10, 5  # one in so many; runs of the news at one size
-SPREAD_S, SECONDS, START_S = 4.0, 20.0, 60.0  # leases are renewed every 3.3 s
+SIDECARS_PER_ACCUSER, NEWS_RUNS = 10, 5  # one in so many; runs of the news at one size
+RENEWAL_SPREAD_S, MEASURE_S, START_TIMEOUT_S = 4.0, 20.0, 60.0  # leases are renewed every 3.3 s
 DEADLINE_US = 2_000_000
 
 
-def write(
+def write_points(
     out: Path, run: str, role: str, phase: str, size: int, turn: int, lag: tuple[float, float], **found: Any
 ) -> None:
     units = {"_s": "s", "_rate": "messages/s", "_share": "s/s", "_rounds": "count", "_count": "count"}
@@ -54,31 +54,31 @@
         usage.show(point)
 
 
-def exchanged(out: Path, run: str, size: int, turn: int) -> None:
+def measure_gossip(out: Path, run: str, size: int, turn: int) -> None:
     """Of gossip. There is no driver that could be late: the clock is the stores' own."""
     named, none = listings.names(size), (0.0, 0.0)
-    for phase, accusers in (("quiet", 0), ("accusing", max(1, size // ACCUSING))):
+    for phase, accusers in (("quiet", 0), ("accusing", max(1, size // SIDECARS_PER_ACCUSER))):
         rate = gossip.wire(size, accusers, turn, named)
-        write(out, run, "gossip", phase, size, turn, none, bytes_per_sidecar_and_second=rate)
+        write_points(out, run, "gossip", phase, size, turn, none, bytes_per_sidecar_and_second=rate)
     times = gossip.pure(size, NEWS_RUNS, named)
     rounds = {
         f"{name}_rounds": times.get_value_at_percentile(percent) / 1e3 / gossip.INTERVAL_MS
         for name, percent in (("p50", 50), ("p99", 99), ("last", 100))
     }
-    write(out, run, "gossip", "news", size, turn, none, **rounds)
+    write_points(out, run, "gossip", "news", size, turn, none, **rounds)
 
 
-class Holders:
+class LimitHolders:
     """The holders of all sidecars; `answered` counts grants that came."""
 
     def __init__(self, service: str, size: int) -> None:
-        self.answered = 0
-        self.settings = SharedSettings("127.0.0.1:0", service, limit=LIMIT)
-        self.known = [endpoint_number(name) for name in listings.names(size)]
-        self.all = [self._holder(n, name) for n, name in enumerate(listings.names(size))]
+        self.grants_received = 0
+        self.settings = SharedSettings("127.0.0.1:0", service, limit=LIMIT_ATTEMPTS)
+        self.endpoint_keys = [endpoint_number(name) for name in listings.names(size)]
+        self.limit_shares = [self._new_holder(n, name) for n, name in enumerate(listings.names(size))]
 
-    def _holder(self, at: int, name: str) -> LimitShares:
-        own = [self.known[(at + n) % len(self.known)] for n in range(OWN)]
+    def _new_holder(self, at: int, name: str) -> LimitShares:
+        own = [self.endpoint_keys[(at + n) % len(self.endpoint_keys)] for n in range(ENDPOINTS_PER_SIDECAR)]
         hooks = LimitHooks(lambda: own, dict, lambda: DEADLINE_US, lambda caps, others: None)
         loop = asyncio.get_running_loop()
         made = LimitShares(loop, self.settings, f"{name}@{at:08x}", hooks, random.Random(at))
@@ -86,23 +86,23 @@
 
         def counted(told: dict[str, Any]) -> None:
             granted(told)
-            self.answered += 1
+            self.grants_received += 1
 
         vars(made)["_apply_grants"] = counted
         return made
 
     async def open(self, spread_s: float) -> None:
         """One after another, so that their renewals are spread as those of a fleet are."""
-        for one in self.all:
+        for one in self.limit_shares:
             one.open()
-            await asyncio.sleep(spread_s / len(self.all))
-        async with asyncio.timeout(START_S):
-            while not all(one.lease.caps for one in self.all):
+            await asyncio.sleep(spread_s / len(self.limit_shares))
+        async with asyncio.timeout(START_TIMEOUT_S):
+            while not all(one.lease.caps for one in self.limit_shares):
                 await asyncio.sleep(0.05)
 
     async def close(self) -> None:
-        tasks = [one.task for one in self.all if one.task is not None]
-        for one in self.all:
+        tasks = [one.task for one in self.limit_shares if one.task is not None]
+        for one in self.limit_shares:
             if one.expiry_timer is not None:
                 one.expiry_timer.cancel()
         for task in tasks:
@@ -110,22 +110,22 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def leases(out: Path, run: str, size: int, turn: int, seconds: float, spread_s: float) -> None:
+async def measure_leases(out: Path, run: str, size: int, turn: int, seconds: float, spread_s: float) -> None:
     with TemporaryDirectory() as folder, closing(Lab(Path(folder))) as lab:
         service = await lab.service()
         pid = service.process.pid
-        holders = Holders(f"127.0.0.1:{service.port}", size)
+        holders = LimitHolders(f"127.0.0.1:{service.port}", size)
         try:
             await holders.open(spread_s)
-            lag, before, cpu = usage.Lag(), holders.answered, usage.cpu_s(pid)
+            lag, before, cpu = usage.Lag(), holders.grants_received, usage.cpu_s(pid)
             await asyncio.sleep(seconds)
-            calls, used = holders.answered - before, usage.cpu_s(pid) - cpu
+            calls, used = holders.grants_received - before, usage.cpu_s(pid) - cpu
             found = lag.end()
-            held = sum(bool(one.lease.caps) for one in holders.all)
+            held = sum(bool(one.lease.caps) for one in holders.limit_shares)
         finally:
             await holders.close()
         log = service.folder / "data" / "log"
-        write(
+        write_points(
             out, run, "limits", "quiet", size, turn, found,
             messages_rate=calls / seconds, cpu_per_lease_s=used / max(1, calls), cpu_share=used / seconds,
             rss_bytes=usage.rss_bytes(pid), log_bytes_by_then=log.stat().st_size,
@@ -137,15 +137,15 @@
     out: Path = OUT,
     sizes: Sequence[int] = SIZES,
     turns: int = TURNS,
-    seconds: float = SECONDS,
-    spread_s: float = SPREAD_S,
+    seconds: float = MEASURE_S,
+    spread_s: float = RENEWAL_SPREAD_S,
 ) -> None:
     """Appends the points of each turn and size as they are measured."""
     run = usage.run_name()
     for turn in range(1, turns + 1):
         for size in sizes:
-            exchanged(out, run, size, turn)
-            uvloop.run(leases(out, run, size, turn, seconds, spread_s))
+            measure_gossip(out, run, size, turn)
+            uvloop.run(measure_leases(out, run, size, turn, seconds, spread_s))
 
 
 def main() -> None:
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -35,30 +35,30 @@
 from woadyard.net.registry_client import RegistryClient
 
 ROLE, PHASE = "writer", "failover"
-MEMBERS, KILLS = 3, 10
-LOOK_S, LAG_S, KILL_MOST_S = 0.01, 0.01, 60.0
+MEMBERS, KILL_COUNT = 3, 10
+POLL_INTERVAL_S, LAG_INTERVAL_S, KILL_TIMEOUT_S = 0.01, 0.01, 60.0
 LEASE_MS = 4_000
 SIZES = (100,)  # watchers
 
 
 @dataclass
-class Lag:
+class LoopLag:
     """How late this process's loop came to its timers, s, and its share of a core."""
 
-    late: list[float] = field(default_factory=list)
+    delays_s: list[float] = field(default_factory=list)
     began: tuple[float, float] = field(default_factory=lambda: (time.perf_counter(), time.process_time()))
 
-    async def run(self) -> None:
+    async def sample(self) -> None:
         while True:
-            due = time.perf_counter() + LAG_S
-            await asyncio.sleep(LAG_S)
-            self.late.append(time.perf_counter() - due)
+            due = time.perf_counter() + LAG_INTERVAL_S
+            await asyncio.sleep(LAG_INTERVAL_S)
+            self.delays_s.append(time.perf_counter() - due)
 
-    def taken(self) -> tuple[float, float]:
+    def collect(self) -> tuple[float, float]:
         """p99 in ms and the share, since it was asked last."""
         now = time.perf_counter(), time.process_time()
         share = (now[1] - self.began[1]) / (now[0] - self.began[0])
-        late, self.late, self.began = sorted(self.late), [], now
+        late, self.delays_s, self.began = sorted(self.delays_s), [], now
         return late[int(0.99 * len(late))] * 1e3 if late else 0.0, share
 
 
@@ -66,30 +66,32 @@
     """One sidecar's discovery: when it was told of which name, and what left its list."""
 
     def __init__(self, ports: Sequence[int], seed: int) -> None:
-        self.told: dict[str, float] = {}
-        self.lost: set[str] = set()
+        self.first_seen_s: dict[str, float] = {}
+        self.removed_names: set[str] = set()
         turn = seed % len(ports)
         first = [f"127.0.0.1:{port}" for port in (*ports[turn:], *ports[:turn])]
         loop = asyncio.get_running_loop()
-        self.discovery = Discovery(loop, first[0], INSTANCES_PATH, True, self.listen, random.Random(seed))
+        self.discovery = Discovery(
+            loop, first[0], INSTANCES_PATH, True, self.list_received, random.Random(seed)
+        )
         self.discovery.replicas = first
         self.discovery.set_watch(True)
 
-    def listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
+    def list_received(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         now, names = time.perf_counter(), {one["instanceId"] for one in entries}
-        self.lost |= {one["instanceId"] for one in entries if one["lifecycle"] == "gone"}
-        self.lost |= self.told.keys() - names if whole else set()
-        for name in names - self.told.keys():
-            self.told[name] = now
+        self.removed_names |= {one["instanceId"] for one in entries if one["lifecycle"] == "gone"}
+        self.removed_names |= self.first_seen_s.keys() - names if whole else set()
+        for name in names - self.first_seen_s.keys():
+            self.first_seen_s[name] = now
 
 
-class Service:
+class Members:
     """The members, and calls to those that run."""
 
     def __init__(self, lab: Lab) -> None:
         self.lab, self.ports = lab, [free_port() for _ in range(MEMBERS)]
-        self.members: list[Program] = []
-        self.down: list[Program] = []
+        self.programs: list[Program] = []
+        self.stopped: list[Program] = []
 
     async def start(self) -> None:
         def peers(own: int) -> str:
@@ -99,37 +101,37 @@
             self.lab.service(f"m{n}", None, "--elect", "--peers", peers(port), port=port)
             for n, port in enumerate(self.ports)
         )
-        self.members = await asyncio.gather(*started)
-        for one in self.members:
+        self.programs = await asyncio.gather(*started)
+        for one in self.programs:
             await one.wait_logged("membership standing changed", standing="member")
 
     @property
     def running(self) -> list[Program]:
-        return [one for one in self.members if one not in self.down]
+        return [one for one in self.programs if one not in self.stopped]
 
-    async def leader(self) -> Program:
+    async def wait_for_leader(self) -> Program:
         while True:
             for one in self.running:
                 if (await self.lab.call(one.port, "GET", "/registry/term")).json["leads"]:
                     return one
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def names(self, one: Program) -> set[str]:
+    async def listed_names(self, one: Program) -> set[str]:
         told = (await self.lab.call(one.port, "GET", INSTANCES_PATH)).json["instances"]
         return {entry["instanceId"] for entry in told}
 
 
-async def one_kill(service: Service, watchers: list[Watcher], name: str) -> dict[str, float]:
+async def measure_kill(service: Members, watchers: list[Watcher], name: str) -> dict[str, float]:
     """The times of one, s since the kill."""
-    killed = await service.leader()
+    killed = await service.wait_for_leader()
     addresses = ",".join(f"127.0.0.1:{port}" for port in service.ports)
     client = RegistryClient(addresses, random.Random(name))
-    service.down = [killed]
+    service.stopped = [killed]
     began = time.perf_counter()
     await service.lab.kill(killed)
 
     async def leads() -> float:
-        await service.leader()
+        await service.wait_for_leader()
         return time.perf_counter() - began
 
     async def answered() -> float:
@@ -140,17 +142,17 @@
         return time.perf_counter() - began
 
     leads_s, answered_s = await asyncio.gather(leads(), answered())
-    while not all(name in one.told for one in watchers):
-        await asyncio.sleep(LOOK_S)
-    in_force_s = max(one.told[name] for one in watchers) - began
+    while not all(name in one.first_seen_s for one in watchers):
+        await asyncio.sleep(POLL_INTERVAL_S)
+    in_force_s = max(one.first_seen_s[name] for one in watchers) - began
     return {"leads_s": leads_s, "answered_s": answered_s, "in_force_s": in_force_s}
 
 
-async def play(folder: Path, size: int, lag: Lag) -> list[dict[str, float]]:
+async def run_kills(folder: Path, size: int, lag: LoopLag) -> list[dict[str, float]]:
     """All kills at one number of watchers."""
     lab = Lab(folder)
-    service = Service(lab)
-    tasks: list[asyncio.Task[None]] = [asyncio.create_task(lag.run())]
+    service = Members(lab)
+    tasks: list[asyncio.Task[None]] = [asyncio.create_task(lag.sample())]
     watchers: list[Watcher] = []
     try:
         await service.start()
@@ -165,22 +167,22 @@
             )
         )
         watchers = [Watcher(service.ports, seed) for seed in range(size)]
-        while not all("leased" in one.told for one in watchers):
-            await asyncio.sleep(LOOK_S)
+        while not all("leased" in one.first_seen_s for one in watchers):
+            await asyncio.sleep(POLL_INTERVAL_S)
         found, answered = [], {"leased"}
-        for n in range(KILLS):
-            async with asyncio.timeout(KILL_MOST_S):
-                found.append(await one_kill(service, watchers, f"k-{n}"))
+        for n in range(KILL_COUNT):
+            async with asyncio.timeout(KILL_TIMEOUT_S):
+                found.append(await measure_kill(service, watchers, f"k-{n}"))
                 answered.add(f"k-{n}")
-                missing = answered - await service.names(await service.leader())
+                missing = answered - await service.listed_names(await service.wait_for_leader())
                 assert not missing, f"answered and lost: {missing}"
-                for one in service.down:
+                for one in service.stopped:
                     one.start()
-                    while not answered <= await service.names(one):
-                        await asyncio.sleep(LOOK_S)
-                service.down = []
+                    while not answered <= await service.listed_names(one):
+                        await asyncio.sleep(POLL_INTERVAL_S)
+                service.stopped = []
                 await asyncio.sleep(1.0)
-        lost = set().union(*(one.lost for one in watchers))
+        lost = set().union(*(one.removed_names for one in watchers))
         assert not lost, f"left a list: {lost}"
         return found
     finally:
@@ -197,14 +199,14 @@
     run = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
     for size in sizes:
         for turn in range(1, turns + 1):
-            lag = Lag()
+            lag = LoopLag()
             with TemporaryDirectory() as folder:
-                found = asyncio.run(play(Path(folder), size, lag))
-            late_ms, share = lag.taken()
+                found = asyncio.run(run_kills(Path(folder), size, lag))
+            late_ms, share = lag.collect()
             base = Point(
                 run, ROLE, PHASE, size, "", "s", 0.0, turn=turn, driver_lag_p99_ms=round(late_ms, 1),
                 driver_cpu=round(share, 3), load=round(os.getloadavg()[0], 1),
-                note=f"{KILLS} kills of {MEMBERS} members; before: by hand",
+                note=f"{KILL_COUNT} kills of {MEMBERS} members; before: by hand",
             )  # fmt: skip
             points = []
             for metric in ("leads_s", "answered_s", "in_force_s"):
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from benchmarks.scale.phases import BEGIN, LEASES, RESTART, WRITER, ZONE, Measured
+from benchmarks.scale.phases import BEGIN, LEASES, RESTART, WRITER, ZONE, PhaseResult
 from benchmarks.scale.points import Point
 from benchmarks.scale.world import DELAYS_MS, World
 
@@ -28,18 +28,18 @@
     note: str = ""
 
 
-def points(run: str, turn: int, world: World, found: Measured) -> list[Point]:
+def points(run: str, turn: int, world: World, found: PhaseResult) -> list[Point]:
     return [
         Point(
             run, one.role, found.phase, world.size, one.metric, one.unit, round(one.value, 6), turn=turn,
             driver_lag_p99_ms=round(found.driver_lag_ms, 1), driver_cpu=round(found.driver_cpu, 3),
-            load=round(found.load, 2), note=one.note,
+            load=round(found.load_1min, 2), note=one.note,
         )
         for one in figures(world, found)
     ]  # fmt: skip
 
 
-def figures(world: World, found: Measured) -> Iterator[Figure]:
+def figures(world: World, found: PhaseResult) -> Iterator[Figure]:
     yield from services(world, found)
     yield from control(world, found)
     yield from reports(found)
@@ -50,30 +50,30 @@
 # --- Roles ----------------------------------------------------------------------------
 
 
-def services(world: World, found: Measured) -> Iterator[Figure]:
+def services(world: World, found: PhaseResult) -> Iterator[Figure]:
     """The writer, and the replicas' mean. Bytes out of one are what the others took from it."""
-    replicas = [f"replica-{n}" for n in range(len(world.replicas))]
-    ports = {one.port for one in world.replicas}
+    replicas = [f"replica-{n}" for n in range(len(world.followers))]
+    ports = {one.port for one in world.followers}
     read: dict[str, float] = {name: _grown(found, name) for name in ("writer", *replicas)}
     from_replicas = sum(_flows(found, "bytes_in", ports))
     to_replicas = sum(_flows(found, "bytes_out", ports))
-    to_writer = sum(_flows(found, "bytes_out", {world.writer.port}))
-    from_writer = sum(_flows(found, "bytes_in", {world.writer.port}))
+    to_writer = sum(_flows(found, "bytes_out", {world.leader.port}))
+    from_writer = sum(_flows(found, "bytes_in", {world.leader.port}))
     between_back = sum(read[name] for name in replicas) - to_replicas
     between_there = read["writer"] - to_writer
     if read["writer"]:
         yield from _process(found, "writer", ["writer"])
-        yield Figure("writer", "bytes_in_per_s", "bytes/s", read["writer"] / found.seconds)
+        yield Figure("writer", "bytes_in_per_s", "bytes/s", read["writer"] / found.duration_s)
         out = between_back + from_writer
         told = "what sidecars and replicas took of it"
-        yield Figure("writer", "bytes_out_per_s", "bytes/s", out / found.seconds, told)
+        yield Figure("writer", "bytes_out_per_s", "bytes/s", out / found.duration_s, told)
         records = _counted(found, "writer", "registry_applied")
-        yield Figure("writer", "records_per_s", "messages/s", records / found.seconds)
+        yield Figure("writer", "records_per_s", "messages/s", records / found.duration_s)
         calls = _reads(found, "writer") + sum(one.sent for one in found.tallies)
-        calls += sum(_flows(found, "connections", {world.writer.port}))
-        yield Figure("writer", "messages_per_s", "messages/s", calls / found.seconds, "calls taken")
+        calls += sum(_flows(found, "connections", {world.leader.port}))
+        yield Figure("writer", "messages_per_s", "messages/s", calls / found.duration_s, "calls taken")
     yield from _process(found, "replica", replicas)
-    each = len(replicas) * found.seconds
+    each = len(replicas) * found.duration_s
     yield Figure("replica", "bytes_in_per_s", "bytes/s", sum(read[name] for name in replicas) / each)
     out, told = from_replicas + max(0.0, between_there), "what sidecars and the writer took of it"
     yield Figure("replica", "bytes_out_per_s", "bytes/s", out / each, told)
@@ -81,44 +81,44 @@
     yield Figure("replica", "messages_per_s", "messages/s", taken / each, "calls taken")
 
 
-def _process(found: Measured, role: str, names: Sequence[str]) -> Iterator[Figure]:
+def _process(found: PhaseResult, role: str, names: Sequence[str]) -> Iterator[Figure]:
     """CPU and memory, the mean of the processes; of the peak, the greatest."""
-    there = [name for name in names if name in found.before and name in found.after]
+    there = [name for name in names if name in found.usage_before and name in found.usage_after]
     if not there:
         return
-    cpu = statistics.fmean(found.after[one].cpu_s - found.before[one].cpu_s for one in there)
-    yield Figure(role, "cpu_s_per_s", "s/s", cpu / found.seconds)
-    if peaks := [found.peaks[one] for one in there if one in found.peaks]:
+    cpu = statistics.fmean(found.usage_after[one].cpu_s - found.usage_before[one].cpu_s for one in there)
+    yield Figure(role, "cpu_s_per_s", "s/s", cpu / found.duration_s)
+    if peaks := [found.cpu_peaks[one] for one in there if one in found.cpu_peaks]:
         yield Figure(role, "cpu_peak_s_per_s", "s/s", max(peaks), "within one second")
-    yield Figure(role, "rss_bytes", "bytes", statistics.fmean(found.after[one].rss for one in there))
+    yield Figure(role, "rss_bytes", "bytes", statistics.fmean(found.usage_after[one].rss for one in there))
 
 
-def control(world: World, found: Measured) -> Iterator[Figure]:
+def control(world: World, found: PhaseResult) -> Iterator[Figure]:
     """A hollow sidecar's control side, the mean of all; and the real sidecars, each a process."""
-    hollow, note = world.hollow, "each sidecar"
+    hollow, note = world.hollow_count, "each sidecar"
     cpu = sum(one.cpu_s / one.seconds for one in found.tallies)
     yield Figure("control", "cpu_s_per_s", "s/s", cpu / hollow, note)
     yield Figure("control", "rss_bytes", "bytes", sum(one.rss for one in found.tallies) / hollow, note)
     for metric, kind in (("bytes_in", "bytes_in"), ("bytes_out", "bytes_out"), ("messages", "connections")):
-        total = sum(_flows(found, kind)) / hollow / found.seconds
+        total = sum(_flows(found, kind)) / hollow / found.duration_s
         unit = "messages/s" if metric == "messages" else "bytes/s"
         told = f"{note}, calls made" if metric == "messages" else f"{note}, {OWN_BYTES}"
         yield Figure("control", f"{metric}_per_s", unit, total, told)
     for kind in ("lists", "reports", "leases"):
         flows = [flow for one in found.tallies for flow in one.flows if flow.kind == kind]
         for way in ("bytes_in", "bytes_out"):
-            total = sum(getattr(flow, way) for flow in flows) / hollow / found.seconds
+            total = sum(getattr(flow, way) for flow in flows) / hollow / found.duration_s
             yield Figure("control", f"{kind}_{way}_per_s", "bytes/s", total, f"{note}, {OWN_BYTES}")
-    real = [name for name in found.after if name.startswith("sidecar-")]
+    real = [name for name in found.usage_after if name.startswith("sidecar-")]
     yield from _process(found, "sidecar", real)
 
 
-def reports(found: Measured) -> Iterator[Figure]:
+def reports(found: PhaseResult) -> Iterator[Figure]:
     sent = sum(one.sent for one in found.tallies)
     if not sent:
         return
     failed = sum(one.failed for one in found.tallies)
-    yield Figure("audit", "reports_per_s", "messages/s", sent / found.seconds)
+    yield Figure("audit", "reports_per_s", "messages/s", sent / found.duration_s)
     yield Figure("audit", "failed_share", "share", failed / sent, f"{failed} of {sent}")
     calls = [took for one in found.tallies for took in one.calls_s]
     acks = [took for one in found.tallies for took in one.acks_s]
@@ -126,42 +126,48 @@
     yield from _times("audit", "ack", acks)
 
 
-def leases(found: Measured) -> Iterator[Figure]:
+def leases(found: PhaseResult) -> Iterator[Figure]:
     done = sum(one.renewed for one in found.tallies)
     failed = sum(one.unrenewed for one in found.tallies)
-    yield Figure("leases", "renewals_per_s", "messages/s", done / found.seconds)
+    yield Figure("leases", "renewals_per_s", "messages/s", done / found.duration_s)
     if done + failed:
         share = failed / (done + failed)
         yield Figure("leases", "failed_share", "share", share, f"{failed} of {done + failed}")
     if found.phase == LEASES and done:
-        cpu = found.after["writer"].cpu_s - found.before["writer"].cpu_s
+        cpu = found.usage_after["writer"].cpu_s - found.usage_before["writer"].cpu_s
         note = "nothing else at the writer but its replicas and the real sidecars' reports"
         yield Figure("leases", "writer_cpu_s_per_renewal", "s", cpu / done, note)
-    yield Figure("leases", "missing", "count", found.missing, "endpoints, at a replica at the end")
+    yield Figure("leases", "missing", "count", found.missing_endpoints, "endpoints, at a replica at the end")
 
 
-def lists(world: World, found: Measured) -> Iterator[Figure]:
+def lists(world: World, found: PhaseResult) -> Iterator[Figure]:
     """A change in force: from when it was asked for until each sidecar held it."""
     if found.phase == WRITER:
-        taken = sum(bool(one.version) for one in found.asked)
+        taken = sum(bool(one.version) for one in found.list_changes)
         told = sum(at >= 0 for one in found.tallies for heard in one.heard for at in heard)
-        share = told / (len(found.asked) * world.hollow)
-        yield Figure("lists", "told_share", "share", share, f"{taken} of {len(found.asked)} changes taken")
+        share = told / (len(found.list_changes) * world.hollow_count)
+        yield Figure(
+            "lists", "told_share", "share", share, f"{taken} of {len(found.list_changes)} changes taken"
+        )
         return
-    versions = [one for one in found.asked if one.version]
+    versions = [one for one in found.list_changes if one.version]
     times: dict[str, list[float]] = {}
     missed = 0
     for n, one in enumerate(versions):
         for tally in found.tallies:
-            times.setdefault(one.what, []).extend(at - one.at for at in tally.heard[n] if at >= 0)
+            times.setdefault(one.label, []).extend(
+                at - one.requested_at_s for at in tally.heard[n] if at >= 0
+            )
             missed += sum(at < 0 for at in tally.heard[n])
     for what, each in times.items():
         yield from _times("lists", what, each, DELAY if world.regional else NO_DELAY)
     if versions:
-        share = 1 - missed / (len(versions) * world.hollow)
-        yield Figure("lists", "told_share", "share", share, f"{len(versions)} of {len(found.asked)} taken")
+        share = 1 - missed / (len(versions) * world.hollow_count)
+        yield Figure(
+            "lists", "told_share", "share", share, f"{len(versions)} of {len(found.list_changes)} taken"
+        )
     if found.phase in (BEGIN, ZONE, RESTART):
-        took = sum(_flows(found, "bytes_in", kind="lists")) / world.hollow
+        took = sum(_flows(found, "bytes_in", kind="lists")) / world.hollow_count
         yield Figure("lists", "bytes_in", "bytes", took, "each sidecar, within the phase")
 
 
@@ -176,15 +182,15 @@
             yield Figure(role, f"{what}_{name}_s", "s", value, count)
 
 
-def _grown(found: Measured, name: str) -> float:
+def _grown(found: PhaseResult, name: str) -> float:
     """Bytes that a process read; 0 where it was not there all along."""
-    if name not in found.before or name not in found.after:
+    if name not in found.usage_before or name not in found.usage_after:
         return 0.0
-    return max(0, found.after[name].bytes_in - found.before[name].bytes_in)
+    return max(0, found.usage_after[name].bytes_in - found.usage_before[name].bytes_in)
 
 
 def _flows(
-    found: Measured, what: str, ports: set[int] | None = None, kind: str | None = None
+    found: PhaseResult, what: str, ports: set[int] | None = None, kind: str | None = None
 ) -> Iterator[int]:
     for tally in found.tallies:
         for flow in tally.flows:
@@ -192,10 +198,10 @@
                 yield getattr(flow, what)
 
 
-def _counted(found: Measured, name: str, metric: str) -> float:
-    return found.counts_after[name].get(metric, 0.0) - found.counts_before[name].get(metric, 0.0)
+def _counted(found: PhaseResult, name: str, metric: str) -> float:
+    return found.metrics_after[name].get(metric, 0.0) - found.metrics_before[name].get(metric, 0.0)
 
 
-def _reads(found: Measured, name: str) -> float:
-    metrics = found.counts_after[name]
+def _reads(found: PhaseResult, name: str) -> float:
+    metrics = found.metrics_after[name]
     return sum(_counted(found, name, one) for one in metrics if one.startswith("registry_reads_total"))
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -80,7 +80,7 @@
 def log(notes: Notes, registry: Registry) -> None:
     listed = listings.entries(notes.size)
     known = [one["instanceId"] for one in listed]
-    fleet = [state.spoken(registry, name) for name in known[: max(BATCH, 1)]]
+    fleet = [state.new_span_recorder(registry, name) for name in known[: max(BATCH, 1)]]
 
     def renewal(n: int) -> LogEntry:
         return {"op": RENEW, "id": known[n % len(known)]}
@@ -98,7 +98,7 @@
             some.append(spans.build_report(n * 1_000_000 + 500))
         for spans in fleet[:many]:
             spans.acknowledge([spans.last_report_number])
-        return state.reports(some)
+        return state.reports_entry(some)
 
     notes.add("log", "renewal", record_cost(registry, renewal))
     notes.add("log", "change", record_cost(registry, change))
@@ -129,14 +129,14 @@
 async def prepared(notes: Notes, folder: Path, shape: str) -> None:
     """The files of a service with that state, after what is measured of it in this process."""
     with TemporaryDirectory() as aside:
-        registry = state.made(Path(aside), notes.size, shape, notes.rows_most)
+        registry = state.build_registry(Path(aside), notes.size, shape, notes.rows_most)
         if shape == state.SHAPES[0]:
             log(notes, registry)
         snapshot(notes, registry, shape)
         if registry.due_timer is not None:
             registry.due_timer.cancel()
-    registry = state.made(folder, notes.size, shape, notes.rows_most)
-    length = state.lengthen(registry, notes.size)
+    registry = state.build_registry(folder, notes.size, shape, notes.rows_most)
+    length = state.fill_log(registry, notes.size)
     if registry.due_timer is not None:
         registry.due_timer.cancel()
     files = {"log_bytes": length, "snapshot_bytes": registry.journal.snapshot_bytes}
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,10 +20,10 @@
 import msgspec
 import uvloop
 
-from benchmarks.scale import names, talk
+from benchmarks.scale import messages, names
+from benchmarks.scale.messages import HollowPlan, Order, Reply, Tally
 from benchmarks.scale.meter import Lag, used
-from benchmarks.scale.talk import Order, Plan, Reply, Tally
-from benchmarks.scale.traffic import Traffic, count
+from benchmarks.scale.traffic import Traffic, count_traffic
 from woadyard.audit import AuditSettings
 from woadyard.errors import PeerError
 from woadyard.interface import LIST_DELTA, Send
@@ -33,14 +33,14 @@
 from woadyard.net.reporter import AuditHandlers, Reporter, now_us
 from woadyard.standins.lease import Lease
 
-ATTEMPT_S, LOOK_S = 1.0, 0.005
+ATTEMPT_INTERVAL_S, POLL_INTERVAL_S = 1.0, 0.005
 BUILD = "0-1-0"
 
 
-class Renewals(Lease):
+class CountedLease(Lease):
     """The stand-in endpoints' lease, counted."""
 
-    def __init__(self, plan: Plan, entry: dict[str, Any], tally: Tally) -> None:
+    def __init__(self, plan: HollowPlan, entry: dict[str, Any], tally: Tally) -> None:
         super().__init__(plan.writer, lambda: entry, plan.ttl_ms)
         self.tally = tally
 
@@ -51,14 +51,14 @@
         return done
 
 
-class Reports(Reporter):
+class CountedReporter(Reporter):
     """The product's reporter, counted."""
 
     tally: Tally
-    first_sent: dict[int, float]
+    sent_at_s: dict[int, float]
 
     async def _send_report(self, report_timeout_s: float, final: bool = False) -> bool:
-        began = self.first_sent[self.spans.last_report_number + 1] = time.monotonic()
+        began = self.sent_at_s[self.spans.last_report_number + 1] = time.monotonic()
         done = await super()._send_report(report_timeout_s, final)
         self.tally.sent += 1
         if done:
@@ -67,159 +67,169 @@
             self.tally.failed += 1
         return done
 
-    def acked(self, numbers: Any) -> None:
+    def record_acknowledged(self, numbers: Any) -> None:
         for n in numbers:
-            if (began := self.first_sent.pop(n, None)) is not None:
+            if (began := self.sent_at_s.pop(n, None)) is not None:
                 self.tally.acks_s.append(round(time.monotonic() - began, 5))
 
 
-class Sidecar:
-    def __init__(self, n: int, plan: Plan, tally: Tally) -> None:
-        self.n, self.plan, self.tally = n, plan, tally
+class HollowSidecar:
+    def __init__(self, n: int, plan: HollowPlan, tally: Tally) -> None:
+        self.number, self.plan, self.tally = n, plan, tally
         self.rng = random.Random(plan.seed * 1_000_003 + n)
-        self.service = plan.replicas[names.region(n)] if plan.regional else ",".join(plan.replicas)
-        self.heard: list[tuple[float, int]] = []
+        self.list_services = plan.replicas[names.region(n)] if plan.regional else ",".join(plan.replicas)
+        self.received_versions: list[tuple[float, int]] = []
         self.version = self.attempts = 0
-        self.still = False  # no more attempts; what there were is reported
-        self.discovery = self._discovery()
-        self.lease = Renewals(plan, names.entry(n), tally)
-        self.keeping: asyncio.Task[None] | None = None
+        self.attempts_stopped = False  # no more attempts; what there were is reported
+        self.discovery = self._new_discovery()
+        self.lease = CountedLease(plan, names.entry(n), tally)
+        self.lease_task: asyncio.Task[None] | None = None
         orders = AuditHandlers(
-            self._whole, lambda: self.discovery.restart_watch(), lambda out: None, lambda out: None
+            self._full_list_received,
+            lambda: self.discovery.restart_watch(),
+            lambda out: None,
+            lambda out: None,
         )
-        self.reporter = Reports(
-            AuditSettings(self.service), names.sidecar(n), BUILD, lambda: self.discovery.latest_term, orders,
-            self.rng,
+        self.reporter = CountedReporter(
+            AuditSettings(self.list_services), names.sidecar(n), BUILD, lambda: self.discovery.latest_term,
+            orders, self.rng,
         )  # fmt: skip
-        self.reporter.tally, self.reporter.first_sent = tally, {}
-        orders.reports_acknowledged = self.reporter.acked
+        self.reporter.tally, self.reporter.sent_at_s = tally, {}
+        orders.reports_acknowledged = self.reporter.record_acknowledged
 
-    def _discovery(self) -> Discovery:
+    def _new_discovery(self) -> Discovery:
         loop = asyncio.get_running_loop()
-        return Discovery(loop, self.service, INSTANCES_PATH, True, self._listen, self.rng)
+        return Discovery(loop, self.list_services, INSTANCES_PATH, True, self._list_received, self.rng)
 
-    def _listen(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
+    def _list_received(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
         self.version = version
-        self.heard.append((time.monotonic(), version))
+        self.received_versions.append((time.monotonic(), version))
         self.reporter.list_applied(now_us(), LIST_DELTA, version, entries)
 
-    def _whole(self, raw: bytes) -> bool:
+    def _full_list_received(self, raw: bytes) -> bool:
         try:
             told = LIST_DECODER.decode(raw)
         except msgspec.DecodeError as error:
             raise PeerError(f"no list: {error}") from None
         return self.discovery.receive(told)
 
-    def begin(self) -> None:
+    def restart_watch(self) -> None:
         """Its watch anew, and without a list, as of a process that starts."""
         self.discovery.close()
         self.version = 0
-        self.discovery = self._discovery()
+        self.discovery = self._new_discovery()
         self.discovery.set_watch(True)
 
-    def keep(self, wait_s: float) -> None:
-        async def keep() -> None:
+    def start_lease(self, wait_s: float) -> None:
+        async def start_lease() -> None:
             await asyncio.sleep(wait_s)
             await self.lease.keep()
 
-        self.keeping = asyncio.get_running_loop().create_task(keep())
+        self.lease_task = asyncio.get_running_loop().create_task(start_lease())
 
-    async def leave(self) -> bool:
-        if self.keeping is not None:
-            self.keeping.cancel()
+    async def deregister(self) -> bool:
+        if self.lease_task is not None:
+            self.lease_task.cancel()
         return await self.lease.leave()
 
-    async def report(self) -> None:
+    async def run_reports(self) -> None:
         """Reports, and an attempt each second to report on."""
-        await asyncio.sleep(self.rng.uniform(0.0, ATTEMPT_S))
+        await asyncio.sleep(self.rng.uniform(0.0, ATTEMPT_INTERVAL_S))
         self.reporter.open()
-        while not self.still:
+        while not self.attempts_stopped:
             self.attempts += 1
             self.reporter.attempt_started(now_us(), Send(self.attempts, 1, 0))
             self.reporter.spans.record_attempt_end(self.attempts, 1, True)
-            await asyncio.sleep(ATTEMPT_S)
+            await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
-    def in_force(self, version: int) -> float:
-        return next((at for at, held in self.heard if held >= version), -1.0)
+    def in_force_at_s(self, version: int) -> float:
+        return next((at for at, held in self.received_versions if held >= version), -1.0)
 
 
-class Fleet:
+class HollowFleet:
     """The process's sidecars, and the orders that they are given."""
 
-    def __init__(self, plan: Plan, traffic: Traffic) -> None:
+    def __init__(self, plan: HollowPlan, traffic: Traffic) -> None:
         self.plan, self.traffic, self.tally, self.lag = plan, traffic, Tally(), Lag()
-        self.rss = used(os.getpid()).rss
-        self.sidecars = [Sidecar(n, plan, self.tally) for n in range(plan.first, plan.first + plan.count)]
+        self.initial_rss = used(os.getpid()).rss
+        self.sidecars = [
+            HollowSidecar(n, plan, self.tally) for n in range(plan.first, plan.first + plan.count)
+        ]
         self.tasks: list[asyncio.Task[None]] = []
-        self.task(self.lag.watch())
-        self._mark()
+        self.start_task(self.lag.watch())
+        self._reset_counts()
 
-    def task(self, work: Any) -> None:
+    def start_task(self, work: Any) -> None:
         self.tasks.append(asyncio.get_running_loop().create_task(work))
 
-    async def obey(self, order: Order) -> Reply:
-        if order.do == talk.LEASE:
-            return Reply(await self._lease())
-        if order.do == talk.WATCH:
+    async def execute(self, order: Order) -> Reply:
+        if order.do == messages.REGISTER:
+            return Reply(await self._register_all())
+        if order.do == messages.START_WATCH:
             for one in self.sidecars:
                 one.discovery.set_watch(True)
-        elif order.do == talk.REPORT:
+        elif order.do == messages.START_REPORTS:
             for one in self.sidecars:
-                self.task(one.report())
-        elif order.do == talk.BEGIN:
+                self.start_task(one.run_reports())
+        elif order.do == messages.RESTART_WATCH:
             for one in self.sidecars:
-                one.begin()
-        elif order.do == talk.LEAVE:
-            return Reply(sum(await asyncio.gather(*(one.leave() for one in self._zone(order.zone)))))
-        elif order.do == talk.COMEBACK:
-            for one in self._zone(order.zone):
-                one.keep(0.0)
-        elif order.do == talk.STILL:
+                one.restart_watch()
+        elif order.do == messages.DEREGISTER:
+            return Reply(
+                sum(await asyncio.gather(*(one.deregister() for one in self._sidecars_in_zone(order.zone))))
+            )
+        elif order.do == messages.REREGISTER:
+            for one in self._sidecars_in_zone(order.zone):
+                one.start_lease(0.0)
+        elif order.do == messages.STOP_ATTEMPTS:
             for one in self.sidecars:
-                one.still = True
+                one.attempts_stopped = True
             return Reply(sum(one.attempts for one in self.sidecars))
-        elif order.do == talk.UNTIL:
-            return Reply(await self._until(order.version, order.within_s))
-        elif order.do == talk.MARK:
-            self._mark()
-        elif order.do == talk.TELL:
-            return Reply(tally=self._tell(order.versions))
+        elif order.do == messages.WAIT_FOR_VERSION:
+            return Reply(await self._wait_for_version(order.version, order.within_s))
+        elif order.do == messages.RESET_COUNTS:
+            self._reset_counts()
+        elif order.do == messages.COLLECT_TALLY:
+            return Reply(tally=self._collect_tally(order.versions))
         return Reply(len(self.sidecars))
 
-    def _zone(self, zone: int) -> list[Sidecar]:
-        return [one for one in self.sidecars if one.n % len(names.ZONES) == zone]
+    def _sidecars_in_zone(self, zone: int) -> list[HollowSidecar]:
+        return [one for one in self.sidecars if one.number % len(names.ZONES) == zone]
 
-    async def _lease(self) -> int:
+    async def _register_all(self) -> int:
         """Registers all within a third of a lease, as those that started at any time."""
         every_s = self.plan.ttl_ms / 3000
         for one in self.sidecars:
-            one.keep(one.rng.uniform(0.0, every_s))
+            one.start_lease(one.rng.uniform(0.0, every_s))
         await asyncio.sleep(every_s)
         return len(self.sidecars)
 
-    async def _until(self, version: int, within_s: float) -> int:
+    async def _wait_for_version(self, version: int, within_s: float) -> int:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 while any(one.version < version for one in self.sidecars):
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         return sum(one.version >= version for one in self.sidecars)
 
-    def _mark(self) -> None:
-        self.began, self.cpu_s = time.monotonic(), time.process_time()
+    def _reset_counts(self) -> None:
+        self.reset_at_s, self.reset_cpu_s = time.monotonic(), time.process_time()
         self.lag.clear()
         self.traffic.clear()
         tally = self.tally
         tally.sent = tally.failed = tally.renewed = tally.unrenewed = 0
         tally.calls_s, tally.acks_s = [], []
         for one in self.sidecars:
-            one.heard.clear()
+            one.received_versions.clear()
 
-    def _tell(self, versions: list[int]) -> Tally:
+    def _collect_tally(self, versions: list[int]) -> Tally:
         tally = self.tally
-        tally.seconds, tally.cpu_s = time.monotonic() - self.began, time.process_time() - self.cpu_s
-        tally.rss, tally.lag_p99_ms = used(os.getpid()).rss - self.rss, self.lag.p99_ms()
-        tally.flows = self.traffic.told()
-        tally.heard = [[one.in_force(version) for one in self.sidecars] for version in versions]
+        tally.seconds, tally.cpu_s = (
+            time.monotonic() - self.reset_at_s,
+            time.process_time() - self.reset_cpu_s,
+        )
+        tally.rss, tally.lag_p99_ms = used(os.getpid()).rss - self.initial_rss, self.lag.p99_ms()
+        tally.flows = self.traffic.snapshot()
+        tally.heard = [[one.in_force_at_s(version) for one in self.sidecars] for version in versions]
         return tally
 
 
@@ -231,12 +241,12 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), sys.stdin)
     if not (line := await orders.readline()):
         return
-    fleet = Fleet(msgspec.json.decode(line, type=Plan), count(loop))
+    fleet = HollowFleet(msgspec.json.decode(line, type=HollowPlan), count_traffic(loop))
     while line := await orders.readline():
         order: Order = msgspec.json.decode(line, type=Order)
-        if order.do == talk.END:
+        if order.do == messages.STOP:
             break
-        sys.stdout.buffer.write(msgspec.json.encode(await fleet.obey(order)) + b"\n")
+        sys.stdout.buffer.write(msgspec.json.encode(await fleet.execute(order)) + b"\n")
         sys.stdout.buffer.flush()
     os._exit(0)  # it keeps no state; to break off calls by the hundred says much, and nothing new
 
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -27,7 +27,7 @@
 import msgspec
 
 from benchmarks.scale import listings, points, usage
-from benchmarks.scale.openloop import Plan
+from benchmarks.scale.openloop import LoadPlan
 from benchmarks.scale.points import Point
 from tests.lab import Lab, Program, call
 from tests.sockets import SETTINGS
@@ -38,13 +38,18 @@
 OUT = Path("docs/capacity/path.jsonl")
 SIZES, TURNS = (9, 60, 1_100), 3
 RATE, SEED = 310.0, 27
-WARM_S, WARM_EACH, WARM_MOST_S, SECONDS = 3.0, 4, 15.0, 20.0  # each entry is met so often before
-ORIGINS, REGISTER_AT_ONCE, LEASE_MS = 4, 8, 3_600_000
-DECISIONS, SERVED_US = 20_000, 3_000
+WARM_UP_S, WARM_UP_REQUESTS_PER_ENTRY, MAX_WARM_UP_S, MEASURE_S = (
+    3.0,
+    4,
+    15.0,
+    20.0,
+)  # each entry is met so often before
+ORIGIN_COUNT, CONCURRENT_REGISTRATIONS, LEASE_MS = 4, 8, 3_600_000
+DECISIONS, SERVICE_TIME_US = 20_000, 3_000
 PHASES = ("inner", "arcs", "entry")
 
 
-def settings(phase: str, size: int) -> dict[str, Any]:
+def sidecar_settings(phase: str, size: int) -> dict[str, Any]:
     """The file's settings, in the zones of the size that is designed for."""
     told = {**SETTINGS, "zones": list(listings.ZONES), "kinds": ["c7g-2xlarge"]}
     if phase == "entry":
@@ -52,42 +57,42 @@
     return {**told, "instances": size, "me": size // 2} if phase == "arcs" else told
 
 
-class Rig:
+class Testbed:
     """The processes of one play."""
 
     def __init__(self, lab: Lab) -> None:
         self.lab = lab
         self.origins: list[Program] = []
 
-    def python(self, name: str, *words: str) -> Program:
+    def run_module(self, name: str, *words: str) -> Program:
         return self.lab.run(Program(name, self.lab.folder / name, list(words), dict(os.environ)))
 
     async def start(self, phase: str, size: int) -> None:
-        self.origins = [self.python(f"o{n}", "benchmarks.scale.origin") for n in range(ORIGINS)]
+        self.origins = [self.run_module(f"o{n}", "benchmarks.scale.origin") for n in range(ORIGIN_COUNT)]
         for one in self.origins:
             one.port = (await one.wait_logged("listening"))["port"]
         service = await self.lab.service()
         listed = listings.entries(size, [one.port for one in self.origins])
-        for at in range(0, size, REGISTER_AT_ONCE):
-            some = listed[at : at + REGISTER_AT_ONCE]
+        for at in range(0, size, CONCURRENT_REGISTRATIONS):
+            some = listed[at : at + CONCURRENT_REGISTRATIONS]
             each = (self.lab.register(service, one["instanceId"], one, LEASE_MS) for one in some)
             await asyncio.gather(*each)
-        self.sidecar = await self.lab.sidecar(discovery=service, settings=settings(phase, size))
+        self.sidecar = await self.lab.sidecar(discovery=service, settings=sidecar_settings(phase, size))
         await self.sidecar.wait_metric(f"woadyard_list_version {float(size)}")
 
-    async def counts(self) -> dict[str, int]:
+    async def connection_counts(self) -> dict[str, int]:
         """Of the sidecar's connections to the endpoints."""
         told = [(await call(one.port, "GET", "/_counts")).json for one in self.origins]
         return {key: sum(one[key].get("sidecar", 0) for one in told) for key in ("taken", "open")}
 
-    async def play(self, plan: Plan) -> dict[str, Any]:
+    async def measure_plan(self, plan: LoadPlan) -> dict[str, Any]:
         """The driver's figures, with what the sidecar used while they were taken."""
-        driver = self.python("driver", "benchmarks.scale.openloop", msgspec.json.encode(plan).decode())
+        driver = self.run_module("driver", "benchmarks.scale.openloop", msgspec.json.encode(plan).decode())
         pid = self.sidecar.process.pid
         await driver.wait_logged("warm")
-        cpu, stolen, before = usage.cpu_s(pid), usage.Steal(), await self.counts()
+        cpu, stolen, before = usage.cpu_s(pid), usage.Steal(), await self.connection_counts()
         await driver.wait_logged("sent")
-        cpu, steal, after = usage.cpu_s(pid) - cpu, stolen.share(), await self.counts()
+        cpu, steal, after = usage.cpu_s(pid) - cpu, stolen.share(), await self.connection_counts()
         found = await driver.wait_logged("measured")
         await driver.wait_exit()
         return {
@@ -96,7 +101,7 @@
         }  # fmt: skip
 
 
-def figures(found: dict[str, Any]) -> Iterator[tuple[str, str, float]]:
+def compute_metrics(found: dict[str, Any]) -> Iterator[tuple[str, str, float]]:
     """Metric, unit and value of all that one play tells."""
     direct, through = found["arms"]["direct"], found["arms"]["sidecar"]
     for key in ("p50_s", "p99_s"):
@@ -118,20 +123,20 @@
     yield "connections_made_per_s", "count/s", found["connects"] / found["seconds"]
 
 
-async def play(phase: str, size: int, plan: Plan) -> dict[str, Any]:
+async def run_plan(phase: str, size: int, plan: LoadPlan) -> dict[str, Any]:
     with TemporaryDirectory() as folder, closing(Lab(Path(folder))) as lab:
-        rig = Rig(lab)
+        rig = Testbed(lab)
         async with asyncio.timeout(plan.warm_s + plan.seconds + 60.0):
             await rig.start(phase, size)
             usage.say(f"path {phase} at {size} entries: all are up")
             arms = {"sidecar": [rig.sidecar.port], "direct": [one.port for one in rig.origins]}
-            found = await rig.play(msgspec.structs.replace(plan, arms=arms))
+            found = await rig.measure_plan(msgspec.structs.replace(plan, arms=arms))
     return {**found, "seconds": plan.seconds}
 
 
-def decision_s(phase: str, size: int) -> float:
+def measure_decision_s(phase: str, size: int) -> float:
     """Processor time that the module takes for a request answered at once, without a process around."""
-    made = read_settings(json.dumps(settings(phase, size)).encode())
+    made = read_settings(json.dumps(sidecar_settings(phase, size)).encode())
     balancer, step = Balancer(SEED, made), int(1e6 / RATE)
     balancer.start(0)
     listed = [Entry(100 + n, READY, 0, 1.0, n // 4, n % 10, 0) for n in range(size)]
@@ -142,7 +147,7 @@
         began = time.process_time()
         actions = balancer.request(now, Arrival(rid, 0, now + 4_000_000))
         (sent,) = [one for one in actions if isinstance(one, Send)]
-        balancer.outcome(now + SERVED_US, Outcome(rid, 0, sent.endpoint, OK, SERVED_US, True))
+        balancer.outcome(now + SERVICE_TIME_US, Outcome(rid, 0, sent.endpoint, OK, SERVICE_TIME_US, True))
         took += time.process_time() - began
     return took / DECISIONS
 
@@ -152,8 +157,8 @@
     sizes: Sequence[int] = SIZES,
     turns: int = TURNS,
     phases: Sequence[str] = PHASES,
-    seconds: float = SECONDS,
-    warm_s: float = WARM_S,
+    seconds: float = MEASURE_S,
+    warm_s: float = WARM_UP_S,
     rate: float = RATE,
     first_turn: int = 1,
 ) -> None:
@@ -177,11 +182,11 @@
     for turn in range(first_turn, first_turn + turns):
         for phase in phases:
             for size in sizes:
-                write(turn, phase, size, {}, ("decision_s", "s", decision_s(phase, size)))
-                warm = min(WARM_MOST_S, warm_s + WARM_EACH * size / rate)
-                plan = Plan(SEED + turn, rate, warm, seconds, {})
-                found = asyncio.run(play(phase, size, plan))
-                write(turn, phase, size, found, *figures(found))
+                write(turn, phase, size, {}, ("decision_s", "s", measure_decision_s(phase, size)))
+                warm = min(MAX_WARM_UP_S, warm_s + WARM_UP_REQUESTS_PER_ENTRY * size / rate)
+                plan = LoadPlan(SEED + turn, rate, warm, seconds, {})
+                found = asyncio.run(run_plan(phase, size, plan))
+                write(turn, phase, size, found, *compute_metrics(found))
 
 
 def main() -> None:
--- a/benchmarks/scale/talk.py
+++ b/benchmarks/scale/messages.py
@@ -7,12 +7,15 @@
 from benchmarks.scale.traffic import Flow
 
 # Orders to a process of hollow sidecars; each is answered by one line once it is done.
-LEASE, WATCH, REPORT, BEGIN, LEAVE, COMEBACK, STILL, UNTIL, MARK, TELL, END = ORDERS = (
+(
+    REGISTER, START_WATCH, START_REPORTS, RESTART_WATCH, DEREGISTER, REREGISTER, STOP_ATTEMPTS,
+    WAIT_FOR_VERSION, RESET_COUNTS, COLLECT_TALLY, STOP,
+) = ORDERS = (
     "lease", "watch", "report", "begin", "leave", "comeback", "still", "until", "mark", "tell", "end",
 )  # fmt: skip
 
 
-class Plan(msgspec.Struct):
+class HollowPlan(msgspec.Struct):
     """The first line: sidecars `first` to `first + count - 1`, and the services that they use."""
 
     first: int
--- a/benchmarks/scale/origin.py
+++ b/benchmarks/scale/origin.py
@@ -19,8 +19,8 @@
 import uvloop
 
 BODY = b"x" * 200
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
-COUNTS, WAY = b"/_counts", b"x-way"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
+COUNTS_PATH, WAY_HEADER = b"/_counts", b"x-way"
 
 
 class Counts:
@@ -32,14 +32,14 @@
     def __init__(self, counts: Counts) -> None:
         self.counts = counts
         self.parser = httptools.HttpRequestParser(self)
-        self.url, self.way = b"", ""
+        self.url, self.arm = b"", ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.way:
-            self.counts.open[self.way] -= 1
+        if self.arm:
+            self.counts.open[self.arm] -= 1
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -51,15 +51,15 @@
         self.url = url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.way and name.lower() == WAY:
-            self.way = value.decode("latin-1")
-            self.counts.taken[self.way] += 1
-            self.counts.open[self.way] += 1
+        if not self.arm and name.lower() == WAY_HEADER:
+            self.arm = value.decode("latin-1")
+            self.counts.taken[self.arm] += 1
+            self.counts.open[self.arm] += 1
 
     def on_message_complete(self) -> None:
-        if self.url != COUNTS:
-            self.counts.answered[self.way] += 1
-            self.transport.write(ANSWER)
+        if self.url != COUNTS_PATH:
+            self.counts.answered[self.arm] += 1
+            self.transport.write(RESPONSE)
             return
         body = json.dumps(vars(self.counts)).encode()
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
--- a/benchmarks/scale/retries.py
+++ b/benchmarks/scale/retries.py
@@ -20,43 +20,44 @@
 from pathlib import Path
 
 from benchmarks.scale import points, usage
-from benchmarks.scale.chain import SECOND, Chain, Counts, Fate, TooManyError
+from benchmarks.scale.chain import SECOND_US, Chain, ChainCounts, EventLimitError, Fate
 from benchmarks.scale.points import Point
 from woadyard.errors import ConfigError
 from woadyard.interface import ERROR, FULL, OK, SAFE, RequestClass, Settings
 
 OUT = Path("docs/capacity/retries.jsonl")
 SIZES, TURNS = (1, 2, 4, 8, 13, 26), 1
-TIERS_MOST = 64
+MAX_TIERS = 64
 RATES = (1.0, 10.0, 100.0, 310.0)
 # As the deployments here have it: three attempts, a class that may be repeated.
-DEADLINE_US, ATTEMPTS = 2 * SECOND, 3
+DEADLINE_US, MAX_ATTEMPTS = 2 * SECOND_US, 3
 SETTINGS = Settings(
     classes=(RequestClass(effect=SAFE, aim_us=DEADLINE_US, deadline_us=DEADLINE_US),),
     can_cancel=True,
-    max_attempts=ATTEMPTS,
+    max_attempts=MAX_ATTEMPTS,
     retry_after=True,
 )
-CALM_S, FAIL_S, STEADY_S = 4, 12, 6  # all is well for so long, then all fails; later than that is steady
-RATE, WIDE = 5.0, 9  # requests a second at each first sidecar; sidecars and endpoints of a tier
-EVENTS_MOST = 6_000_000
+# All is well for so long, then all fails; later than that is steady.
+HEALTHY_S, FAILING_S, STEADY_AFTER_S = 4, 12, 6
+RATE, TIER_WIDTH = 5.0, 9  # requests a second at each first sidecar; sidecars and endpoints of a tier
+MAX_EVENTS = 6_000_000
 FATES: dict[str, tuple[int, int]] = {  # outcome, and after how long, µs
     "error": (ERROR, 200),
     "full": (FULL, 200),
     "slow": (ERROR, 200_000),
-    "hang": (ERROR, 60 * SECOND),
+    "hang": (ERROR, 60 * SECOND_US),
 }
 CHAIN_PHASES = ("error", "full", "slow", "hang")
 BUDGET_PHASES = ("error", "full")
 
 
-def failing(phase: str) -> Fate:
+def fate_for(phase: str) -> Fate:
     outcome, after = FATES[phase]
-    return lambda now: (OK, 200) if now < CALM_S * SECOND else (outcome, after)
+    return lambda now: (OK, 200) if now < HEALTHY_S * SECOND_US else (outcome, after)
 
 
 @dataclass
-class Shares:
+class AttemptRatios:
     """Attempts at the last tier for each request at the first."""
 
     start: float
@@ -64,22 +65,24 @@
     peak: float  # the worst second
 
     @classmethod
-    def of(cls, first: Counter[int], last: Counter[int]) -> Shares:
-        seconds = range(CALM_S, CALM_S + FAIL_S)
-        steady = [n for n in seconds if n >= CALM_S + STEADY_S]
+    def from_counts(cls, first: Counter[int], last: Counter[int]) -> AttemptRatios:
+        seconds = range(HEALTHY_S, HEALTHY_S + FAILING_S)
+        steady = [n for n in seconds if n >= HEALTHY_S + STEADY_AFTER_S]
         each = [last[n] / first[n] for n in seconds if first[n]]
         total = sum(first[n] for n in steady)
         return cls(
-            last[CALM_S] / max(1, first[CALM_S]), sum(last[n] for n in steady) / max(1, total), max(each)
+            last[HEALTHY_S] / max(1, first[HEALTHY_S]),
+            sum(last[n] for n in steady) / max(1, total),
+            max(each),
         )
 
 
-def chain(phase: str, depth: int, rate: float, turn: int, stage: int = 0) -> Counts:
-    made = Chain(SETTINGS, depth, WIDE, failing(phase), EVENTS_MOST, stage)
-    return made.run(rate, CALM_S + FAIL_S, DEADLINE_US, turn)
+def run_chain(phase: str, depth: int, rate: float, turn: int, stage: int = 0) -> ChainCounts:
+    made = Chain(SETTINGS, depth, TIER_WIDTH, fate_for(phase), MAX_EVENTS, stage)
+    return made.run(rate, HEALTHY_S + FAILING_S, DEADLINE_US, turn)
 
 
-def write(
+def write_points(
     out: Path, run: str, role: str, phase: str, size: float, unit: str, turn: int, **found: float
 ) -> None:
     made = [
@@ -91,14 +94,14 @@
         usage.show(point)
 
 
-def budget(out: Path, run: str, rates: Sequence[float], turn: int) -> dict[str, float]:
+def measure_budget(out: Path, run: str, rates: Sequence[float], turn: int) -> dict[str, float]:
     """The steady attempts a request of one inner tier alone, the largest by phase."""
     worst: dict[str, float] = {}
     for phase in BUDGET_PHASES:
         for rate in rates:
-            found = chain(phase, 1, rate, turn, stage=1)
-            shares = Shares.of(found.taken[0], found.last)
-            write(
+            found = run_chain(phase, 1, rate, turn, stage=1)
+            shares = AttemptRatios.from_counts(found.requests_by_tier[0], found.last_tier_attempts)
+            write_points(
                 out, run, "budget", phase, rate, "requests/s", turn,
                 attempts_start=shares.start, attempts_steady=shares.steady, attempts_peak=shares.peak,
             )  # fmt: skip
@@ -106,21 +109,21 @@
     return worst
 
 
-def down(out: Path, run: str, phase: str, depth: int, one: float, turn: int) -> None:
+def measure_chain(out: Path, run: str, phase: str, depth: int, one: float, turn: int) -> None:
     """One chain; `one` is the steady share of a tier alone."""
     try:
-        found = chain(phase, depth, RATE, turn)
-    except TooManyError as error:
+        found = run_chain(phase, depth, RATE, turn)
+    except EventLimitError as error:
         usage.say(f"retries {phase} at {depth} tiers: not measured: {error}")
         return
-    shares = Shares.of(found.taken[0], found.last)
-    failing_us = [took for due, took in found.took_us if due >= CALM_S * SECOND]
-    write(
+    shares = AttemptRatios.from_counts(found.requests_by_tier[0], found.last_tier_attempts)
+    failing_us = [took for due, took in found.latencies_us if due >= HEALTHY_S * SECOND_US]
+    write_points(
         out, run, "retries", phase, depth, "tiers", turn,
         last_for_first_start=shares.start, last_for_first_steady=shares.steady,
         last_for_first_peak=shares.peak, worst_product=one**depth,
-        failed_after_p50_s=statistics.median(failing_us) / SECOND,
-        failed_after_most_s=max(failing_us) / SECOND,
+        failed_after_p50_s=statistics.median(failing_us) / SECOND_US,
+        failed_after_most_s=max(failing_us) / SECOND_US,
     )  # fmt: skip
 
 
@@ -133,14 +136,14 @@
 ) -> None:
     """Appends the points of `budget`, then those of each phase and depth. Turns differ by the seed.
     ConfigError where a depth is more than any chain of calls has."""
-    if max(sizes) > TIERS_MOST:
-        raise ConfigError(f"no chain has {max(sizes)} tiers", f"name depths up to {TIERS_MOST} by --sizes")
+    if max(sizes) > MAX_TIERS:
+        raise ConfigError(f"no chain has {max(sizes)} tiers", f"name depths up to {MAX_TIERS} by --sizes")
     run = usage.run_name()
     for turn in range(1, turns + 1):
-        worst = budget(out, run, rates, turn)
+        worst = measure_budget(out, run, rates, turn)
         for phase in phases:
             for depth in sizes:
-                down(out, run, phase, depth, worst.get(phase, worst["error"]), turn)
+                measure_chain(out, run, phase, depth, worst.get(phase, worst["error"]), turn)
 
 
 def main() -> None:
--- a/benchmarks/scale/traffic.py
+++ b/benchmarks/scale/traffic.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-KINDS = {"Stream": "lists", "_Exchange": "reports", "ResponseHandler": "leases"}
+FLOW_KINDS = {"Stream": "lists", "_Exchange": "reports", "ResponseHandler": "leases"}
 
 
 class Flow(msgspec.Struct):
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.flows: dict[tuple[str, int], Flow] = {}
 
-    def flow(self, kind: str, port: int) -> Flow:
+    def get_flow(self, kind: str, port: int) -> Flow:
         return self.flows.setdefault((kind, port), Flow(kind, port))
 
     def clear(self) -> None:
@@ -36,44 +36,44 @@
         for one in self.flows.values():
             one.connections = one.reads = one.bytes_in = one.bytes_out = 0
 
-    def told(self) -> list[Flow]:
+    def snapshot(self) -> list[Flow]:
         return list(self.flows.values())
 
 
-class Wire:
+class CountingTransport:
     """A transport that counts what is written; in all else the transport itself."""
 
     def __init__(self, real: asyncio.Transport, flow: Flow) -> None:
-        self.real, self.flow = real, flow
+        self.transport, self.flow = real, flow
 
     def write(self, data: bytes) -> None:
         self.flow.bytes_out += len(data)
-        self.real.write(data)
+        self.transport.write(data)
 
     def writelines(self, parts: Any) -> None:
         whole = list(parts)
         self.flow.bytes_out += sum(map(len, whole))
-        self.real.writelines(whole)
+        self.transport.writelines(whole)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.real, name)
+        return getattr(self.transport, name)
 
 
-class Counted(asyncio.Protocol):
+class CountingProtocol(asyncio.Protocol):
     """Hands all on to the product's own protocol, with a transport that counts."""
 
     def __init__(self, inner: asyncio.Protocol, traffic: Traffic) -> None:
         self.inner, self.traffic = inner, traffic
-        self.wire: Any = None
+        self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         real = cast(asyncio.Transport, transport)
         port = int(real.get_extra_info("peername")[1])
         kind = type(self.inner).__name__
-        self.flow = self.traffic.flow(KINDS.get(kind, kind), port)
+        self.flow = self.traffic.get_flow(FLOW_KINDS.get(kind, kind), port)
         self.flow.connections += 1
-        self.wire = Wire(real, self.flow)
-        self.inner.connection_made(self.wire)
+        self.transport = CountingTransport(real, self.flow)
+        self.inner.connection_made(self.transport)
 
     def data_received(self, data: bytes) -> None:
         self.flow.reads += 1
@@ -93,13 +93,13 @@
         self.inner.resume_writing()
 
 
-def count(loop: asyncio.AbstractEventLoop) -> Traffic:
+def count_traffic(loop: asyncio.AbstractEventLoop) -> Traffic:
     """From now on, of all connections that the loop makes."""
     traffic, real = Traffic(), loop.create_connection
 
     async def create_connection(factory: Callable[[], asyncio.Protocol], *where: Any, **how: Any) -> Any:
-        _, made = await real(lambda: Counted(factory(), traffic), *where, **how)
-        return made.wire, made.inner
+        _, made = await real(lambda: CountingProtocol(factory(), traffic), *where, **how)
+        return made.transport, made.inner
 
     setattr(loop, "create_connection", create_connection)  # noqa: B010 - one loop's, not the class's
     return traffic
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -13,7 +13,7 @@
 import pytest
 
 from benchmarks.scale import __main__ as command
-from benchmarks.scale import control, figures, phases, points, talk
+from benchmarks.scale import control, figures, messages, phases, points
 from benchmarks.scale.names import REGIONS, ZONES, entry, region, sidecar, zone
 from benchmarks.scale.phases import CHANGE, WRITER
 from benchmarks.scale.world import World
@@ -25,18 +25,22 @@
 
 async def ledger(world: World) -> int:
     """Attempts in the writer's ledger, of the hollow sidecars."""
-    told = json.loads(await world.call(world.writer, "GET", "/registry/audit/acted?build=0-1-0"))
-    hollow = {sidecar(n) for n in range(world.hollow)}
+    told = json.loads(await world.call(world.leader, "GET", "/registry/audit/acted?build=0-1-0"))
+    hollow = {sidecar(n) for n in range(world.hollow_count)}
     return sum(one["attempts"] - one["unsent"] for one in told["spans"] if one["name"] in hollow)
 
 
 async def test_all_are_told_of_each_change_and_no_report_is_lost(tmp_path: Path) -> None:
-    async with World(tmp_path, SIZE, real=1, ttl_ms=TTL_MS) as world:
-        await phases.begin(world)
-        assert await world.listed(world.replicas[0]) <= world.ids == await world.listed(world.writer)
-        await phases.report(world)
-        found = await phases.measured(world, CHANGE, phases.changes, 2.0)
-        assert [one.version > 0 for one in found.asked] == [True, True]
+    async with World(tmp_path, SIZE, real_count=1, ttl_ms=TTL_MS) as world:
+        await phases.start_fleet(world)
+        assert (
+            await world.listed_hollow_ids(world.followers[0])
+            <= world.hollow_ids
+            == await world.listed_hollow_ids(world.leader)
+        )
+        await phases.start_reports(world)
+        found = await phases.measure_phase(world, CHANGE, phases.change_periodically, 2.0)
+        assert [one.version > 0 for one in found.list_changes] == [True, True]
         for tally in found.tallies:  # in force everywhere, and in the changes' order
             assert all(0 < first <= second for first, second in zip(*tally.heard, strict=True))
         made = figures.points("run", 1, world, found)
@@ -49,40 +53,44 @@
         late = figures.points("run", 1, world, replace(found, driver_lag_ms=50.1))
         assert all(one.void for one in late)
 
-        gone = await phases.zone(world, 1.0)
-        assert [one.what for one in gone] == ["gone", "back"] and gone[0].version < gone[1].version
-        assert await world.listed(world.writer) == world.ids
+        gone = await phases.drain_zone(world, 1.0)
+        assert [one.label for one in gone] == ["gone", "back"] and gone[0].version < gone[1].version
+        assert await world.listed_hollow_ids(world.leader) == world.hollow_ids
 
-        attempts = sum(one.count for one in await world.all(talk.STILL))
+        attempts = sum(one.count for one in await world.order_all(messages.STOP_ATTEMPTS))
         while await ledger(world) < attempts:
             await asyncio.sleep(0.05)
         assert await ledger(world) == attempts
 
 
 async def test_a_writer_that_is_killed_takes_no_change_and_its_list_stays(tmp_path: Path) -> None:
-    async with World(tmp_path, SIZE, real=0, ttl_ms=TTL_MS) as world:
-        await phases.begin(world)
-        before = await world.version()
-        found = await phases.measured(world, WRITER, phases.writer_killed, 2.0)
-        assert [one.version for one in found.asked] == [0, 0] and found.missing == 0
+    async with World(tmp_path, SIZE, real_count=0, ttl_ms=TTL_MS) as world:
+        await phases.start_fleet(world)
+        before = await world.list_version()
+        found = await phases.measure_phase(world, WRITER, phases.kill_leader, 2.0)
+        assert [one.version for one in found.list_changes] == [0, 0] and found.missing_endpoints == 0
         told = {
             one.metric: one.value for one in figures.points("run", 1, world, found) if one.role == "lists"
         }
         assert told == {"told_share": 0.0}
-        (back,) = await phases.writer_back(world, 1.0)
+        (back,) = await phases.restart_leader(world, 1.0)
         assert back.version > before
-        assert await world.until(back.version, 30.0) == world.hollow
-        assert await world.listed(world.writer) == world.ids
+        assert await world.wait_for_version(back.version, 30.0) == world.hollow_count
+        assert await world.listed_hollow_ids(world.leader) == world.hollow_ids
 
 
 async def test_other_regions_hear_of_a_change_over_a_link_with_delay(tmp_path: Path) -> None:
-    async with World(tmp_path, SIZE, real=0, ttl_ms=TTL_MS, regional=True) as world:
-        await phases.begin(world)
-        (change,) = await phases.changes(world, 1.0)
-        (tally,) = await world.tell([change.version])
+    async with World(tmp_path, SIZE, real_count=0, ttl_ms=TTL_MS, regional=True) as world:
+        await phases.start_fleet(world)
+        (change,) = await phases.change_periodically(world, 1.0)
+        (tally,) = await world.collect_tallies([change.version])
     least = [min(at for n, at in enumerate(tally.heard[0]) if region(n) == place) for place in range(3)]
     assert len(REGIONS) == 3
-    assert least[0] > change.at and least[1] > change.at + 0.040 and least[2] > change.at + 0.085
+    assert (
+        least[0] > change.requested_at_s
+        and least[1] > change.requested_at_s + 0.040
+        and least[2] > change.requested_at_s + 0.085
+    )
 
 
 def children(pid: int) -> list[int]:
--- a/tests/test_scale_path.py
+++ b/tests/test_scale_path.py
@@ -16,7 +16,7 @@
 import pytest
 
 from benchmarks.scale import exchange, growth, latency, listings, points, retries
-from benchmarks.scale.chain import Chain, TooManyError
+from benchmarks.scale.chain import Chain, EventLimitError
 from benchmarks.scale.points import Point
 from tests.lab import _kill_with_parent
 from woadyard.errors import ConfigError
@@ -79,24 +79,24 @@
 @pytest.mark.parametrize("phase", retries.CHAIN_PHASES)
 def test_retries_down_a_chain_stay_within_the_budget_of_each_tier(phase: str) -> None:
     depth, wide, rate, seconds = 4, 2, 5.0, 8.0
-    chain = Chain(retries.SETTINGS, depth, wide, retries.failing(phase), 400_000)
+    chain = Chain(retries.SETTINGS, depth, wide, retries.fate_for(phase), 400_000)
     counts = chain.run(rate, seconds, retries.DEADLINE_US, 1)
-    first = counts.taken[0].total()
-    assert counts.good + counts.failed == first, "each request has one answer"
-    assert counts.failed > 0 and counts.good > 0
-    asked = [one.total() for one in counts.taken] + [counts.last.total()]
+    first = counts.requests_by_tier[0].total()
+    assert counts.succeeded + counts.failed == first, "each request has one answer"
+    assert counts.failed > 0 and counts.succeeded > 0
+    asked = [one.total() for one in counts.requests_by_tier] + [counts.last_tier_attempts.total()]
     # What is turned away for good costs no token: there the number of attempts is the bound.
     budgeted = asked[:-1] if phase == "full" else asked
     for above, below in pairwise(budgeted):
         assert below <= above * (1 + RETRY_TOKENS_PER_REQUEST) + wide * MAX_RETRY_TOKENS
-    assert counts.last.total() <= first * retries.ATTEMPTS**depth
+    assert counts.last_tier_attempts.total() <= first * retries.MAX_ATTEMPTS**depth
     if phase == "hang":
         assert len(set(asked[1:])) == 1, "no time is left for another attempt, at any tier"
 
 
 def test_a_chain_that_makes_too_many_events_says_so() -> None:
-    chain = Chain(retries.SETTINGS, 2, 2, retries.failing("error"), 500)
-    with pytest.raises(TooManyError):
+    chain = Chain(retries.SETTINGS, 2, 2, retries.fate_for("error"), 500)
+    with pytest.raises(EventLimitError):
         chain.run(20.0, 8.0, retries.DEADLINE_US, 1)
 
 
@@ -110,7 +110,7 @@
     out = tmp_path / "retries.jsonl"
     retries.measure(out, [1, 3], 1, rates=[10.0], phases=["error"])
     alone = found(out, "budget", "error", 10.0)
-    assert 1.0 <= alone["attempts_steady"] <= alone["attempts_peak"] <= retries.ATTEMPTS
+    assert 1.0 <= alone["attempts_steady"] <= alone["attempts_peak"] <= retries.MAX_ATTEMPTS
     deep = found(out, "retries", "error", 3)
     assert deep["worst_product"] == pytest.approx(alone["attempts_steady"] ** 3)
     assert deep["last_for_first_steady"] >= 1.0
