--- a/benchmarks/scale/chain.py
+++ b/benchmarks/scale/chain.py
@@ -1,9 +1,9 @@
-"""Tiers of sidecars on a simulated clock, each the real module: what becomes of retries below.
+"""Tiers of sidecars on a simulated clock, each with the real policy module: how retries multiply.
 
-As the protocol page has it: each endpoint of a tier has a sidecar of its own that sends to the next
-tier; to answer a request it makes one call there, with the time that remains, and fails (500) if
-that fails. Only the endpoints of the last tier behave by themselves. Nobody is called off below a
-caller that left: the deadline alone ends what runs there.
+As the protocol page specifies, each endpoint of a tier has a sidecar of its own that sends to the next
+tier. To serve a request, the endpoint makes one call there with the remaining time, and responds 500
+if the call fails. Only the endpoints of the last tier have a behaviour of their own. A client that
+disconnects cancels nothing in the tiers below: requests there end by the deadline alone.
 """
 
 from __future__ import annotations
@@ -36,40 +36,42 @@
 )
 from woadyard.policy import Balancer
 
-HOP_DELAY_US = 250  # one way between a sidecar and an endpoint, or an endpoint and its sidecar
+HOP_DELAY_US = 250  # one way, between a sidecar and an endpoint or an endpoint and its own sidecar
 SECOND_US = 1_000_000
 
-# What an endpoint of the last tier makes of a request at this time: the outcome, and after how long, µs.
+# Maps the time of a request at an endpoint of the last tier to its outcome and service time, µs.
 Fate = Callable[[int], tuple[int, int]]
 ResponseCallback = Callable[[bool], None]
 
 
 class EventLimitError(RuntimeError):
-    """The chain made more events than were allowed."""
+    """The chain exceeded its limit of events."""
 
 
 class Clock:
-    """Events in their order, at most so many; time in µs."""
+    """A simulated clock that runs events in order, up to a limit; time in µs."""
 
-    def __init__(self, most: int) -> None:
-        self.now_us, self.remaining_events = 0, most
+    def __init__(self, max_events: int) -> None:
+        self.now_us, self.remaining_events = 0, max_events
         self.event_heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.sequence = itertools.count()
 
-    def schedule(self, due: int, call: Callable[..., None], *args: Any) -> None:
-        heapq.heappush(self.event_heap, (max(due, self.now_us), next(self.sequence), call, args))
+    def schedule(self, due_us: int, callback: Callable[..., None], *args: Any) -> None:
+        heapq.heappush(self.event_heap, (max(due_us, self.now_us), next(self.sequence), callback, args))
 
     def run(self) -> None:
         while self.event_heap:
             self.remaining_events -= 1
             if self.remaining_events < 0:
-                raise EventLimitError(f"the chain is not over at {self.now_us / SECOND_US:.1f} s")
-            self.now_us, _, call, args = heapq.heappop(self.event_heap)
-            call(*args)
+                raise EventLimitError(
+                    f"event limit reached at {self.now_us / SECOND_US:.1f} s, before all requests ended"
+                )
+            self.now_us, _, callback, args = heapq.heappop(self.event_heap)
+            callback(*args)
 
 
 class ChainSidecar:
-    """One module and the calls that it has under way."""
+    """A policy module and its requests and attempts in flight."""
 
     def __init__(self, chain: Chain, tier: int, number: int) -> None:
         self.chain, self.tier, self.clock = chain, tier, chain.clock
@@ -77,17 +79,17 @@
         self.balancer = Balancer(1_000 * tier + number, settings)
         self.response_callbacks: dict[int, ResponseCallback] = {}
         self.attempt_counts = Counter[int]()
-        self.in_flight: dict[tuple[int, int], Send] = {}  # by request and copy
+        self.in_flight: dict[tuple[int, int], Send] = {}  # by request and attempt index
         self.request_ids = itertools.count(1)
         self.execute(self.balancer.start(0))
-        listed = [Entry(n, READY, 0, 1.0, n, 0, 0) for n in range(chain.width)]
-        self.execute(self.balancer.members(0, LIST_FULL, listed))
+        entries = [Entry(n, READY, 0, 1.0, n, 0, 0) for n in range(chain.width)]
+        self.execute(self.balancer.members(0, LIST_FULL, entries))
 
-    def accept(self, expires: int, answer: ResponseCallback) -> None:
-        rid = next(self.request_ids)
-        self.response_callbacks[rid] = answer
+    def accept(self, expires_at_us: int, respond: ResponseCallback) -> None:
+        request_id = next(self.request_ids)
+        self.response_callbacks[request_id] = respond
         self.chain.requests_by_tier[self.tier][self.clock.now_us // SECOND_US] += 1
-        self.execute(self.balancer.request(self.clock.now_us, Arrival(rid, 0, expires)))
+        self.execute(self.balancer.request(self.clock.now_us, Arrival(request_id, 0, expires_at_us)))
 
     def execute(self, actions: list[Action]) -> None:
         for action in actions:
@@ -98,104 +100,122 @@
                     self.clock.schedule(self.clock.now_us + delay_us, self._timer_expired, token)
                 case Refuse(request, _) | Fail(request):
                     self._respond(request, False)
-                case Cancel(request, copy):
-                    self.clock.schedule(self.clock.now_us, self._attempt_ended, request, copy, CANCELLED)
+                case Cancel(request, attempt_index):
+                    self.clock.schedule(
+                        self.clock.now_us, self._attempt_ended, request, attempt_index, CANCELLED
+                    )
                 case _:
-                    pass  # what is told to operators and discovery
+                    pass  # actions for operators and discovery
 
     def _timer_expired(self, token: int) -> None:
         self.execute(self.balancer.timer(self.clock.now_us, token))
 
     def _start_attempt(self, action: Send) -> None:
-        copy, now = self.attempt_counts[action.request], self.clock.now_us
+        attempt_index, now_us = self.attempt_counts[action.request], self.clock.now_us
         self.attempt_counts[action.request] += 1
-        self.in_flight[action.request, copy] = action
-        until = now + action.timeout_us
-        self.clock.schedule(until, self._attempt_ended, action.request, copy, TIMEOUT)
+        self.in_flight[action.request, attempt_index] = action
+        deadline_at_us = now_us + action.timeout_us
+        self.clock.schedule(deadline_at_us, self._attempt_ended, action.request, attempt_index, TIMEOUT)
 
-        def back(outcome: int) -> None:
+        def finish(outcome: int) -> None:
             self.clock.schedule(
-                self.clock.now_us + HOP_DELAY_US, self._attempt_ended, action.request, copy, outcome
+                self.clock.now_us + HOP_DELAY_US, self._attempt_ended, action.request, attempt_index, outcome
             )
 
         self.clock.schedule(
-            now + HOP_DELAY_US, self.chain.serve, self.tier, action.endpoint, until, back, now
+            now_us + HOP_DELAY_US,
+            self.chain.serve,
+            self.tier,
+            action.endpoint,
+            deadline_at_us,
+            finish,
+            now_us,
         )
 
-    def _attempt_ended(self, request: int, copy: int, outcome: int) -> None:
-        if (sent := self.in_flight.pop((request, copy), None)) is None:
-            return  # timed out, or answered before
-        over = request not in self.response_callbacks or outcome == OK
+    def _attempt_ended(self, request: int, attempt_index: int, outcome: int) -> None:
+        if (sent := self.in_flight.pop((request, attempt_index), None)) is None:
+            return  # timed out or ended before
+        is_final = request not in self.response_callbacks or outcome == OK
         if outcome == OK and request in self.response_callbacks:
             self._respond(request, True)
-        event = Outcome(request, copy, sent.endpoint, outcome, 2 * HOP_DELAY_US, over)
+        event = Outcome(request, attempt_index, sent.endpoint, outcome, 2 * HOP_DELAY_US, is_final)
         self.execute(self.balancer.outcome(self.clock.now_us, event))
 
-    def _respond(self, request: int, good: bool) -> None:
-        if (answer := self.response_callbacks.pop(request, None)) is not None:
-            answer(good)
+    def _respond(self, request: int, is_success: bool) -> None:
+        if (respond := self.response_callbacks.pop(request, None)) is not None:
+            respond(is_success)
 
 
 @dataclass
 class ChainCounts:
-    """Of one chain, by the second in which a request was taken; `taken` at each tier's sidecars, and
-    `last` the attempts that reached the last tier's endpoints."""
+    """What one chain counted.
+
+    `requests_by_tier` are the requests accepted by each tier's sidecars and `last_tier_attempts` the
+    attempts that reached the last tier's endpoints, both by the second in which they arrived."""
 
     requests_by_tier: list[Counter[int]]
     last_tier_attempts: Counter[int]
     succeeded: int
     failed: int
-    latencies_us: list[tuple[int, int]]  # of each first request: when it was asked, and how long it took
+    latencies_us: list[
+        tuple[int, int]
+    ]  # per request at the first tier: when it was sent, and how long it took
 
 
 class Chain:
-    """`depth` tiers of `wide` sidecars and endpoints each; `stage` is the first's: 0 where requests
-    enter, and admission looks at each."""
+    """`depth` tiers of `width` sidecars and endpoints each.
+
+    `stage` is that of the first tier; at stage 0 requests enter and pass admission."""
 
     def __init__(
-        self, settings: Settings, depth: int, wide: int, fate: Fate, events_most: int, stage: int = 0
+        self, settings: Settings, depth: int, width: int, fate: Fate, max_events: int, stage: int = 0
     ) -> None:
-        self.settings, self.depth, self.width, self.fate, self.stage = settings, depth, wide, fate, stage
-        self.clock = Clock(events_most)
+        self.settings, self.depth, self.width, self.fate, self.stage = settings, depth, width, fate, stage
+        self.clock = Clock(max_events)
         self.requests_by_tier = [Counter[int]() for _ in range(depth)]
         self.last_tier_attempts = Counter[int]()
         self.succeeded = self.failed = 0
         self.latencies_us: list[tuple[int, int]] = []
-        self.tiers = [[ChainSidecar(self, tier, n) for n in range(wide)] for tier in range(depth)]
+        self.tiers = [[ChainSidecar(self, tier, n) for n in range(width)] for tier in range(depth)]
 
-    def serve(self, tier: int, endpoint: int, until: int, back: Callable[[int], None], sent: int) -> None:
-        """An endpoint has a request: it calls the next tier, or it is the last."""
-        now = self.clock.now_us
+    def serve(
+        self, tier: int, endpoint: int, expires_at_us: int, finish: Callable[[int], None], sent_at_us: int
+    ) -> None:
+        """Handles a request at an endpoint, which calls the next tier unless its tier is the last."""
+        now_us = self.clock.now_us
         if tier + 1 < self.depth:
-            below = self.tiers[tier + 1][endpoint]
+            next_sidecar = self.tiers[tier + 1][endpoint]
             self.clock.schedule(
-                now + HOP_DELAY_US, below.accept, until, lambda good: back(OK if good else ERROR)
-            )  # its own sidecar is beside it, and yet takes a connection
+                now_us + HOP_DELAY_US,
+                next_sidecar.accept,
+                expires_at_us,
+                lambda is_success: finish(OK if is_success else ERROR),
+            )  # its own sidecar runs beside it, but still needs a hop over a connection
             return
-        self.last_tier_attempts[now // SECOND_US] += 1
-        outcome, after = self.fate(now)
-        self.clock.schedule(now + after, back, outcome)
+        self.last_tier_attempts[now_us // SECOND_US] += 1
+        outcome, delay_us = self.fate(now_us)
+        self.clock.schedule(now_us + delay_us, finish, outcome)
 
-    def send_request(self, due: int, number: int, deadline_us: int) -> None:
-        def answered(good: bool) -> None:
-            self.succeeded += good
-            self.failed += not good
-            self.latencies_us.append((due, self.clock.now_us - due))
+    def send_request(self, due_us: int, number: int, deadline_us: int) -> None:
+        def respond(is_success: bool) -> None:
+            self.succeeded += is_success
+            self.failed += not is_success
+            self.latencies_us.append((due_us, self.clock.now_us - due_us))
 
-        self.tiers[0][number].accept(due + deadline_us, answered)
+        self.tiers[0][number].accept(due_us + deadline_us, respond)
 
     def run(self, rate: float, seconds: float, deadline_us: int, seed: int) -> ChainCounts:
-        """`rate` requests a second at each of the first sidecars; until all of them are answered."""
-        asked = 0
+        """Sends `rate` requests a second to each sidecar of the first tier, until all have a response."""
+        request_count = 0
         for number in range(self.width):
-            rng, at = random.Random(f"{seed}-{number}"), 0.0
-            while (at := at + rng.expovariate(rate)) < seconds:
+            rng, due_s = random.Random(f"{seed}-{number}"), 0.0
+            while (due_s := due_s + rng.expovariate(rate)) < seconds:
                 self.clock.schedule(
-                    int(at * SECOND_US), self.send_request, int(at * SECOND_US), number, deadline_us
+                    int(due_s * SECOND_US), self.send_request, int(due_s * SECOND_US), number, deadline_us
                 )
-                asked += 1
+                request_count += 1
         self.clock.run()
-        assert self.succeeded + self.failed == asked, "a request was answered never, or twice"
+        assert self.succeeded + self.failed == request_count, "a request got no response, or two"
         return ChainCounts(
             self.requests_by_tier, self.last_tier_attempts, self.succeeded, self.failed, self.latencies_us
         )
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,9 +1,9 @@
-"""Many hollow sidecars in one process: the product's control side at its true periods, no data path.
+"""Many hollow sidecars in one process: the control plane at its real intervals, without a data path.
 
-`python -m benchmarks.scale.hollow` is started by `benchmarks.scale.world`, takes orders as lines
-on stdin and ends with it. Each sidecar has a watch (`Discovery`), reports (`Reporter`) and its
-endpoint's lease (`Lease`), all of the product; lists are decoded and named, and not taken up by
-the policy module, which is the data path's. One attempt a second keeps its reports filled."""
+`python -m benchmarks.scale.hollow` is started by `benchmarks.scale.world`, reads orders as lines
+from stdin and ends when stdin ends. Each sidecar runs the product's watch (`Discovery`), reports
+(`Reporter`) and lease of its endpoint (`Lease`). Lists are decoded and reported, but not applied to
+the policy module, which belongs to the data path. One attempt a second gives it data to report."""
 
 from __future__ import annotations
 
@@ -38,91 +38,93 @@
 
 
 class CountedLease(Lease):
-    """The stand-in endpoints' lease, counted."""
+    """The stand-in endpoints' lease, with counts of its calls."""
 
     def __init__(self, plan: HollowPlan, entry: dict[str, Any], tally: Tally) -> None:
         super().__init__(plan.writer, lambda: entry, plan.ttl_ms)
         self.tally = tally
 
     async def _call(self, method: str, tail: str, body: Any = None) -> bool:
-        done = await super()._call(method, tail, body)
-        self.tally.renewed += done
-        self.tally.unrenewed += not done
-        return done
+        succeeded = await super()._call(method, tail, body)
+        self.tally.renewed += succeeded
+        self.tally.unrenewed += not succeeded
+        return succeeded
 
 
 class CountedReporter(Reporter):
-    """The product's reporter, counted."""
+    """The product's reporter, with counts and durations of its calls."""
 
     tally: Tally
     sent_at_s: dict[int, float]
 
     async def _send_report(self, report_timeout_s: float, final: bool = False) -> bool:
-        began = self.sent_at_s[self.spans.last_report_number + 1] = time.monotonic()
-        done = await super()._send_report(report_timeout_s, final)
+        started_at_s = self.sent_at_s[self.spans.last_report_number + 1] = time.monotonic()
+        accepted = await super()._send_report(report_timeout_s, final)
         self.tally.sent += 1
-        if done:
-            self.tally.calls_s.append(round(time.monotonic() - began, 5))
-        else:  # its rows go with the next report, under a new number
+        if accepted:
+            self.tally.calls_s.append(round(time.monotonic() - started_at_s, 5))
+        else:  # its rows are sent again in the next report, under a new number
             self.tally.failed += 1
-        return done
+        return accepted
 
     def record_acknowledged(self, numbers: Any) -> None:
-        for n in numbers:
-            if (began := self.sent_at_s.pop(n, None)) is not None:
-                self.tally.acks_s.append(round(time.monotonic() - began, 5))
+        for number in numbers:
+            if (report_sent_at_s := self.sent_at_s.pop(number, None)) is not None:
+                self.tally.acks_s.append(round(time.monotonic() - report_sent_at_s, 5))
 
 
 class HollowSidecar:
-    def __init__(self, n: int, plan: HollowPlan, tally: Tally) -> None:
-        self.number, self.plan, self.tally = n, plan, tally
-        self.rng = random.Random(plan.seed * 1_000_003 + n)
-        self.list_services = plan.replicas[names.region(n)] if plan.regional else ",".join(plan.replicas)
+    """A sidecar's watch, reports and endpoint lease, without listeners."""
+
+    def __init__(self, number: int, plan: HollowPlan, tally: Tally) -> None:
+        self.number, self.plan, self.tally = number, plan, tally
+        self.rng = random.Random(plan.seed * 1_000_003 + number)
+        self.list_services = plan.replicas[names.region(number)] if plan.regional else ",".join(plan.replicas)
         self.received_versions: list[tuple[float, int]] = []
         self.version = self.attempts = 0
-        self.attempts_stopped = False  # no more attempts; what there were is reported
+        self.attempts_stopped = False  # no more attempts are recorded; earlier ones are still reported
         self.discovery = self._new_discovery()
-        self.lease = CountedLease(plan, names.entry(n), tally)
+        self.lease = CountedLease(plan, names.entry(number), tally)
         self.lease_task: asyncio.Task[None] | None = None
-        orders = AuditHandlers(
+        handlers = AuditHandlers(
             self._full_list_received,
             lambda: self.discovery.restart_watch(),
             lambda out: None,
             lambda out: None,
         )
         self.reporter = CountedReporter(
-            AuditSettings(self.list_services), names.sidecar(n), BUILD, lambda: self.discovery.latest_term,
-            orders, self.rng,
+            AuditSettings(self.list_services), names.sidecar(number), BUILD,
+            lambda: self.discovery.latest_term, handlers, self.rng,
         )  # fmt: skip
         self.reporter.tally, self.reporter.sent_at_s = tally, {}
-        orders.reports_acknowledged = self.reporter.record_acknowledged
+        handlers.reports_acknowledged = self.reporter.record_acknowledged
 
     def _new_discovery(self) -> Discovery:
         loop = asyncio.get_running_loop()
         return Discovery(loop, self.list_services, INSTANCES_PATH, True, self._list_received, self.rng)
 
-    def _list_received(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
+    def _list_received(self, version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
         self.version = version
         self.received_versions.append((time.monotonic(), version))
         self.reporter.list_applied(now_us(), LIST_DELTA, version, entries)
 
     def _full_list_received(self, raw: bytes) -> bool:
         try:
-            told = LIST_DECODER.decode(raw)
+            message = LIST_DECODER.decode(raw)
         except msgspec.DecodeError as error:
-            raise PeerError(f"no list: {error}") from None
-        return self.discovery.receive(told)
+            raise PeerError(f"the body is no valid list: {error}") from None
+        return self.discovery.receive(message)
 
     def restart_watch(self) -> None:
-        """Its watch anew, and without a list, as of a process that starts."""
+        """Opens a new watch without a list, as a sidecar process does at its start."""
         self.discovery.close()
         self.version = 0
         self.discovery = self._new_discovery()
         self.discovery.set_watch(True)
 
-    def start_lease(self, wait_s: float) -> None:
+    def start_lease(self, delay_s: float) -> None:
         async def start_lease() -> None:
-            await asyncio.sleep(wait_s)
+            await asyncio.sleep(delay_s)
             await self.lease.keep()
 
         self.lease_task = asyncio.get_running_loop().create_task(start_lease())
@@ -133,7 +135,7 @@
         return await self.lease.leave()
 
     async def run_reports(self) -> None:
-        """Reports, and an attempt each second to report on."""
+        """Sends reports, and records one attempt per second to report on."""
         await asyncio.sleep(self.rng.uniform(0.0, ATTEMPT_INTERVAL_S))
         self.reporter.open()
         while not self.attempts_stopped:
@@ -143,48 +145,60 @@
             await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
     def in_force_at_s(self, version: int) -> float:
-        return next((at for at, held in self.received_versions if held >= version), -1.0)
+        """When this version or a later one was received; -1 if it was not."""
+        return next(
+            (
+                received_at_s
+                for received_at_s, received_version in self.received_versions
+                if received_version >= version
+            ),
+            -1.0,
+        )
 
 
 class HollowFleet:
-    """The process's sidecars, and the orders that they are given."""
+    """The process's sidecars; executes the driver's orders on them."""
 
     def __init__(self, plan: HollowPlan, traffic: Traffic) -> None:
         self.plan, self.traffic, self.tally, self.lag = plan, traffic, Tally(), Lag()
         self.initial_rss = used(os.getpid()).rss
         self.sidecars = [
-            HollowSidecar(n, plan, self.tally) for n in range(plan.first, plan.first + plan.count)
+            HollowSidecar(number, plan, self.tally) for number in range(plan.first, plan.first + plan.count)
         ]
         self.tasks: list[asyncio.Task[None]] = []
         self.start_task(self.lag.watch())
         self._reset_counts()
 
-    def start_task(self, work: Any) -> None:
-        self.tasks.append(asyncio.get_running_loop().create_task(work))
+    def start_task(self, coroutine: Any) -> None:
+        self.tasks.append(asyncio.get_running_loop().create_task(coroutine))
 
     async def execute(self, order: Order) -> Reply:
         if order.do == messages.REGISTER:
             return Reply(await self._register_all())
         if order.do == messages.START_WATCH:
-            for one in self.sidecars:
-                one.discovery.set_watch(True)
+            for sidecar in self.sidecars:
+                sidecar.discovery.set_watch(True)
         elif order.do == messages.START_REPORTS:
-            for one in self.sidecars:
-                self.start_task(one.run_reports())
+            for sidecar in self.sidecars:
+                self.start_task(sidecar.run_reports())
         elif order.do == messages.RESTART_WATCH:
-            for one in self.sidecars:
-                one.restart_watch()
+            for sidecar in self.sidecars:
+                sidecar.restart_watch()
         elif order.do == messages.DEREGISTER:
             return Reply(
-                sum(await asyncio.gather(*(one.deregister() for one in self._sidecars_in_zone(order.zone))))
+                sum(
+                    await asyncio.gather(
+                        *(sidecar.deregister() for sidecar in self._sidecars_in_zone(order.zone))
+                    )
+                )
             )
         elif order.do == messages.REREGISTER:
-            for one in self._sidecars_in_zone(order.zone):
-                one.start_lease(0.0)
+            for sidecar in self._sidecars_in_zone(order.zone):
+                sidecar.start_lease(0.0)
         elif order.do == messages.STOP_ATTEMPTS:
-            for one in self.sidecars:
-                one.attempts_stopped = True
-            return Reply(sum(one.attempts for one in self.sidecars))
+            for sidecar in self.sidecars:
+                sidecar.attempts_stopped = True
+            return Reply(sum(sidecar.attempts for sidecar in self.sidecars))
         elif order.do == messages.WAIT_FOR_VERSION:
             return Reply(await self._wait_for_version(order.version, order.within_s))
         elif order.do == messages.RESET_COUNTS:
@@ -194,22 +208,22 @@
         return Reply(len(self.sidecars))
 
     def _sidecars_in_zone(self, zone: int) -> list[HollowSidecar]:
-        return [one for one in self.sidecars if one.number % len(names.ZONES) == zone]
+        return [sidecar for sidecar in self.sidecars if sidecar.number % len(names.ZONES) == zone]
 
     async def _register_all(self) -> int:
-        """Registers all within a third of a lease, as those that started at any time."""
-        every_s = self.plan.ttl_ms / 3000
-        for one in self.sidecars:
-            one.start_lease(one.rng.uniform(0.0, every_s))
-        await asyncio.sleep(every_s)
+        """Registers all endpoints, spread over a third of the lease like endpoints started at any time."""
+        renewal_interval_s = self.plan.ttl_ms / 3000
+        for sidecar in self.sidecars:
+            sidecar.start_lease(sidecar.rng.uniform(0.0, renewal_interval_s))
+        await asyncio.sleep(renewal_interval_s)
         return len(self.sidecars)
 
-    async def _wait_for_version(self, version: int, within_s: float) -> int:
+    async def _wait_for_version(self, version: int, timeout_s: float) -> int:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(within_s):
-                while any(one.version < version for one in self.sidecars):
+            async with asyncio.timeout(timeout_s):
+                while any(sidecar.version < version for sidecar in self.sidecars):
                     await asyncio.sleep(POLL_INTERVAL_S)
-        return sum(one.version >= version for one in self.sidecars)
+        return sum(sidecar.version >= version for sidecar in self.sidecars)
 
     def _reset_counts(self) -> None:
         self.reset_at_s, self.reset_cpu_s = time.monotonic(), time.process_time()
@@ -218,8 +232,8 @@
         tally = self.tally
         tally.sent = tally.failed = tally.renewed = tally.unrenewed = 0
         tally.calls_s, tally.acks_s = [], []
-        for one in self.sidecars:
-            one.received_versions.clear()
+        for sidecar in self.sidecars:
+            sidecar.received_versions.clear()
 
     def _collect_tally(self, versions: list[int]) -> Tally:
         tally = self.tally
@@ -229,30 +243,30 @@
         )
         tally.rss, tally.lag_p99_ms = used(os.getpid()).rss - self.initial_rss, self.lag.p99_ms()
         tally.flows = self.traffic.snapshot()
-        tally.heard = [[one.in_force_at_s(version) for one in self.sidecars] for version in versions]
+        tally.heard = [[sidecar.in_force_at_s(version) for sidecar in self.sidecars] for version in versions]
         return tally
 
 
 async def run() -> None:
-    """Until END, or until stdin ends: the driver is gone then."""
+    """Runs until the STOP order, or until stdin ends because the driver has ended."""
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGINT, lambda: None)  # the driver, which gets it too, ends this one
-    orders = asyncio.StreamReader(limit=1 << 20)
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), sys.stdin)
-    if not (line := await orders.readline()):
+    loop.add_signal_handler(signal.SIGINT, lambda: None)  # the driver receives it too and stops this process
+    order_reader = asyncio.StreamReader(limit=1 << 20)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(order_reader), sys.stdin)
+    if not (line := await order_reader.readline()):
         return
     fleet = HollowFleet(msgspec.json.decode(line, type=HollowPlan), count_traffic(loop))
-    while line := await orders.readline():
+    while line := await order_reader.readline():
         order: Order = msgspec.json.decode(line, type=Order)
         if order.do == messages.STOP:
             break
         sys.stdout.buffer.write(msgspec.json.encode(await fleet.execute(order)) + b"\n")
         sys.stdout.buffer.flush()
-    os._exit(0)  # it keeps no state; to break off calls by the hundred says much, and nothing new
+    os._exit(0)  # no state to save; aborting hundreds of calls would only log errors
 
 
 def main() -> None:
-    logging.getLogger("woadyard").setLevel(logging.ERROR)  # each sidecar says its outages
+    logging.getLogger("woadyard").setLevel(logging.ERROR)  # each sidecar would log every outage
     with contextlib.suppress(BrokenPipeError):
         uvloop.run(run())
 
--- a/benchmarks/scale/messages.py
+++ b/benchmarks/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the driver and a process of hollow sidecars tell each other: JSON lines on stdin and stdout."""
+"""Messages between the driver and a process of hollow sidecars: JSON lines on stdin and stdout."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from benchmarks.scale.traffic import Flow
 
-# Orders to a process of hollow sidecars; each is answered by one line once it is done.
+# Orders to a process of hollow sidecars; each gets one line in reply when it is complete.
 (
     REGISTER, START_WATCH, START_REPORTS, RESTART_WATCH, DEREGISTER, REREGISTER, STOP_ATTEMPTS,
     WAIT_FOR_VERSION, RESET_COUNTS, COLLECT_TALLY, STOP,
@@ -16,42 +16,46 @@
 
 
 class HollowPlan(msgspec.Struct):
-    """The first line: sidecars `first` to `first + count - 1`, and the services that they use."""
+    """The first line: sidecars `first` to `first + count - 1`, and the list services that they use."""
 
     first: int
     count: int
     writer: str  # HOST:PORT
-    replicas: list[str]  # of each region, or for all
-    regional: bool  # a sidecar uses only its region's
+    replicas: list[str]  # HOST:PORT; one for each region, or all of them for every sidecar
+    regional: bool  # each sidecar uses only the replica of its region
     ttl_ms: int
     seed: int
 
 
 class Order(msgspec.Struct, omit_defaults=True):
+    """One of `ORDERS` with its arguments."""
+
     do: str
-    zone: int = -1  # LEAVE, COMEBACK: of the endpoints, by its place among the names
-    version: int = 0  # UNTIL: that all hold it
+    zone: int = -1  # DEREGISTER, REREGISTER: index of the endpoints' zone in `names.ZONES`
+    version: int = 0  # WAIT_FOR_VERSION: the list version that all must have
     within_s: float = 0.0
-    versions: list[int] = []  # TELL: when each was in force where
+    versions: list[int] = []  # COLLECT_TALLY: versions whose times in force are wanted
 
 
 class Tally(msgspec.Struct):
-    """Since the last MARK; times in s, of the machine's steady clock where they are moments."""
+    """Counts since the last RESET_COUNTS. Durations in s; points in time on the monotonic clock."""
 
     seconds: float = 0.0
     cpu_s: float = 0.0
-    rss: int = 0  # bytes, without what the process had before its first sidecar
+    rss: int = 0  # bytes, less what the process used before its first sidecar
     lag_p99_ms: float = 0.0
-    sent: int = 0  # reports, each call
-    failed: int = 0
-    calls_s: list[float] = []  # of reports that were answered
-    acks_s: list[float] = []  # from a report's first sending to its acknowledgement
-    renewed: int = 0  # leases
-    unrenewed: int = 0  # calls that failed
+    sent: int = 0  # calls that sent a report
+    failed: int = 0  # of them
+    calls_s: list[float] = []  # durations of the reports' calls that succeeded
+    acks_s: list[float] = []  # from sending a report to its acknowledgement
+    renewed: int = 0  # lease calls that succeeded
+    unrenewed: int = 0  # lease calls that failed
     flows: list[Flow] = []
-    heard: list[list[float]] = []  # for each version asked for: moment by sidecar, -1 where not in force
+    heard: list[list[float]] = []  # per requested version and sidecar: when it was in force, or -1
 
 
 class Reply(msgspec.Struct, omit_defaults=True):
-    count: int = 0  # of the sidecars for which it is done
+    """The reply to an order."""
+
+    count: int = 0  # sidecars for which the order succeeded; attempts after STOP_ATTEMPTS
     tally: Tally | None = None
--- a/benchmarks/scale/origin.py
+++ b/benchmarks/scale/origin.py
@@ -1,9 +1,9 @@
-"""A stand-in endpoint that costs little and counts connections: `python -m benchmarks.scale.origin`.
+"""A cheap stand-in endpoint that counts connections: `python -m benchmarks.scale.origin`.
 
-`woadyard.standins` draws service times and counts what it was asked; here the way to an endpoint
-is measured, so that the endpoint answers at once. `GET /_counts` tells, as JSON and by the
-`X-Way` of the first request on them, the connections taken so far and those open now; and the
-requests answered by theirs. Ends at SIGTERM.
+`woadyard.standins` draws random service times and counts requests; here the path to an endpoint is
+measured, so the endpoint responds at once. `GET /_counts` returns, as JSON by the `X-Way` header of
+the first request on a connection, the connections accepted so far, those open now and the requests
+answered. Ends at SIGTERM.
 """
 
 from __future__ import annotations
@@ -24,11 +24,15 @@
 
 
 class Counts:
+    """Counts by `X-Way`; the attribute names are the keys of the JSON."""
+
     def __init__(self) -> None:
         self.taken, self.open, self.answered = Counter[str](), Counter[str](), Counter[str]()
 
 
 class Origin(asyncio.Protocol):
+    """A server connection that responds to each request at once."""
+
     def __init__(self, counts: Counts) -> None:
         self.counts = counts
         self.parser = httptools.HttpRequestParser(self)
@@ -66,13 +70,13 @@
 
 
 async def main() -> None:
-    loop, over, counts = asyncio.get_running_loop(), asyncio.Event(), Counts()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+    loop, stopped, counts = asyncio.get_running_loop(), asyncio.Event(), Counts()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     server = await loop.create_server(lambda: Origin(counts), "127.0.0.1", 0)
-    gc.disable()  # a pause of the endpoint is none of the sidecar's
+    gc.disable()  # a collector pause here would count as latency of the sidecar
     print(json.dumps({"event": "listening", "port": server.sockets[0].getsockname()[1]}), flush=True)
-    await over.wait()
+    await stopped.wait()
     server.close()
 
 
--- a/benchmarks/scale/retries.py
+++ b/benchmarks/scale/retries.py
@@ -1,13 +1,13 @@
-"""What the retry budget gives when all fails, and what becomes of it down the tiers.
-
-`python -m benchmarks.scale.retries`, on a simulated clock: its counts do not depend on the machine.
-Two roles: `budget`, one inner tier whose attempts all fail, at several rates (`size` in requests a
-second at each sidecar): attempts for each request; and `retries`, tiers of real modules
-(benchmarks/scale/chain.py) whose last fails all from `CALM_S` on (`size` in tiers): attempts at the
-last tier for each request at the first, in the first second of it (`start`) and later (`steady`),
-beside the worst that the steady share of one tier allows. Phases: `error`, the last tier answers
-500 at once; `full`, it turns all away; `slow`, it answers 500 after a fifth of a second; `hang`, it
-never answers.
+"""Attempts that the retry budget allows when everything fails, in one tier and across tiers.
+
+`python -m benchmarks.scale.retries` runs on a simulated clock, so its counts do not depend on the
+machine. Roles: `budget` is one inner tier whose attempts all fail, at several rates (`size` is
+requests a second at each sidecar), and gives the attempts per request; `retries` is a chain of tiers
+with real policy modules (benchmarks/scale/chain.py) whose last tier fails from `HEALTHY_S` on (`size`
+is tiers), and gives the attempts at the last tier per request at the first, in the first second of
+the failure (`start`) and later (`steady`), with the worst case that the steady ratio of one tier
+allows. Phases: `error`, the last tier responds 500 at once; `full`, it rejects all; `slow`, it
+responds 500 after a fifth of a second; `hang`, it never responds.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 SIZES, TURNS = (1, 2, 4, 8, 13, 26), 1
 MAX_TIERS = 64
 RATES = (1.0, 10.0, 100.0, 310.0)
-# As the deployments here have it: three attempts, a class that may be repeated.
+# As in the deployments: three attempts, and a request class that is safe to retry.
 DEADLINE_US, MAX_ATTEMPTS = 2 * SECOND_US, 3
 SETTINGS = Settings(
     classes=(RequestClass(effect=SAFE, aim_us=DEADLINE_US, deadline_us=DEADLINE_US),),
@@ -37,11 +37,14 @@
     max_attempts=MAX_ATTEMPTS,
     retry_after=True,
 )
-# All is well for so long, then all fails; later than that is steady.
+# Length of the healthy part, of the failing part, and when in the latter the steady state begins.
 HEALTHY_S, FAILING_S, STEADY_AFTER_S = 4, 12, 6
-RATE, TIER_WIDTH = 5.0, 9  # requests a second at each first sidecar; sidecars and endpoints of a tier
+RATE, TIER_WIDTH = (
+    5.0,
+    9,
+)  # requests a second at each sidecar of the first tier; sidecars and endpoints per tier
 MAX_EVENTS = 6_000_000
-FATES: dict[str, tuple[int, int]] = {  # outcome, and after how long, µs
+FATES: dict[str, tuple[int, int]] = {  # outcome and service time, µs
     "error": (ERROR, 200),
     "full": (FULL, 200),
     "slow": (ERROR, 200_000),
@@ -52,76 +55,78 @@
 
 
 def fate_for(phase: str) -> Fate:
-    outcome, after = FATES[phase]
-    return lambda now: (OK, 200) if now < HEALTHY_S * SECOND_US else (outcome, after)
+    outcome, delay_us = FATES[phase]
+    return lambda now_us: (OK, 200) if now_us < HEALTHY_S * SECOND_US else (outcome, delay_us)
 
 
 @dataclass
 class AttemptRatios:
-    """Attempts at the last tier for each request at the first."""
+    """Attempts at the last tier per request at the first."""
 
     start: float
     steady: float
     peak: float  # the worst second
 
     @classmethod
-    def from_counts(cls, first: Counter[int], last: Counter[int]) -> AttemptRatios:
+    def from_counts(cls, first_requests: Counter[int], last_attempts: Counter[int]) -> AttemptRatios:
         seconds = range(HEALTHY_S, HEALTHY_S + FAILING_S)
         steady = [n for n in seconds if n >= HEALTHY_S + STEADY_AFTER_S]
-        each = [last[n] / first[n] for n in seconds if first[n]]
-        total = sum(first[n] for n in steady)
+        ratios = [last_attempts[n] / first_requests[n] for n in seconds if first_requests[n]]
+        steady_requests = sum(first_requests[n] for n in steady)
         return cls(
-            last[HEALTHY_S] / max(1, first[HEALTHY_S]),
-            sum(last[n] for n in steady) / max(1, total),
-            max(each),
+            last_attempts[HEALTHY_S] / max(1, first_requests[HEALTHY_S]),
+            sum(last_attempts[n] for n in steady) / max(1, steady_requests),
+            max(ratios),
         )
 
 
 def run_chain(phase: str, depth: int, rate: float, turn: int, stage: int = 0) -> ChainCounts:
-    made = Chain(SETTINGS, depth, TIER_WIDTH, fate_for(phase), MAX_EVENTS, stage)
-    return made.run(rate, HEALTHY_S + FAILING_S, DEADLINE_US, turn)
+    simulation = Chain(SETTINGS, depth, TIER_WIDTH, fate_for(phase), MAX_EVENTS, stage)
+    return simulation.run(rate, HEALTHY_S + FAILING_S, DEADLINE_US, turn)
 
 
 def write_points(
-    out: Path, run: str, role: str, phase: str, size: float, unit: str, turn: int, **found: float
+    out: Path, run: str, role: str, phase: str, size: float, unit: str, turn: int, **metrics: float
 ) -> None:
-    made = [
+    new_points = [
         Point(run, role, phase, size, metric, "s" if metric.endswith("_s") else "count", value, unit, turn)
-        for metric, value in found.items()
+        for metric, value in metrics.items()
     ]
-    points.write(out, made)
-    for point in made:
+    points.write(out, new_points)
+    for point in new_points:
         usage.show(point)
 
 
 def measure_budget(out: Path, run: str, rates: Sequence[float], turn: int) -> dict[str, float]:
-    """The steady attempts a request of one inner tier alone, the largest by phase."""
+    """Measures a single inner tier; returns the largest steady ratio of attempts to requests by phase."""
     worst: dict[str, float] = {}
     for phase in BUDGET_PHASES:
         for rate in rates:
-            found = run_chain(phase, 1, rate, turn, stage=1)
-            shares = AttemptRatios.from_counts(found.requests_by_tier[0], found.last_tier_attempts)
+            counts = run_chain(phase, 1, rate, turn, stage=1)
+            ratios = AttemptRatios.from_counts(counts.requests_by_tier[0], counts.last_tier_attempts)
             write_points(
                 out, run, "budget", phase, rate, "requests/s", turn,
-                attempts_start=shares.start, attempts_steady=shares.steady, attempts_peak=shares.peak,
+                attempts_start=ratios.start, attempts_steady=ratios.steady, attempts_peak=ratios.peak,
             )  # fmt: skip
-            worst[phase] = max(worst.get(phase, 0.0), shares.steady)
+            worst[phase] = max(worst.get(phase, 0.0), ratios.steady)
     return worst
 
 
-def measure_chain(out: Path, run: str, phase: str, depth: int, one: float, turn: int) -> None:
-    """One chain; `one` is the steady share of a tier alone."""
+def measure_chain(out: Path, run: str, phase: str, depth: int, single_tier_ratio: float, turn: int) -> None:
+    """Measures one chain; `single_tier_ratio` is the steady ratio of a tier alone."""
     try:
-        found = run_chain(phase, depth, RATE, turn)
+        counts = run_chain(phase, depth, RATE, turn)
     except EventLimitError as error:
         usage.say(f"retries {phase} at {depth} tiers: not measured: {error}")
         return
-    shares = AttemptRatios.from_counts(found.requests_by_tier[0], found.last_tier_attempts)
-    failing_us = [took for due, took in found.latencies_us if due >= HEALTHY_S * SECOND_US]
+    ratios = AttemptRatios.from_counts(counts.requests_by_tier[0], counts.last_tier_attempts)
+    failing_us = [
+        latency_us for sent_at_us, latency_us in counts.latencies_us if sent_at_us >= HEALTHY_S * SECOND_US
+    ]
     write_points(
         out, run, "retries", phase, depth, "tiers", turn,
-        last_for_first_start=shares.start, last_for_first_steady=shares.steady,
-        last_for_first_peak=shares.peak, worst_product=one**depth,
+        last_for_first_start=ratios.start, last_for_first_steady=ratios.steady,
+        last_for_first_peak=ratios.peak, worst_product=single_tier_ratio**depth,
         failed_after_p50_s=statistics.median(failing_us) / SECOND_US,
         failed_after_most_s=max(failing_us) / SECOND_US,
     )  # fmt: skip
@@ -135,9 +140,12 @@
     phases: Sequence[str] = CHAIN_PHASES,
 ) -> None:
     """Appends the points of `budget`, then those of each phase and depth. Turns differ by the seed.
-    ConfigError where a depth is more than any chain of calls has."""
+
+    Raises ConfigError if a depth exceeds `MAX_TIERS`, more than any chain of calls has."""
     if max(sizes) > MAX_TIERS:
-        raise ConfigError(f"no chain has {max(sizes)} tiers", f"name depths up to {MAX_TIERS} by --sizes")
+        raise ConfigError(
+            f"a chain of {max(sizes)} tiers is too deep", f"give depths up to {MAX_TIERS} with --sizes"
+        )
     run = usage.run_name()
     for turn in range(1, turns + 1):
         worst = measure_budget(out, run, rates, turn)
@@ -149,7 +157,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser(prog="benchmarks.scale.retries", description=__doc__)
     parser.add_argument("--out", type=Path, default=OUT)
-    parser.add_argument("--sizes", type=int, nargs="+", default=SIZES, help="tiers")
+    parser.add_argument("--sizes", type=int, nargs="+", default=SIZES, help="depths in tiers")
     parser.add_argument("--turns", type=int, default=TURNS)
     parser.add_argument("--phases", nargs="+", default=CHAIN_PHASES, choices=CHAIN_PHASES)
     options = parser.parse_args()
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -1,7 +1,7 @@
-"""A list service's state at some size, made by the records that would make it.
+"""Builds a list service's state at a given size from the log entries that would produce it.
 
-Two shapes: `lists`, the list and its leases alone; `whole`, also each sidecar's shares of limits and
-the audit's ledger with as many rows as it keeps, which a day of changes fills many times over.
+There are two shapes: `lists` has the list and its leases alone; `whole` also has each sidecar's shares
+of limits and an audit ledger with as many rows as it keeps, which a day of changes fills many times over.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from woadyard.registry.state_machine import LogEntry
 
 SHAPES = ("lists", "whole")
-TTL_US = 24 * 3_600 * 1_000_000  # nothing lapses while it is measured
+TTL_US = 24 * 3_600 * 1_000_000  # no lease expires during a measurement
 # Endpoints that a sidecar holds shares of (its arc), and the limit of attempts that is shared.
 ENDPOINTS_PER_SIDECAR, LIMIT_ATTEMPTS = 4, 64
 REPORTS_PER_ENTRY = 20
@@ -35,72 +35,82 @@
 
 @contextlib.contextmanager
 def without_fsync() -> Iterator[None]:
-    """While a state is made, not while anything of it is measured: the disk is not waited for."""
+    """Makes `os.fsync` do nothing while a state is built; never used around a measurement."""
     with mock.patch("os.fsync", lambda descriptor: None):
         yield
 
 
 def position_at(registry: Registry, generation: int) -> Position:
-    host = registry.log_state
-    return Position(host.lineage, host.term, generation, SETTINGS, build=BUILD)
+    log_state = registry.log_state
+    return Position(log_state.lineage, log_state.term, generation, SETTINGS, build=BUILD)
 
 
 def build_report(registry: Registry, name: str, rows: int) -> Report:
-    """A sidecar's report of `rows` lists that it acted on, a second each, the last still open."""
-    whole = [
-        Row(k, position_at(registry, k + 1).to_text(), at, at + 999, 310, 0, 0, at + 2, at + 997)
-        for k, at in enumerate(range(0, 1_000 * rows, 1_000))
+    """A sidecar's report of `rows` lists that it acted on, for a second each; the last is still in use."""
+    report_rows = [
+        Row(
+            index, position_at(registry, index + 1).to_text(), start_ms, start_ms + 999, 310, 0, 0,
+            start_ms + 2, start_ms + 997,
+        )
+        for index, start_ms in enumerate(range(0, 1_000 * rows, 1_000))
     ]  # fmt: skip
-    at = position_at(registry, rows).to_text()
-    return Report(name, "c0ffee123456", 1, 1, 1_000 * rows, rows - 1, at, whole)
+    latest_position = position_at(registry, rows).to_text()
+    return Report(name, "c0ffee123456", 1, 1, 1_000 * rows, rows - 1, latest_position, report_rows)
 
 
 def new_span_recorder(registry: Registry, name: str) -> SpanRecorder:
-    """A sidecar's side of the reports, on the list as it is."""
+    """The recorder of a sidecar that acts on the first generation of the list."""
     return SpanRecorder(name, "c0ffee123456", 0, position_at(registry, 1))
 
 
-def reports_entry(told: list[Report]) -> LogEntry:
-    return {"book": AuditState.name, "op": REPORTS_OP, "reports": msgspec.to_builtins(told)}
+def reports_entry(batch: list[Report]) -> LogEntry:
+    return {"book": AuditState.name, "op": REPORTS_OP, "reports": msgspec.to_builtins(batch)}
 
 
-def hold_entry(at: int, listed: list[str], seq: int = 1) -> dict[str, Any]:
-    own = [str(endpoint_number(listed[(at + n) % len(listed)])) for n in range(ENDPOINTS_PER_SIDECAR)]
-    keeps = {key: 0 for key in own}
-    holder = f"{listed[at]}@{at:08x}"
+def hold_entry(index: int, endpoint_ids: list[str], sequence: int = 1) -> dict[str, Any]:
+    held_endpoints = [
+        str(endpoint_number(endpoint_ids[(index + n) % len(endpoint_ids)]))
+        for n in range(ENDPOINTS_PER_SIDECAR)
+    ]
+    keeps = {key: 0 for key in held_endpoints}
+    holder = f"{endpoint_ids[index]}@{index:08x}"
     return {
-        "op": HOLD, "id": holder, "ttl_us": TTL_US, "seq_of": seq, "limit": LIMIT_ATTEMPTS, "of": own,
-        "keeps": keeps,
+        "op": HOLD, "id": holder, "ttl_us": TTL_US, "seq_of": sequence, "limit": LIMIT_ATTEMPTS,
+        "of": held_endpoints, "keeps": keeps,
     }  # fmt: skip
 
 
-def build_registry(folder: Path, size: int, shape: str, rows_most: int = MAX_ROWS) -> Registry:
-    """A registry with that state, `rows_most` in its audit, on a running loop; its snapshot is
-    fresh and its log empty."""
+def build_registry(folder: Path, size: int, shape: str, max_rows: int = MAX_ROWS) -> Registry:
+    """Returns a registry with the state, with `max_rows` in its audit ledger. Needs a running loop.
+
+    Its snapshot is up to date and its log empty."""
     registry = Registry(Journal(folder))
     with without_fsync():
         registry.become_leader()
-        listed = listings.entries(size)
-        for entry in listed:
+        list_entries = listings.entries(size)
+        for entry in list_entries:
             registry.append_entry({"op": PUT, "entry": entry, "ttl_us": TTL_US})
         if shape == "whole":
-            known = [one["instanceId"] for one in listed]
-            for at in range(size):
-                registry.append_entry(hold_entry(at, known))
-            rows = max(MIN_ROWS_PER_RUN, rows_most // size)
-            for at in range(0, size, REPORTS_PER_ENTRY):
-                some = known[at : at + REPORTS_PER_ENTRY]
-                registry.append_entry(reports_entry([build_report(registry, name, rows) for name in some]))
+            endpoint_ids = [listed["instanceId"] for listed in list_entries]
+            for index in range(size):
+                registry.append_entry(hold_entry(index, endpoint_ids))
+            rows_per_sidecar = max(MIN_ROWS_PER_RUN, max_rows // size)
+            for index in range(0, size, REPORTS_PER_ENTRY):
+                names = endpoint_ids[index : index + REPORTS_PER_ENTRY]
+                registry.append_entry(
+                    reports_entry([build_report(registry, name, rows_per_sidecar) for name in names])
+                )
         registry.journal.write_snapshot(registry.log_state)
     return registry
 
 
 def fill_log(registry: Registry, size: int) -> int:
-    """Renewals until the log is about to be replaced by a snapshot: the longest a start has to read.
-    Its bytes."""
-    known, journal, at = listings.names(size), registry.journal, 0
+    """Appends renewals until the log is about to be replaced by a snapshot; returns its bytes.
+
+    A start never has to read a longer log."""
+    endpoint_ids, journal, renewals = listings.names(size), registry.journal, 0
     with without_fsync():
         while journal.log_bytes < 0.98 * max(MIN_SNAPSHOT_LOG_BYTES, journal.snapshot_bytes):
-            registry.append_entry({"op": RENEW, "id": known[at % size]})
-            at += 1
+            registry.append_entry({"op": RENEW, "id": endpoint_ids[renewals % size]})
+            renewals += 1
     return journal.log_bytes
--- a/benchmarks/scale/traffic.py
+++ b/benchmarks/scale/traffic.py
@@ -1,6 +1,6 @@
-"""Bytes, connections and reads of a process's outgoing connections, by kind and port of the peer.
+"""Counts bytes, connections and reads of a process's outgoing connections, by kind and peer port.
 
-Bytes are those given to and got from the sockets (HTTP heads and bodies), without TCP and IP."""
+Bytes are those written to and read from the sockets (HTTP heads and bodies), without TCP and IP."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 import msgspec
 
+# By the name of the protocol class that owns the connection.
 FLOW_KINDS = {"Stream": "lists", "_Exchange": "reports", "ResponseHandler": "leases"}
 
 
 class Flow(msgspec.Struct):
-    """All connections of one kind to one port."""
+    """Counts of all connections of one kind to one port."""
 
     kind: str
     port: int
@@ -25,6 +26,8 @@
 
 
 class Traffic:
+    """The flows of a process, by kind and port."""
+
     def __init__(self) -> None:
         self.flows: dict[tuple[str, int], Flow] = {}
 
@@ -32,48 +35,48 @@
         return self.flows.setdefault((kind, port), Flow(kind, port))
 
     def clear(self) -> None:
-        """Counts anew, also on connections that stay open."""
-        for one in self.flows.values():
-            one.connections = one.reads = one.bytes_in = one.bytes_out = 0
+        """Resets all counts, also those of connections that stay open."""
+        for flow in self.flows.values():
+            flow.connections = flow.reads = flow.bytes_in = flow.bytes_out = 0
 
     def snapshot(self) -> list[Flow]:
         return list(self.flows.values())
 
 
 class CountingTransport:
-    """A transport that counts what is written; in all else the transport itself."""
+    """Wraps a transport and counts the bytes written; all else is passed to the transport."""
 
-    def __init__(self, real: asyncio.Transport, flow: Flow) -> None:
-        self.transport, self.flow = real, flow
+    def __init__(self, transport: asyncio.Transport, flow: Flow) -> None:
+        self.transport, self.flow = transport, flow
 
     def write(self, data: bytes) -> None:
         self.flow.bytes_out += len(data)
         self.transport.write(data)
 
-    def writelines(self, parts: Any) -> None:
-        whole = list(parts)
-        self.flow.bytes_out += sum(map(len, whole))
-        self.transport.writelines(whole)
+    def writelines(self, chunks: Any) -> None:
+        chunk_list = list(chunks)
+        self.flow.bytes_out += sum(map(len, chunk_list))
+        self.transport.writelines(chunk_list)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.transport, name)
 
 
 class CountingProtocol(asyncio.Protocol):
-    """Hands all on to the product's own protocol, with a transport that counts."""
+    """Passes all events to the product's protocol and gives it a counting transport."""
 
     def __init__(self, inner: asyncio.Protocol, traffic: Traffic) -> None:
         self.inner, self.traffic = inner, traffic
-        self.transport: Any = None
+        self.counting_transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        real = cast(asyncio.Transport, transport)
-        port = int(real.get_extra_info("peername")[1])
+        counted_transport = cast(asyncio.Transport, transport)
+        port = int(counted_transport.get_extra_info("peername")[1])
         kind = type(self.inner).__name__
         self.flow = self.traffic.get_flow(FLOW_KINDS.get(kind, kind), port)
         self.flow.connections += 1
-        self.transport = CountingTransport(real, self.flow)
-        self.inner.connection_made(self.transport)
+        self.counting_transport = CountingTransport(counted_transport, self.flow)
+        self.inner.connection_made(self.counting_transport)
 
     def data_received(self, data: bytes) -> None:
         self.flow.reads += 1
@@ -94,12 +97,12 @@
 
 
 def count_traffic(loop: asyncio.AbstractEventLoop) -> Traffic:
-    """From now on, of all connections that the loop makes."""
-    traffic, real = Traffic(), loop.create_connection
+    """Counts the traffic of all connections that the loop opens from now on."""
+    traffic, original = Traffic(), loop.create_connection
 
-    async def create_connection(factory: Callable[[], asyncio.Protocol], *where: Any, **how: Any) -> Any:
-        _, made = await real(lambda: CountingProtocol(factory(), traffic), *where, **how)
-        return made.transport, made.inner
+    async def create_connection(factory: Callable[[], asyncio.Protocol], *args: Any, **kwargs: Any) -> Any:
+        _, protocol = await original(lambda: CountingProtocol(factory(), traffic), *args, **kwargs)
+        return protocol.counting_transport, protocol.inner
 
-    setattr(loop, "create_connection", create_connection)  # noqa: B010 - one loop's, not the class's
+    setattr(loop, "create_connection", create_connection)  # noqa: B010 - on this loop only, not on its class
     return traffic
