--- a/woadyard/whatif/__init__.py
+++ b/woadyard/whatif/__init__.py
@@ -1,8 +1,8 @@
-"""What-if: recorded traces replayed against proposed weights before they go out.
+"""What-if analysis: replays recorded traces with proposed weights before they are rolled out.
 
-`trace` and `ring` are what the sidecar loads, and need nothing but msgspec. The model, the
-replay and the forecast (numpy, scipy) are loaded by the list service's tool process only:
-import their modules, this face stays light.
+Sidecars import `trace` and `ring`, which need msgspec only. The model, the replay and the forecast
+need numpy and scipy and run in a separate process of the list service; they are imported from
+their own modules, so that importing the package stays cheap.
 """
 
 from woadyard.whatif.trace import Trace, read
--- a/woadyard/whatif/__main__.py
+++ b/woadyard/whatif/__main__.py
@@ -1,7 +1,7 @@
-"""The tool process of what-if: `python -m woadyard.whatif FOLDER`.
+"""Runs a what-if study: `python -m woadyard.whatif FOLDER`.
 
-FOLDER has `ask.json`, `{"weights": {...}, "rules": {...}}`, and one recording a file, `*.trace`.
-The study goes to standard output as JSON; an error as `{"error", "remedy"}`, with status 1.
+FOLDER contains `ask.json`, `{"weights": {...}, "rules": {...}}`, and one trace per file, `*.trace`.
+The study is written to standard output as JSON; an error as `{"error", "remedy"}`, with status 1.
 """
 
 from __future__ import annotations
@@ -18,17 +18,20 @@
 
 
 class StudyRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """Content of `ask.json`."""
+
     weights: dict[str, float]
     rules: dict[str, Any] = {}
 
 
 def run_study(folder: Path) -> Study:
+    """Study the folder's traces; raises WoadyardError if they or `ask.json` are invalid."""
     try:
-        ask: StudyRequest = msgspec.json.decode((folder / "ask.json").read_bytes(), type=StudyRequest)
+        request: StudyRequest = msgspec.json.decode((folder / "ask.json").read_bytes(), type=StudyRequest)
     except msgspec.MsgspecError as error:
         raise PeerError(f"ask.json: {error}") from None
     data = [path.read_bytes() for path in sorted(folder.glob("*.trace"))]
-    return Work(data, parse_rules(ask.rules)).study(ask.weights)
+    return Work(data, parse_rules(request.rules)).study(request.weights)
 
 
 def main() -> int:
@@ -36,11 +39,11 @@
         print(__doc__, file=sys.stderr)
         return 2
     try:
-        found = run_study(Path(sys.argv[1]))
+        study = run_study(Path(sys.argv[1]))
     except WoadyardError as error:
         sys.stdout.buffer.write(msgspec.json.encode(error.fields()))
         return 1
-    sys.stdout.buffer.write(msgspec.json.encode(found))
+    sys.stdout.buffer.write(msgspec.json.encode(study))
     return 0
 
 
--- a/woadyard/whatif/plans.py
+++ b/woadyard/whatif/plans.py
@@ -1,10 +1,12 @@
-"""The book `plans`: which weights are in force, and the one plan that is on its way.
+"""The state machine `plans`: the weights in force and the one plan under way.
 
-A plan is proposed, judged, and let out by stages. The book is the gate: it begins no plan without
-a verdict for that very plan, trace and list that is young enough and `better` or `harmless`, or
-one that was forced, with a reason. There is never a second plan under way. Revisions only grow; a
-plan that is halted gives way to a new revision with the old weights, so that whoever had the plan
-sees that something newer stands. Pure: times are the records'.
+A plan is proposed, evaluated and rolled out in stages. The state machine is the gate of the rollout:
+a plan begins only with a recent verdict `better` or `harmless` for the same weights and the same
+endpoint list, or after an operator forced it and gave a reason. At most one plan is under way.
+
+Revisions only grow. A halted plan is replaced by a new revision with the previous weights, so that
+the sidecars that applied it see a newer revision. The state depends on log entries only; times are
+taken from them.
 """
 
 from __future__ import annotations
@@ -22,14 +24,17 @@
 DONE, HALTED, WITHDRAWN = "done", "halted", "withdrawn"
 ACCEPTED_VERDICTS = frozenset(("better", "harmless"))
 MAX_CLOSED_PLANS = 64
-# Forecasts that fail widen the intervals of those that follow; those that hold narrow them again.
+# A wrong forecast widens the intervals of later ones; a correct forecast narrows them again.
 WIDEN_FACTOR, NARROW_FACTOR, MAX_WIDENING = 1.5, 0.9, 5.0
-HASH_SPACE = 1 << 52  # of the hashes of sidecars; a JSON number holds them
+HASH_SPACE = 1 << 52  # sidecar hashes are exact as JSON numbers (below 2**53)
 
 
 class PlanVerdict(msgspec.Struct, frozen=True):
-    """A verdict and what it is for: digests of the plan, the traces and the list. `figures`: name
-    to value, low, high and recorded."""
+    """A verdict with the digests of the plan, the traces and the endpoint list it applies to.
+
+    `at` is in µs and `age_us` is how long the verdict is valid from then. `figures` maps a name to
+    (forecast value, low, high, recorded value).
+    """
 
     state: str
     reason: str
@@ -42,6 +47,12 @@
 
 
 class Plan(msgspec.Struct):
+    """A proposed set of weights and the progress of its evaluation and rollout.
+
+    `stages` are the growing shares of the sidecars that get the weights; `stage` is an index into
+    them, -1 before the rollout.
+    """
+
     revision: int
     weights: dict[str, float]
     digest: str
@@ -49,22 +60,24 @@
     stages: list[float]
     state: str = PROPOSED
     verdict: PlanVerdict | None = None
-    forced: str = ""
+    forced: str = ""  # the reason, if an operator forced the plan
     stage: int = -1
-    cut: int = -1  # sidecars whose hash is up to this have the plan
-    since: int = 0  # when the stage began
-    why: str = ""  # it was halted or withdrawn
-    errors: dict[str, float] = {}  # measured less forecast
+    cut: int = -1  # sidecars with a hash up to this one get the plan
+    since: int = 0  # start of the stage, µs
+    why: str = ""  # why it was halted or withdrawn
+    errors: dict[str, float] = {}  # measured minus forecast value, by figure
 
 
 class WeightsInForce(msgspec.Struct):
-    """The weights in force; revision 0: none were ever set."""
+    """The weights in force; revision 0 if none were ever set."""
 
     revision: int = 0
     weights: dict[str, float] = {}
 
 
 class _Snapshot(msgspec.Struct, forbid_unknown_fields=True):
+    """The stored form of `PlansState`."""
+
     next: int
     force: WeightsInForce
     active: Plan | None
@@ -74,6 +87,12 @@
 
 
 class PlansState:
+    """The replicated state of plans.
+
+    `widening` is the factor by which forecast intervals are widened. `history` holds the latest
+    closed plans; `dropped_plans` counts the older ones that were removed from it.
+    """
+
     name = "plans"
 
     def __init__(self) -> None:
@@ -82,44 +101,47 @@
         self.active: Plan | None = None
         self.history: list[Plan] = []
         self.widening = 1.0
-        self.dropped_plans = 0  # plans that the history no longer has
+        self.dropped_plans = 0
 
-    # --- What sidecars are told ---------------------------------------------------
+    # --- Directives for sidecars ---------------------------------------------------
 
     def directive(self, sidecar: str) -> dict[str, Any]:
-        """The revision and weights that this sidecar is to act on."""
+        """Return the revision and weights that this sidecar has to apply."""
         plan = self.active
         if plan is not None and plan.state == ROLLING and sidecar_hash(plan.revision, sidecar) <= plan.cut:
             return {"revision": plan.revision, "weights": plan.weights}
         return {"revision": self.in_force.revision, "weights": self.in_force.weights}
 
-    # --- The log --------------------------------------------------------------------
+    # --- Log entries ----------------------------------------------------------------
 
-    def check(self, record: LogEntry) -> None:
-        op = record.get("op")
+    def check(self, entry: LogEntry) -> None:
+        """Raise `LogEntryError` if the entry can't be applied to the current state."""
+        op = entry.get("op")
         if op == "propose":
-            self._check_proposal(record)
+            self._check_proposal(entry)
             return
         plan = self.active
-        if plan is None or record.get("revision") != plan.revision:
-            raise LogEntryError(f"no plan {record.get('revision')} is under way", "see GET /registry/plans")
+        if plan is None or entry.get("revision") != plan.revision:
+            raise LogEntryError(f"plan {entry.get('revision')} is not under way", "see GET /registry/plans")
         match op:
             case "judge":
                 self._require_state(plan, PROPOSED, JUDGED)
-                self._check_verdict(plan, record)
+                self._check_verdict(plan, entry)
             case "force":
                 self._require_state(plan, PROPOSED, JUDGED)
-                if not isinstance(record.get("reason"), str) or not record["reason"].strip():
-                    raise LogEntryError("a plan is forced only with a reason", "say why in `reason`")
+                if not isinstance(entry.get("reason"), str) or not entry["reason"].strip():
+                    raise LogEntryError(
+                        "forcing a plan requires a reason", "set `reason` to a non-empty text"
+                    )
             case "begin":
                 self._require_state(plan, PROPOSED, JUDGED)
-                self._check_gate(plan, record)
-                _read_cutoff(record)
+                self._check_gate(plan, entry)
+                _read_cutoff(entry)
             case "stage":
                 self._require_state(plan, ROLLING)
-                if record.get("stage") != plan.stage + 1 or plan.stage + 1 >= len(plan.stages):
-                    raise LogEntryError(f"stage {record.get('stage')} does not follow {plan.stage}")
-                _read_cutoff(record)
+                if entry.get("stage") != plan.stage + 1 or plan.stage + 1 >= len(plan.stages):
+                    raise LogEntryError(f"stage {entry.get('stage')} does not follow stage {plan.stage}")
+                _read_cutoff(entry)
             case "done":
                 self._require_state(plan, ROLLING)
                 if plan.stage != len(plan.stages) - 1:
@@ -129,57 +151,58 @@
             case "withdraw" | "again":
                 self._require_state(plan, PROPOSED, JUDGED)
             case _:
-                raise LogEntryError(f"no record of plans: {op!r}")
+                raise LogEntryError(f"unknown operation of plans: {op!r}")
 
     @staticmethod
     def _require_state(plan: Plan, *states: str) -> None:
         if plan.state not in states:
             raise LogEntryError(f"plan {plan.revision} is {plan.state}")
 
-    def _check_proposal(self, record: LogEntry) -> None:
+    def _check_proposal(self, entry: LogEntry) -> None:
         if self.active is not None:
-            what = f"plan {self.active.revision} is {self.active.state}: there is one plan at a time"
-            raise LogEntryError(what, "wait for it, withdraw it, or halt it")
+            message = f"plan {self.active.revision} is {self.active.state}: there is one plan at a time"
+            raise LogEntryError(message, "wait until it is done, withdraw it or halt it")
         try:
-            validate_weights(record.get("weights"))
-            stages = msgspec.convert(record.get("stages"), list[float])
+            validate_weights(entry.get("weights"))
+            stages = msgspec.convert(entry.get("stages"), list[float])
         except (PlanError, msgspec.ValidationError) as error:
-            raise LogEntryError(f"no plan: {error}") from None
-        rising = all(low < high for low, high in zip([0.0, *stages], stages, strict=False))
-        if not stages or len(stages) > 16 or not rising or stages[-1] != 1.0:
-            raise LogEntryError("stages rise from above 0 to 1")
+            raise LogEntryError(f"invalid plan: {error}") from None
+        is_rising = all(low < high for low, high in zip([0.0, *stages], stages, strict=False))
+        if not stages or len(stages) > 16 or not is_rising or stages[-1] != 1.0:
+            raise LogEntryError("stages must be 1 to 16 shares that rise from above 0 to 1")
 
     @staticmethod
-    def _check_verdict(plan: Plan, record: LogEntry) -> None:
-        verdict = _read_verdict(record)
+    def _check_verdict(plan: Plan, entry: LogEntry) -> None:
+        verdict = _read_verdict(entry)
         if verdict.plan != plan.digest:
-            raise LogEntryError("the verdict is for another plan", "have this plan judged")
+            raise LogEntryError("the verdict is for another plan", "evaluate this plan")
 
     @staticmethod
-    def _check_gate(plan: Plan, record: LogEntry) -> None:
-        """The gate."""
+    def _check_gate(plan: Plan, entry: LogEntry) -> None:
+        """Raise `LogEntryError` unless the plan was forced or has a passing, current verdict."""
         if plan.forced:
             return
-        verdict, remedy = plan.verdict, "have the plan judged again, or force it with a reason"
+        verdict, remedy = plan.verdict, "evaluate the plan again, or force it with a reason"
         if verdict is None:
             raise LogEntryError("the plan has no verdict", remedy)
         if verdict.state not in ACCEPTED_VERDICTS:
             raise LogEntryError(f"the verdict is {verdict.state}: {verdict.reason}", remedy)
-        if not isinstance(record.get("list"), str) or record["list"] != verdict.list:
-            raise LogEntryError("the verdict is for another list", remedy)
-        if int(record.get("at", 0)) - verdict.at > verdict.age_us:
+        if not isinstance(entry.get("list"), str) or entry["list"] != verdict.list:
+            raise LogEntryError("the verdict is for another list of endpoints", remedy)
+        if int(entry.get("at", 0)) - verdict.at > verdict.age_us:
             raise LogEntryError("the verdict is too old", remedy)
 
-    def apply(self, record: LogEntry) -> bool:
-        op = record["op"]
+    def apply(self, entry: LogEntry) -> bool:
+        """Apply an entry that passed `check`; return True, as readers see every change."""
+        op = entry["op"]
         if op == "propose":
-            weights = validate_weights(record["weights"])
+            weights = validate_weights(entry["weights"])
             self.active = Plan(
                 self.next_revision,
                 weights,
                 plan_digest(weights),
-                str(record.get("by", "")),
-                list(record["stages"]),
+                str(entry.get("by", "")),
+                list(entry["stages"]),
             )
             self.next_revision += 1
             return True
@@ -187,32 +210,32 @@
         assert plan is not None
         match op:
             case "judge":
-                plan.verdict, plan.state = _read_verdict(record), JUDGED
+                plan.verdict, plan.state = _read_verdict(entry), JUDGED
             case "again":
                 plan.verdict, plan.state = None, PROPOSED
             case "force":
-                plan.forced = str(record["reason"]).strip()
+                plan.forced = str(entry["reason"]).strip()
             case "begin" | "stage":
                 plan.state, plan.stage = ROLLING, plan.stage + 1
-                plan.cut, plan.since = _read_cutoff(record), int(record.get("at", 0))
+                plan.cut, plan.since = _read_cutoff(entry), int(entry.get("at", 0))
             case "done":
                 self.in_force = WeightsInForce(plan.revision, plan.weights)
-                self._close(plan, DONE, record)
+                self._close(plan, DONE, entry)
             case "halt":
-                # A newer revision with the old weights, for those that have the plan and all others.
+                # A new revision with the previous weights: sidecars with the plan have to replace it.
                 self.in_force = WeightsInForce(self.next_revision, self.in_force.weights)
                 self.next_revision += 1
-                self._close(plan, HALTED, record)
+                self._close(plan, HALTED, entry)
             case "withdraw":
-                self._close(plan, WITHDRAWN, record)
+                self._close(plan, WITHDRAWN, entry)
         return True
 
-    def _close(self, plan: Plan, state: str, record: LogEntry) -> None:
-        plan.state, plan.why = state, str(record.get("reason", ""))[:1000]
-        plan.errors = {str(k): float(v) for k, v in dict(record.get("errors") or {}).items()}
+    def _close(self, plan: Plan, state: str, entry: LogEntry) -> None:
+        plan.state, plan.why = state, str(entry.get("reason", ""))[:1000]
+        plan.errors = {str(name): float(error) for name, error in dict(entry.get("errors") or {}).items()}
         if state != WITHDRAWN and plan.errors:
-            step = WIDEN_FACTOR if record.get("wrong") else NARROW_FACTOR
-            self.widening = min(MAX_WIDENING, max(1.0, self.widening * step))
+            factor = WIDEN_FACTOR if entry.get("wrong") else NARROW_FACTOR
+            self.widening = min(MAX_WIDENING, max(1.0, self.widening * factor))
         self.active = None
         self.history.append(plan)
         while len(self.history) > MAX_CLOSED_PLANS:
@@ -220,48 +243,55 @@
             self.dropped_plans += 1
 
     def dump(self) -> Any:
-        dump = _Snapshot(
+        """Return the state as JSON values, for a snapshot or `GET /registry/plans`."""
+        snapshot = _Snapshot(
             self.next_revision, self.in_force, self.active, self.history, self.widening, self.dropped_plans
         )
-        return msgspec.to_builtins(dump)
+        return msgspec.to_builtins(snapshot)
 
     def load(self, raw: Any) -> None:
+        """Replace the state by a snapshot; raise `LogEntryError`, with no change, if it is invalid."""
         try:
-            told = msgspec.convert(raw, _Snapshot)
+            snapshot = msgspec.convert(raw, _Snapshot)
         except msgspec.ValidationError as error:
-            raise LogEntryError(f"no dump of plans: {error}") from None
-        self.next_revision, self.in_force, self.active = told.next, told.force, told.active
-        self.history, self.widening, self.dropped_plans = told.history, told.widen, told.dropped
+            raise LogEntryError(f"invalid snapshot of plans: {error}") from None
+        self.next_revision, self.in_force, self.active = snapshot.next, snapshot.force, snapshot.active
+        self.history, self.widening, self.dropped_plans = snapshot.history, snapshot.widen, snapshot.dropped
 
 
 def sidecar_hash(revision: int, sidecar: str) -> int:
-    """The sidecar's hash, by which stages choose: another one for each plan."""
+    """Return the hash that decides in which stage the sidecar gets the plan; it differs by plan."""
     raw = f"{revision}:{sidecar}".encode()
     return int.from_bytes(blake2b(raw, digest_size=8).digest(), "big") % HASH_SPACE
 
 
 def cutoff_hash(revision: int, sidecars: list[str], share: float) -> int:
-    """The hash up to which `share` of these sidecars have the plan, one at least; all of any at 1."""
+    """Return the highest hash in the given share of these sidecars, rounded to at least one sidecar.
+
+    With a share of 1, or without sidecars, it is above every hash: sidecars that appear later are
+    included.
+    """
     if share >= 1.0 or not sidecars:
         return HASH_SPACE
-    spots = sorted(sidecar_hash(revision, one) for one in sidecars)
-    return spots[max(1, min(len(spots), round(share * len(spots)))) - 1]
+    hashes = sorted(sidecar_hash(revision, sidecar) for sidecar in sidecars)
+    return hashes[max(1, min(len(hashes), round(share * len(hashes)))) - 1]
 
 
 def plan_digest(weights: dict[str, float]) -> str:
+    """Return a digest of the weights that does not depend on their order."""
     raw = msgspec.json.encode(dict(sorted(weights.items())))
     return blake2b(raw, digest_size=16).hexdigest()
 
 
-def _read_cutoff(record: LogEntry) -> int:
-    cut = record.get("cut")
-    if type(cut) is not int or not 0 <= cut <= HASH_SPACE:
-        raise LogEntryError(f"no cut of the sidecars: {cut!r}")
-    return cut
+def _read_cutoff(entry: LogEntry) -> int:
+    cutoff = entry.get("cut")
+    if type(cutoff) is not int or not 0 <= cutoff <= HASH_SPACE:
+        raise LogEntryError(f"`cut` is not a hash of sidecars: {cutoff!r}")
+    return cutoff
 
 
-def _read_verdict(record: LogEntry) -> PlanVerdict:
+def _read_verdict(entry: LogEntry) -> PlanVerdict:
     try:
-        return msgspec.convert(record.get("verdict"), PlanVerdict)
+        return msgspec.convert(entry.get("verdict"), PlanVerdict)
     except msgspec.ValidationError as error:
-        raise LogEntryError(f"no verdict: {error}") from None
+        raise LogEntryError(f"invalid verdict: {error}") from None
--- a/woadyard/whatif/rollout.py
+++ b/woadyard/whatif/rollout.py
@@ -1,7 +1,9 @@
-"""How a plan goes out: a pure state machine over what the audit and the traces say.
+"""Decides the next step of a plan's rollout, from the audit's ledger and the sidecars' traces.
 
-Each stage waits until every one of its sidecars acts on the plan (the audit's word), then until
-enough is measured, then compares that with the forecast. It goes on only where all is inside.
+Each stage waits until the audit shows that all its sidecars have applied the plan, then until
+enough requests were measured, and then compares the measurement with the forecast. The rollout
+advances only if every monitored figure is within its interval, and is halted otherwise. The
+functions are pure.
 """
 
 from __future__ import annotations
@@ -13,14 +15,17 @@
 from woadyard.whatif.plans import Plan, cutoff_hash, sidecar_hash
 from woadyard.whatif.settings import Rules
 
-# What a stage is judged by.
+# A stage is halted if one of these is outside its forecast interval.
 MONITORED_FIGURES = ("aim", "p99", "refused", "failed")
 
 
 @dataclass(frozen=True)
 class Measurement:
-    """Of a stage's sidecars, since each acts on the plan: how long the shortest has, and figures,
-    each with its own interval: a stage of few sidecars is measured coarsely."""
+    """What the sidecars of a stage measured, each since it applied the plan.
+
+    `span_us` is the shortest time that one of them has used the plan. `figures` maps a name to
+    (value, low, high): a stage of few sidecars has wide intervals.
+    """
 
     span_us: int = 0
     requests: int = 0
@@ -29,76 +34,90 @@
 
 @dataclass(frozen=True)
 class RolloutStep:
-    """What to do: a record to write, or (None) wait; `why` for the operator."""
+    """The log entry to write, None to wait, and the reason for the operator."""
 
     entry: dict[str, Any] | None
     reason: str
 
 
-def lagging_sidecars(plan: Plan, acting: Mapping[str, int]) -> list[str]:
-    """Sidecars of the stage that act on something older; `acting` is each live one's revision."""
-    chosen = (one for one in acting if sidecar_hash(plan.revision, one) <= plan.cut)
-    return sorted(one for one in chosen if acting[one] < plan.revision)
+def lagging_sidecars(plan: Plan, applied: Mapping[str, int]) -> list[str]:
+    """Return the sidecars of the stage with an older revision than the plan's.
+
+    `applied` is the revision that each live sidecar has applied.
+    """
+    chosen = (name for name in applied if sidecar_hash(plan.revision, name) <= plan.cut)
+    return sorted(name for name in chosen if applied[name] < plan.revision)
 
 
-def updated_sidecars(plan: Plan, acting: Mapping[str, int]) -> list[str]:
-    """Sidecars of the stage that act on the plan."""
+def updated_sidecars(plan: Plan, applied: Mapping[str, int]) -> list[str]:
+    """Return the sidecars of the stage that have applied the plan."""
     return sorted(
-        one for one in acting if sidecar_hash(plan.revision, one) <= plan.cut and acting[one] == plan.revision
+        name
+        for name in applied
+        if sidecar_hash(plan.revision, name) <= plan.cut and applied[name] == plan.revision
     )
 
 
 def next_step(
-    now: int, plan: Plan, acting: Mapping[str, int], measured: Measurement, rules: Rules
+    now: int, plan: Plan, applied: Mapping[str, int], measurement: Measurement, rules: Rules
 ) -> RolloutStep:
-    """The next step of a plan that is rolling. `now` is the service's wall time, µs."""
-    late, here = lagging_sidecars(plan, acting), updated_sidecars(plan, acting)
-    if not here:
-        return RolloutStep(None, "no sidecar acts on the plan yet")
-    if late:
-        waited = now - plan.since >= rules.stage_wait_s * 1e6
-        if not waited or len(late) > rules.missing_most * (len(late) + len(here)):
-            return RolloutStep(None, f"waits for {', '.join(late)}")
-    if outside := find_deviations(plan, measured, rules):
-        return _halt_step(plan, measured, "; ".join(outside))
-    if measured.span_us < rules.window_s * 1e6 or measured.requests < rules.measured_least:
-        return RolloutStep(None, f"measured {measured.requests} requests over {measured.span_us / 1e6:.1f} s")
+    """Return the next step of a plan that is rolling; `now` is the service's wall time in µs."""
+    lagging, updated = lagging_sidecars(plan, applied), updated_sidecars(plan, applied)
+    if not updated:
+        return RolloutStep(None, "no sidecar has applied the plan yet")
+    if lagging:
+        is_wait_over = now - plan.since >= rules.stage_wait_s * 1e6
+        if not is_wait_over or len(lagging) > rules.missing_most * (len(lagging) + len(updated)):
+            return RolloutStep(None, f"waiting for {', '.join(lagging)}")
+    if deviations := find_deviations(plan, measurement, rules):
+        return _halt_step(plan, measurement, "; ".join(deviations))
+    if measurement.span_us < rules.window_s * 1e6 or measurement.requests < rules.measured_least:
+        return RolloutStep(
+            None, f"measured {measurement.requests} requests over {measurement.span_us / 1e6:.1f} s"
+        )
     if plan.stage + 1 < len(plan.stages):
-        cut = max(plan.cut, cutoff_hash(plan.revision, list(acting), plan.stages[plan.stage + 1]))
-        record = {"op": "stage", "revision": plan.revision, "stage": plan.stage + 1, "cut": cut}
-        return RolloutStep(record, "all inside the forecast")
+        cutoff = max(plan.cut, cutoff_hash(plan.revision, list(applied), plan.stages[plan.stage + 1]))
+        entry = {"op": "stage", "revision": plan.revision, "stage": plan.stage + 1, "cut": cutoff}
+        return RolloutStep(entry, "all figures are within the forecast")
     return RolloutStep(
-        {"op": "done", "revision": plan.revision, "errors": forecast_errors(plan, measured)}, "done"
+        {"op": "done", "revision": plan.revision, "errors": forecast_errors(plan, measurement)}, "done"
     )
 
 
-def _halt_step(plan: Plan, measured: Measurement, why: str) -> RolloutStep:
-    found = {"errors": forecast_errors(plan, measured), "wrong": True}
-    return RolloutStep({"op": "halt", "revision": plan.revision, "reason": why, **found}, why)
+def _halt_step(plan: Plan, measurement: Measurement, reason: str) -> RolloutStep:
+    outcome = {"errors": forecast_errors(plan, measurement), "wrong": True}
+    return RolloutStep({"op": "halt", "revision": plan.revision, "reason": reason, **outcome}, reason)
+
 
+def find_deviations(plan: Plan, measurement: Measurement, rules: Rules) -> list[str]:
+    """Describe the monitored figures that are outside their intervals, once enough was measured.
 
-def find_deviations(plan: Plan, measured: Measurement, rules: Rules) -> list[str]:
-    """Figures outside of their intervals, once there is enough to judge by. While only a part of the
-    sidecars has the plan the fleet is between what was recorded and the forecast, and so may be they."""
-    if plan.verdict is None or measured.requests < rules.measured_least:
+    While only some of the sidecars have the plan, the fleet is in a state between the recording and
+    the forecast; the interval is then extended to the same margins around the recorded value.
+    """
+    if plan.verdict is None or measurement.requests < rules.measured_least:
         return []
-    if measured.span_us < rules.window_s * 1e6:
+    if measurement.span_us < rules.window_s * 1e6:
         return []
-    found = []
+    deviations = []
     for name in MONITORED_FIGURES:
-        if name in measured.figures and name in plan.verdict.figures:
+        if name in measurement.figures and name in plan.verdict.figures:
             value, low, high, recorded = plan.verdict.figures[name]
             if plan.stages[plan.stage] < 1.0:
                 low, high = min(low, recorded - (value - low)), max(high, recorded + (high - value))
-            seen, least, most = measured.figures[name]
-            if most < low or least > high:
-                found.append(f"{name} {seen:.4g} outside of {low:.4g} to {high:.4g}")
-    return found
+            measured, measured_low, measured_high = measurement.figures[name]
+            if measured_high < low or measured_low > high:
+                deviations.append(f"{name} {measured:.4g} outside of {low:.4g} to {high:.4g}")
+    return deviations
 
 
-def forecast_errors(plan: Plan, measured: Measurement) -> dict[str, float]:
-    """Measured less forecast."""
+def forecast_errors(plan: Plan, measurement: Measurement) -> dict[str, float]:
+    """Return measured minus forecast value for each figure that both have."""
     if plan.verdict is None:
         return {}
     figures = plan.verdict.figures
-    return {name: seen[0] - figures[name][0] for name, seen in measured.figures.items() if name in figures}
+    return {
+        name: measured[0] - figures[name][0]
+        for name, measured in measurement.figures.items()
+        if name in figures
+    }
--- a/woadyard/whatif/trace_fetcher.py
+++ b/woadyard/whatif/trace_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches recordings from sidecars' doors, in pieces, going on where a call broke off."""
+"""Fetches traces from the sidecars' admin listeners, in pieces; resumes after a failed request."""
 
 from __future__ import annotations
 
@@ -16,39 +16,47 @@
 
 LOG = logging.getLogger(__name__)
 REQUEST_TIMEOUT_S = 5.0
-MAX_FAILED_ATTEMPTS = 8  # in a row without a piece
-# Past this a recording is fetched anew, from what the ring still has.
+MAX_FAILED_ATTEMPTS = 8  # consecutive requests without a piece
+# A longer trace is discarded and fetched again from the oldest frame that the sidecar still has.
 MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 
 
 class TraceFetcher:
-    """One sidecar's recording, as far as it was fetched."""
+    """The trace of one sidecar, as far as it was fetched.
+
+    `incarnation` names the sidecar process that recorded it, `next_offset` the position in that
+    process's stream from which to go on.
+    """
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.reset()
+        self.discard()
 
-    def reset(self) -> None:
+    def discard(self) -> None:
+        """Drop the fetched data; the next fetch starts at the beginning."""
         self.incarnation, self.next_offset, self.data = "", 0, b""
 
     async def fetch(self, session: aiohttp.ClientSession, rng: random.Random) -> bytes:
-        """All that the ring has by now; PeerError where the door can't be reached."""
+        """Return the whole trace up to now.
+
+        Raises PeerError if the admin listener can't be reached or does not serve a trace.
+        """
         if len(self.data) > MAX_BUFFERED_BYTES:
-            self.reset()
-        tries, wait = 0, Backoff(rng, 0.05, 2.0)
+            self.discard()
+        failures, backoff = 0, Backoff(rng, 0.05, 2.0)
         while True:
             try:
                 piece = await self._fetch_piece(session)
             except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as error:
-                tries += 1
-                if tries >= MAX_FAILED_ATTEMPTS:
-                    what = f"no trace from {self.address}: {type(error).__name__}: {error}"
-                    remedy = "see whether the sidecar's door can be reached and it records"
-                    raise PeerError(what, remedy) from None
-                await asyncio.sleep(wait.next_delay_s())
+                failures += 1
+                if failures >= MAX_FAILED_ATTEMPTS:
+                    message = f"no trace from {self.address}: {type(error).__name__}: {error}"
+                    remedy = "check that the sidecar's admin listener can be reached and that it records"
+                    raise PeerError(message, remedy) from None
+                await asyncio.sleep(backoff.next_delay_s())
                 continue
-            tries = 0
-            wait.reset()
+            failures = 0
+            backoff.reset()
             self._append_piece(piece)
             if piece.next >= piece.end:
                 return self.data
@@ -60,35 +68,36 @@
         url = f"http://{self.address}/_trace"
         async with session.get(
             url, params=query, timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
-        ) as answer:
-            if answer.status != 200:
+        ) as response:
+            if response.status != 200:
                 raise PeerError(
-                    f"no trace from {self.address}: status {answer.status}",
-                    "name `record` in the sidecar's configuration",
+                    f"no trace from {self.address}: status {response.status}",
+                    "set `record` in the sidecar's configuration",
                 )
-            return msgspec.msgpack.decode(await answer.read(), type=Piece)
+            return msgspec.msgpack.decode(await response.read(), type=Piece)
 
     def _append_piece(self, piece: Piece) -> None:
         if piece.incarnation != self.incarnation or piece.start != self.next_offset:
-            # Another process, or the ring lost what lies between: its state comes first again.
-            self.reset()
+            # The sidecar restarted, or its ring dropped the frames in between: this piece then starts
+            # with the state at its beginning and can't be appended.
+            self.discard()
         self.incarnation, self.next_offset = piece.incarnation, piece.next
         self.data += piece.data
 
 
-async def fetch_traces(doors: dict[str, TraceFetcher], rng: random.Random) -> dict[str, Trace]:
-    """The traces by sidecar; one that can't be had is left out, with a log line."""
-    found: dict[str, Trace] = {}
+async def fetch_traces(fetchers: dict[str, TraceFetcher], rng: random.Random) -> dict[str, Trace]:
+    """Return the traces by sidecar name; one that can't be fetched or read is logged and left out."""
+    traces: dict[str, Trace] = {}
     async with aiohttp.ClientSession() as session:
-        names = sorted(doors)
+        names = sorted(fetchers)
         results = await asyncio.gather(
-            *(doors[name].fetch(session, rng) for name in names), return_exceptions=True
+            *(fetchers[name].fetch(session, rng) for name in names), return_exceptions=True
         )
     for name, data in zip(names, results, strict=True):
         try:
             if isinstance(data, BaseException):
                 raise data
-            found[name] = await asyncio.to_thread(read, data)
+            traces[name] = await asyncio.to_thread(read, data)
         except (PeerError, TraceError) as error:
             LOG.warning("no trace", extra={"sidecar": name, **error.fields()})
-    return found
+    return traces
