--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -1,4 +1,4 @@
-"""The book is the gate, and the rollout goes on only where all is inside the forecast."""
+"""The plans' state machine admits only plans that passed; the rollout advances only as forecast."""
 
 from __future__ import annotations
 
@@ -25,165 +25,176 @@
 FLEET = [f"s{n}" for n in range(10)]
 
 
-def propose(**changes: Any) -> dict[str, Any]:
+def proposal_entry(**changes: Any) -> dict[str, Any]:
     return {"op": "propose", "at": 0, "weights": WEIGHTS, "stages": [0.2, 1.0], **changes}
 
 
-def verdict(**changes: Any) -> dict[str, Any]:
+def verdict_entry(**changes: Any) -> dict[str, Any]:
     figures = {"aim": [0.95, 0.93, 0.97, 0.94], "p99": [9e4, 8e4, 1e5, 9e4]}
-    told = {"state": "better", "reason": "", "plan": plan_digest(WEIGHTS), "trace": "t", "list": "l",
-            "at": 0, "age_us": 60 * SECOND, "figures": figures, **changes}  # fmt: skip
-    return {"op": "judge", "revision": 1, "verdict": told}
+    verdict = {"state": "better", "reason": "", "plan": plan_digest(WEIGHTS), "trace": "t", "list": "l",
+               "at": 0, "age_us": 60 * SECOND, "figures": figures, **changes}  # fmt: skip
+    return {"op": "judge", "revision": 1, "verdict": verdict}
 
 
-def begin(**changes: Any) -> dict[str, Any]:
+def begin_entry(**changes: Any) -> dict[str, Any]:
     return {"op": "begin", "revision": 1, "at": SECOND, "list": "l", "cut": 1 << 51, **changes}
 
 
-def write(book: PlansState, *records: dict[str, Any]) -> PlansState:
-    for record in records:
-        book.check(record)
-        book.apply(json.loads(json.dumps(record)))
-    return book
+def apply_entries(plans: PlansState, *entries: dict[str, Any]) -> PlansState:
+    for entry in entries:
+        plans.check(entry)
+        plans.apply(json.loads(json.dumps(entry)))
+    return plans
 
 
 @pytest.mark.parametrize(
-    ("records", "why"),
+    ("entries", "reason"),
     [
-        ([begin()], "has no verdict"),
-        ([verdict(state="worse"), begin()], "worse"),
-        ([verdict(state="cannot tell"), begin()], "cannot tell"),
-        ([verdict(), begin(list="other")], "another list"),
-        ([verdict(), begin(at=61 * SECOND)], "too old"),
-        ([verdict(plan=plan_digest({"e1": 1.0}))], "another plan"),
+        ([begin_entry()], "has no verdict"),
+        ([verdict_entry(state="worse"), begin_entry()], "worse"),
+        ([verdict_entry(state="cannot tell"), begin_entry()], "cannot tell"),
+        ([verdict_entry(), begin_entry(list="other")], "another list"),
+        ([verdict_entry(), begin_entry(at=61 * SECOND)], "too old"),
+        ([verdict_entry(plan=plan_digest({"e1": 1.0}))], "another plan"),
         ([{"op": "force", "revision": 1, "reason": " "}], "reason"),
-        ([propose()], "one plan at a time"),
-        ([verdict(), begin(), begin()], "rolling"),
-        ([verdict(), begin(), {"op": "done", "revision": 1}], "done after"),
+        ([proposal_entry()], "one plan at a time"),
+        ([verdict_entry(), begin_entry(), begin_entry()], "rolling"),
+        ([verdict_entry(), begin_entry(), {"op": "done", "revision": 1}], "done after"),
     ],
 )
-def test_the_gate_lets_nothing_out_that_it_must_not(records: list[dict[str, Any]], why: str) -> None:
-    book = write(PlansState(), propose(), *records[:-1])
-    before = book.dump()
-    with pytest.raises(LogEntryError, match=why) as refused:
-        book.check(records[-1])
-    assert refused.value.remedy and book.dump() == before
-
-
-def test_a_forced_plan_goes_out_and_keeps_its_reason() -> None:
-    forced = {"op": "force", "revision": 1, "reason": "rack 4 burns"}
-    book = write(PlansState(), propose(), verdict(state="worse"), forced, begin(at=999 * SECOND))
-    assert book.active is not None and (book.active.state, book.active.forced) == ("rolling", "rack 4 burns")
-
-
-def test_a_halt_brings_the_old_weights_back_under_a_newer_revision() -> None:
-    book = write(PlansState(), propose(), verdict(), begin())
-    told = {one: book.directive(one)["revision"] for one in FLEET}
-    assert set(told.values()) == {0, 1}
+def test_invalid_entry_is_rejected_and_changes_nothing(entries: list[dict[str, Any]], reason: str) -> None:
+    plans = apply_entries(PlansState(), proposal_entry(), *entries[:-1])
+    before = plans.dump()
+    with pytest.raises(LogEntryError, match=reason) as rejected:
+        plans.check(entries[-1])
+    assert rejected.value.remedy and plans.dump() == before
+
+
+def test_forced_plan_begins_and_keeps_its_reason() -> None:
+    force = {"op": "force", "revision": 1, "reason": "rack 4 burns"}
+    plans = apply_entries(
+        PlansState(), proposal_entry(), verdict_entry(state="worse"), force, begin_entry(at=999 * SECOND)
+    )
+    assert plans.active is not None and (plans.active.state, plans.active.forced) == (
+        "rolling",
+        "rack 4 burns",
+    )
+
+
+def test_halt_restores_the_previous_weights_under_a_newer_revision() -> None:
+    plans = apply_entries(PlansState(), proposal_entry(), verdict_entry(), begin_entry())
+    revisions = {sidecar: plans.directive(sidecar)["revision"] for sidecar in FLEET}
+    assert set(revisions.values()) == {0, 1}
     halt = {"op": "halt", "revision": 1, "reason": "p99", "errors": {"p99": 3e4}, "wrong": True}
-    write(book, halt)
-    assert {json.dumps(book.directive(one)) for one in FLEET} == {'{"revision": 2, "weights": {}}'}
-    assert book.widening > 1.0 and book.history[-1].errors == {"p99": 3e4}
+    apply_entries(plans, halt)
+    assert {json.dumps(plans.directive(sidecar)) for sidecar in FLEET} == {'{"revision": 2, "weights": {}}'}
+    assert plans.widening > 1.0 and plans.history[-1].errors == {"p99": 3e4}
 
 
-OPS = st.sampled_from([
-    propose(), verdict(), begin(), {"op": "stage", "revision": 1, "stage": 1, "cut": 1 << 52},
+ENTRIES = st.sampled_from([
+    proposal_entry(), verdict_entry(), begin_entry(),
+    {"op": "stage", "revision": 1, "stage": 1, "cut": 1 << 52},
     {"op": "done", "revision": 1}, {"op": "halt", "revision": 1}, {"op": "withdraw", "revision": 1},
     {"op": "force", "revision": 1, "reason": "x"}, {"op": "nonsense", "revision": 1}, {},
-    begin(cut="x"), verdict(at="x"), propose(stages=[1.0, 0.5]), propose(weights={"e": -1}),
+    begin_entry(cut="x"), verdict_entry(at="x"), proposal_entry(stages=[1.0, 0.5]),
+    proposal_entry(weights={"e": -1}),
 ])  # fmt: skip
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(OPS, max_size=12))
-def test_any_records_leave_one_plan_revisions_that_grow_and_a_dump_that_loads(ops: list[Any]) -> None:
-    book, last = PlansState(), {one: 0 for one in FLEET}
-    for record in ops:
-        record = {**record, "revision": book.next_revision - 1} if "revision" in record else record
+@given(st.lists(ENTRIES, max_size=12))
+def test_any_entries_keep_revisions_growing_and_the_snapshot_loadable(entries: list[Any]) -> None:
+    """At most two revisions are in use at a time and no sidecar goes back to an older one."""
+    plans, previous = PlansState(), {sidecar: 0 for sidecar in FLEET}
+    for entry in entries:
+        entry = {**entry, "revision": plans.next_revision - 1} if "revision" in entry else entry
         try:
-            book.check(record)
+            plans.check(entry)
         except LogEntryError:
             continue
-        book.apply(record)
-        told = {one: book.directive(one)["revision"] for one in FLEET}
-        assert len(set(told.values())) <= 2 and all(told[one] >= last[one] for one in FLEET)
-        last = told
-    again = PlansState()
-    again.load(json.loads(json.dumps(book.dump())))
-    assert again.dump() == book.dump()
+        plans.apply(entry)
+        revisions = {sidecar: plans.directive(sidecar)["revision"] for sidecar in FLEET}
+        assert len(set(revisions.values())) <= 2 and all(
+            revisions[sidecar] >= previous[sidecar] for sidecar in FLEET
+        )
+        previous = revisions
+    restored = PlansState()
+    restored.load(json.loads(json.dumps(plans.dump())))
+    assert restored.dump() == plans.dump()
 
 
-def rolling() -> PlansState:
-    return write(PlansState(), propose(), verdict(), begin())
+def rolling_plans() -> PlansState:
+    return apply_entries(PlansState(), proposal_entry(), verdict_entry(), begin_entry())
 
 
-def inside(**changes: tuple[float, float, float]) -> Measurement:
+def as_forecast(**changes: tuple[float, float, float]) -> Measurement:
     return Measurement(6 * SECOND, 500, {"aim": (0.95, 0.94, 0.96), "p99": (9e4, 8e4, 1e5), **changes})
 
 
-def test_a_rollout_waits_for_the_audit_then_measures_then_goes_on_to_the_end() -> None:
-    book = rolling()
-    plan = book.active
+def test_rollout_waits_for_the_sidecars_then_measures_then_advances_until_done() -> None:
+    plans = rolling_plans()
+    plan = plans.active
     assert plan is not None
-    acting = dict.fromkeys(FLEET, 0)
-    assert next_step(2 * SECOND, plan, acting, inside(), RULES).entry is None
-    late, *others = [one for one in FLEET if book.directive(one)["revision"] == 1]
-    acting |= dict.fromkeys(others, 1)
-    # One is cut off: it holds the old plan, and the stage waits for it, past its time too.
-    waits = next_step(999 * SECOND, plan, acting, inside(), RULES)
-    assert waits.entry is None and late in waits.reason
-    most = Rules(window_s=5, measured_least=100, stage_wait_s=30, missing_most=0.5)
-    assert (
-        next_step(2 * SECOND, plan, acting, inside(), most).entry is None
-    )  # by rule goes on, after the wait
-    assert (next_step(999 * SECOND, plan, acting, inside(), most).entry or {})["op"] == "stage"
-    acting[late] = 1
-    assert next_step(2 * SECOND, plan, acting, Measurement(SECOND, 90), RULES).entry is None
-    done = next_step(2 * SECOND, plan, acting, inside(), RULES).entry
-    assert done is not None
-    write(book, done)
+    applied = dict.fromkeys(FLEET, 0)
+    assert next_step(2 * SECOND, plan, applied, as_forecast(), RULES).entry is None
+    lagging, *others = [sidecar for sidecar in FLEET if plans.directive(sidecar)["revision"] == 1]
+    applied |= dict.fromkeys(others, 1)
+    # One sidecar is disconnected and has the old plan: the stage waits for it, after the wait time too.
+    waiting = next_step(999 * SECOND, plan, applied, as_forecast(), RULES)
+    assert waiting.entry is None and lagging in waiting.reason
+    tolerant = Rules(window_s=5, measured_least=100, stage_wait_s=30, missing_most=0.5)
+    # Rules that tolerate missing sidecars let the stage advance, but only after the wait time.
+    assert next_step(2 * SECOND, plan, applied, as_forecast(), tolerant).entry is None
+    assert (next_step(999 * SECOND, plan, applied, as_forecast(), tolerant).entry or {})["op"] == "stage"
+    applied[lagging] = 1
+    assert next_step(2 * SECOND, plan, applied, Measurement(SECOND, 90), RULES).entry is None
+    stage = next_step(2 * SECOND, plan, applied, as_forecast(), RULES).entry
+    assert stage is not None
+    apply_entries(plans, stage)
     assert updated_sidecars(plan, dict.fromkeys(FLEET, 1)) == FLEET
-    last = next_step(9 * SECOND, plan, dict.fromkeys(FLEET, 1), inside(), RULES).entry
-    assert last is not None and last["op"] == "done"
-    write(book, last)
-    assert book.active is None and book.directive("new")["weights"] == WEIGHTS
-
-
-def test_a_figure_outside_of_its_interval_halts() -> None:
-    book = rolling()
-    assert book.active is not None
-    acting = {one: book.directive(one)["revision"] for one in FLEET}
-    record = next_step(9 * SECOND, book.active, acting, inside(p99=(3e5, 2e5, 4e5)), RULES).entry
-    assert record is not None and record["op"] == "halt" and "p99" in record["reason"]
-    write(book, record)
-    assert book.history[-1].errors["p99"] == pytest.approx(2.1e5)
-
-
-def test_a_sidecar_resolves_a_plan_for_each_list_and_takes_it_whole_or_not_at_all() -> None:
-    weighed: list[Any] = []
-    used: list[int] = []
-    weights = PlannedWeights(weighed.append, lambda revision, told: used.append(revision))
+    done = next_step(9 * SECOND, plan, dict.fromkeys(FLEET, 1), as_forecast(), RULES).entry
+    assert done is not None and done["op"] == "done"
+    apply_entries(plans, done)
+    assert plans.active is None and plans.directive("new")["weights"] == WEIGHTS
+
+
+def test_figure_outside_its_forecast_interval_halts_the_rollout() -> None:
+    plans = rolling_plans()
+    assert plans.active is not None
+    applied = {sidecar: plans.directive(sidecar)["revision"] for sidecar in FLEET}
+    halt = next_step(9 * SECOND, plans.active, applied, as_forecast(p99=(3e5, 2e5, 4e5)), RULES).entry
+    assert halt is not None and halt["op"] == "halt" and "p99" in halt["reason"]
+    apply_entries(plans, halt)
+    assert plans.history[-1].errors["p99"] == pytest.approx(2.1e5)
+
+
+def test_sidecar_resolves_a_plan_against_each_list_and_rejects_an_invalid_one_whole() -> None:
+    factors: list[Any] = []
+    revisions: list[int] = []
+    planned = PlannedWeights(factors.append, lambda revision, weights: revisions.append(revision))
     entries = [{"instanceId": f"e{n}", "machineType": kind} for n, kind in enumerate(["old", "new", "new"])]
-    weights.list_applied(LIST_FULL, entries[:2])
-    told = {"revision": 3, "weights": {"machineType=old": 1.0, "e1": 4.0, "machineType=new": 2.0}}
-    assert weights.apply_directive(told) == 3 and weighed == [{"e0": 0.25, "e1": 1.0}]
-    weights.list_applied(LIST_DELTA, entries[2:])
-    assert weighed[-1] == {"e0": 0.25, "e1": 1.0, "e2": 0.5}
-    none: list[Any] = [{"revision": 4, "weights": {"e1": 0}}, {"revision": -1}, {"weights": {}}, [], None]
-    for bad in none:
+    planned.list_applied(LIST_FULL, entries[:2])
+    directive = {"revision": 3, "weights": {"machineType=old": 1.0, "e1": 4.0, "machineType=new": 2.0}}
+    assert planned.apply_directive(directive) == 3 and factors == [{"e0": 0.25, "e1": 1.0}]
+    planned.list_applied(LIST_DELTA, entries[2:])
+    assert factors[-1] == {"e0": 0.25, "e1": 1.0, "e2": 0.5}
+    invalid_directives: list[Any] = [
+        {"revision": 4, "weights": {"e1": 0}}, {"revision": -1}, {"weights": {}}, [], None,
+    ]  # fmt: skip
+    for invalid in invalid_directives:
         with pytest.raises(PeerError):
-            weights.apply_directive(bad)
-    assert weights.apply_directive(told) == 3 and used == [3]
-    assert weights.apply_directive({"revision": 5, "weights": {}}) == 5 and weighed[-1] == {}
+            planned.apply_directive(invalid)
+    assert planned.apply_directive(directive) == 3 and revisions == [3]
+    assert planned.apply_directive({"revision": 5, "weights": {}}) == 5 and factors[-1] == {}
 
 
-def test_a_stage_is_measured_from_where_each_sidecar_took_the_plan() -> None:
+def test_stage_is_measured_from_when_each_sidecar_applied_the_plan() -> None:
     trace = read(whatif_world.record(["small", "old"], sidecars=1, seconds=10)[0][0])
-    began = trace.requests[len(trace.requests) // 2].at
+    applied_at = trace.requests[len(trace.requests) // 2].at
     assert measure([trace], 7, 0.9).requests == 0
-    trace.changes.append(Weighed(began, 7, {}))
-    found = measure([trace], 7, 0.9)
-    later = [one for one in trace.requests if one.at >= began]
-    assert found.requests == len(later) and found.span_us == later[-1].at - began
-    share, low, high = found.figures["aim"]
-    assert low < share < high and found.figures["p50"][0] < found.figures["p99"][0]
+    trace.changes.append(Weighed(applied_at, 7, {}))
+    measurement = measure([trace], 7, 0.9)
+    later = [request for request in trace.requests if request.at >= applied_at]
+    assert measurement.requests == len(later) and measurement.span_us == later[-1].at - applied_at
+    share, low, high = measurement.figures["aim"]
+    assert low < share < high and measurement.figures["p50"][0] < measurement.figures["p99"][0]
--- a/tests/test_whatif_trace_fetcher.py
+++ b/tests/test_whatif_trace_fetcher.py
@@ -1,4 +1,4 @@
-"""What a running sidecar records comes whole through the door, over a link that is cut and reset."""
+"""A trace fetched from a running sidecar is complete, though the connection is cut and reset."""
 
 from __future__ import annotations
 
@@ -28,59 +28,61 @@
 from woadyard.whatif.trace import read
 from woadyard.whatif.trace_fetcher import TraceFetcher
 
-ASKED = 400
+REQUESTS = 400
 
 
-async def big_or_small(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+async def send_body_of_random_size(endpoint: Endpoint, message: Message, writer: Writer) -> None:
     writer.write(http_response(body=b"x" * random.Random(len(endpoint.received)).randrange(10)))
 
 
-def test_a_recording_comes_whole_through_a_link_that_is_cut_and_reset(
+def test_trace_is_fetched_completely_over_a_connection_that_is_cut_and_reset(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(trace_fetcher, "MAX_FAILED_ATTEMPTS", 1_000)
 
     async def test() -> None:
-        endpoints, registry = [Endpoint(big_or_small) for _ in range(3)], FakeDiscovery()
-        for one in (*endpoints, registry):
-            await one.start()
-        door, port = free_port(), free_port()
+        endpoints, registry = [Endpoint(send_body_of_random_size) for _ in range(3)], FakeDiscovery()
+        for server in (*endpoints, registry):
+            await server.start()
+        admin_port, port = free_port(), free_port()
         environ = {
             **sidecar_environ(tmp_path, registry, *endpoints, record={"memory-kb": 1024}),
-            "LB_CONSOLE": f"127.0.0.1:{door}", "LB_LISTEN": f"127.0.0.1:{port}",
+            "LB_CONSOLE": f"127.0.0.1:{admin_port}", "LB_LISTEN": f"127.0.0.1:{port}",
         }  # fmt: skip
         raw = json.loads(Path(environ["LB_CONFIG"]).read_text())
-        raw["known"]["instances"] = [one.entry(f"s-{n}") for n, one in enumerate(endpoints)]
+        raw["known"]["instances"] = [endpoint.entry(f"s-{n}") for n, endpoint in enumerate(endpoints)]
         Path(environ["LB_CONFIG"]).write_text(json.dumps(raw))
         process = await start_sidecar(environ)
         try:
-            await wait_until_ready(door)
+            await wait_until_ready(admin_port)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            for number in range(ASKED):
+            for number in range(REQUESTS):
                 writer.write(http_request(rid=f"r{number}"))
                 await read_message(reader)
-            proxy = FaultProxy(target=door)
+            proxy = FaultProxy(target=admin_port)
             await proxy.start()
-            fetched, chance, ended = (
+            fetcher, rng, stop = (
                 TraceFetcher(f"127.0.0.1:{proxy.port}"),
                 random.Random(3),
                 asyncio.Event(),
             )
 
-            async def trouble() -> None:
-                while not ended.is_set():
-                    proxy.fault(chance.choice((PASS, CUT, RESET)))
+            async def inject_faults() -> None:
+                while not stop.is_set():
+                    proxy.fault(rng.choice((PASS, CUT, RESET)))
                     await asyncio.sleep(0.03)
 
-            troubled = asyncio.create_task(trouble())
+            faults = asyncio.create_task(inject_faults())
             async with aiohttp.ClientSession() as session:
-                trace = read(await fetched.fetch(session, chance))
-            ended.set()
-            await troubled
-            assert [one.request for one in trace.requests] == list(range(1, ASKED + 1))
-            assert all(one.status == 200 and one.tries[-1].outcome == OK for one in trace.requests)
-            assert sum(len(one.tries) for one in trace.requests) == sum(
-                len(one.received) for one in endpoints
+                trace = read(await fetcher.fetch(session, rng))
+            stop.set()
+            await faults
+            assert [recorded.request for recorded in trace.requests] == list(range(1, REQUESTS + 1))
+            assert all(
+                recorded.status == 200 and recorded.tries[-1].outcome == OK for recorded in trace.requests
+            )
+            assert sum(len(recorded.tries) for recorded in trace.requests) == sum(
+                len(endpoint.received) for endpoint in endpoints
             )
             assert trace.started.sidecar == "n1" and trace.dropped == 0
         finally:
@@ -90,7 +92,7 @@
     run_test(test())
 
 
-def test_a_door_that_is_gone_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unreachable_admin_listener_raises_an_error_with_a_remedy(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(trace_fetcher, "MAX_FAILED_ATTEMPTS", 2)
 
     async def test() -> None:
