--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -18,7 +18,7 @@
 
 from tests.process import Process
 from tests.sockets import SETTINGS, Endpoint, Message, Writer, http_request, http_response, read_message
-from tests.test_registry import ask
+from tests.test_registry import call_registry
 from woadyard.lists.service import INSTANCES_PATH
 from woadyard.standins import CUT, DELAY, DROP, HERE, PASS, RESET, FaultProxy
 
@@ -205,7 +205,7 @@
         return 0
 
     async def write_entry(self, method: str, target: str, entry: dict[str, Any], which: int = 0) -> int:
-        status, answer = await ask(self.ports[which], method, target, json.dumps(entry).encode())
+        status, answer = await call_registry(self.ports[which], method, target, json.dumps(entry).encode())
         assert status == 200, answer
         return int(answer["generation"])
 
@@ -241,7 +241,7 @@
     # --- The ledger -------------------------------------------------------------------
 
     async def query_audit(self, target: str, which: int = 0) -> Any:
-        _, answer = await ask(self.ports[which], "GET", f"{AUDIT}/{target}")
+        _, answer = await call_registry(self.ports[which], "GET", f"{AUDIT}/{target}")
         return answer
 
     async def reported_counts(self, which: int = 0) -> Counter[tuple[str, str]]:
