--- a/woadyard/whatif/controller.py
+++ b/woadyard/whatif/controller.py
@@ -162,7 +162,7 @@
             fetchers = {name: self.fetchers[name] for name in recording[:MAX_MEASURED_SIDECARS]}
             traces = await fetch_traces(fetchers, self.rng)
             if len(traces) == len(fetchers):
-                # In a thread, as a trace has some ten thousand requests.
+                # In a thread, as some ten thousand requests per trace would block the event loop.
                 measurement = await asyncio.to_thread(
                     measure, list(traces.values()), plan.revision, rules.confidence
                 )
--- a/woadyard/whatif/rollout.py
+++ b/woadyard/whatif/rollout.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class RolloutStep:
-    """The log entry to write, None to wait, and the reason for the operator."""
+    """The next step: `entry` is the log entry to write, or None to wait; `reason` is for the operator."""
 
     entry: dict[str, Any] | None
     reason: str
--- a/woadyard/whatif/trace_fetcher.py
+++ b/woadyard/whatif/trace_fetcher.py
@@ -33,7 +33,7 @@
         self.discard()
 
     def discard(self) -> None:
-        """Drop the fetched data; the next fetch starts at the beginning."""
+        """Drop the fetched data; the next fetch starts with the oldest frame that the sidecar has."""
         self.incarnation, self.next_offset, self.data = "", 0, b""
 
     async def fetch(self, session: aiohttp.ClientSession, rng: random.Random) -> bytes:
