--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -29,8 +29,8 @@
         try:
             async with asyncio.timeout(MOST_S), World(Path(folder), size, regional=regional) as world:
                 async for found in phases.play(world, chosen):
-                    told = figures.points(run, turn, world, found)
-                    points.write(out, told)
+                    told = figures.phase_points(run, turn, world, found)
+                    points.append_points(out, told)
                     shown(found.phase, told)
         except TimeoutError:
             raise StateError(f"size {size} hangs", "run one phase alone; see the machine's load") from None
@@ -41,7 +41,9 @@
     if told:
         one = told[0]
         late = f"the driver's loops came {one.driver_lag_p99_ms} ms late (p99)"
-        say("VOID" if one.void else "fine", f"{phase}: {late}, {one.driver_cpu} of a core; load {one.load}")
+        say(
+            "VOID" if one.is_void else "fine", f"{phase}: {late}, {one.driver_cpu} of a core; load {one.load}"
+        )
     for one in told:
         say(f"  {one.phase:8} {one.role:8} {one.metric:26} {one.value:>14.6g} {one.unit}  {one.note}")
 
--- a/benchmarks/scale/listings.py
+++ b/benchmarks/scale/endpoint_lists.py
@@ -12,11 +12,11 @@
     "ap-south-1a", "ap-south-1b", "ap-south-1c",
 )  # fmt: skip
 REGIONS = {zone: zone[:-1] for zone in ZONES}
-CELL = 4  # endpoints that share one
-STARTED_MS = 1_764_000_000_000  # long ago: none is cold
+ENDPOINTS_PER_CELL = 4  # endpoints that share one
+FIRST_START_MS = 1_764_000_000_000  # long ago: none is cold
 
 
-def names(size: int) -> list[str]:
+def instance_ids(size: int) -> list[str]:
     """Distinct, the same in each run."""
     rng, found = random.Random(27), dict[str, None]()
     while len(found) < size:
@@ -24,18 +24,18 @@
     return list(found)
 
 
-def address(at: int, ports: list[int] | None) -> str:
+def host_port(at: int, ports: list[int] | None) -> str:
     return f"127.0.0.1:{ports[at % len(ports)]}" if ports else f"10.12.{130 + at // 200}.{at % 200}:7070"
 
 
-def entries(size: int, ports: list[int] | None = None) -> list[dict[str, Any]]:
+def list_entries(size: int, ports: list[int] | None = None) -> list[dict[str, Any]]:
     """A list of `size` endpoints, spread over the zones. With `ports` they stand on this machine, on
     these in turns; without, at addresses that are as long as real ones and are never called."""
     return [
         {
-            "instanceId": name, "hostPort": address(n, ports),
-            "zone": ZONES[n % len(ZONES)], "machineType": "c7g-2xlarge", "cell": n // CELL,
-            "lifecycle": "ready", "weight": 1.0, "startedAtMs": STARTED_MS + n,
+            "instanceId": name, "hostPort": host_port(n, ports),
+            "zone": ZONES[n % len(ZONES)], "machineType": "c7g-2xlarge", "cell": n // ENDPOINTS_PER_CELL,
+            "lifecycle": "ready", "weight": 1.0, "startedAtMs": FIRST_START_MS + n,
         }
-        for n, name in enumerate(names(size))
+        for n, name in enumerate(instance_ids(size))
     ]  # fmt: skip
--- a/benchmarks/scale/exchange.py
+++ b/benchmarks/scale/exchange.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from benchmarks import gossip
-from benchmarks.scale import listings, points, usage
+from benchmarks.scale import endpoint_lists, points, usage
 from benchmarks.scale.points import Point
 from benchmarks.scale.state import LIMIT, OWN
 from tests.lab import Lab
@@ -49,14 +49,14 @@
         )
         for metric, value in found.items()
     ]  # fmt: skip
-    points.write(out, made)
+    points.append_points(out, made)
     for point in made:
-        usage.show(point)
+        usage.print_point(point)
 
 
 def exchanged(out: Path, run: str, size: int, turn: int) -> None:
     """Of gossip. There is no driver that could be late: the clock is the stores' own."""
-    named, none = listings.names(size), (0.0, 0.0)
+    named, none = endpoint_lists.instance_ids(size), (0.0, 0.0)
     for phase, accusers in (("quiet", 0), ("accusing", max(1, size // ACCUSING))):
         rate = gossip.wire(size, accusers, turn, named)
         write(out, run, "gossip", phase, size, turn, none, bytes_per_sidecar_and_second=rate)
@@ -74,8 +74,8 @@
     def __init__(self, service: str, size: int) -> None:
         self.answered = 0
         self.settings = SharedSettings("127.0.0.1:0", service, limit=LIMIT)
-        self.known = [endpoint_number(name) for name in listings.names(size)]
-        self.all = [self._holder(n, name) for n, name in enumerate(listings.names(size))]
+        self.known = [endpoint_number(name) for name in endpoint_lists.instance_ids(size)]
+        self.all = [self._holder(n, name) for n, name in enumerate(endpoint_lists.instance_ids(size))]
 
     def _holder(self, at: int, name: str) -> LimitShares:
         own = [self.known[(at + n) % len(self.known)] for n in range(OWN)]
@@ -117,10 +117,10 @@
         holders = Holders(f"127.0.0.1:{service.port}", size)
         try:
             await holders.open(spread_s)
-            lag, before, cpu = usage.Lag(), holders.answered, usage.cpu_s(pid)
+            lag, before, cpu = usage.LoopMeter(), holders.answered, usage.cpu_s(pid)
             await asyncio.sleep(seconds)
             calls, used = holders.answered - before, usage.cpu_s(pid) - cpu
-            found = lag.end()
+            found = lag.stop()
             held = sum(bool(one.lease.caps) for one in holders.all)
         finally:
             await holders.close()
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -27,7 +27,7 @@
 
 from msgspec import structs
 
-from benchmarks.scale.points import Point, write
+from benchmarks.scale.points import Point, append_points
 from tests.lab import Lab, Program, free_port
 from tests.test_registry import ENTRY
 from woadyard.lists.service import INSTANCES_PATH
@@ -213,7 +213,7 @@
                     points.append(structs.replace(base, metric=f"{metric}_{kind}", value=round(value, 3)))
                 print(f"{size} watchers, {metric}: {sorted(round(value, 2) for value in values)}")
             print(f"driver: loop late p99 {late_ms:.1f} ms, {share:.2f} of a core; load {base.load}")
-            write(out, points)
+            append_points(out, points)
 
 
 def main() -> None:
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -28,7 +28,7 @@
     note: str = ""
 
 
-def points(run: str, turn: int, world: World, found: Measured) -> list[Point]:
+def phase_points(run: str, turn: int, world: World, found: Measured) -> list[Point]:
     return [
         Point(
             run, one.role, found.phase, world.size, one.metric, one.unit, round(one.value, 6), turn=turn,
@@ -90,7 +90,7 @@
     yield Figure(role, "cpu_s_per_s", "s/s", cpu / found.seconds)
     if peaks := [found.peaks[one] for one in there if one in found.peaks]:
         yield Figure(role, "cpu_peak_s_per_s", "s/s", max(peaks), "within one second")
-    yield Figure(role, "rss_bytes", "bytes", statistics.fmean(found.after[one].rss for one in there))
+    yield Figure(role, "rss_bytes", "bytes", statistics.fmean(found.after[one].rss_bytes for one in there))
 
 
 def control(world: World, found: Measured) -> Iterator[Figure]:
@@ -180,7 +180,7 @@
     """Bytes that a process read; 0 where it was not there all along."""
     if name not in found.before or name not in found.after:
         return 0.0
-    return max(0, found.after[name].bytes_in - found.before[name].bytes_in)
+    return max(0, found.after[name].bytes_read - found.before[name].bytes_read)
 
 
 def _flows(
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -23,10 +23,10 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from benchmarks.scale.points import Point, read
+from benchmarks.scale.points import Point, read_points
 from woadyard.errors import WoadyardError
 
-FOLDER = Path(__file__).parents[2] / "docs" / "capacity"
+POINTS_FOLDER = Path(__file__).parents[2] / "docs" / "capacity"
 MISS, SCATTER, NOISE, MEND, KNEE_SIZES = 0.05, 0.25, 2.0, 0.25, 4
 
 Series = tuple[str, str, str]  # role, phase, metric
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class Fit:
+class LineFit:
     """The line of one series: `slope * size + base`, in the metric's unit, and how well it tells."""
 
     unit: str
@@ -49,29 +49,29 @@
     means: tuple[float, ...]  # of the turns at each size
     slope: float
     base: float
-    miss: float  # the greatest distance of a size's mean from the line
+    max_residual: float  # the greatest distance of a size's mean from the line
     r2: float  # 1 where all means are alike
     slope_error: float  # standard error of the slope; nan with fewer than three points
     knee: float | None  # the size where two lines meet that tell more than one
-    scatter: bool  # neither one line nor two tell it
-    points: int
-    void: int
-    turns: int  # at the size that was run least often
-    load: float  # of the machine, the greatest of the points that count
+    is_scatter: bool  # neither one line nor two tell it
+    point_count: int
+    void_count: int
+    min_turns: int  # at the size that was run least often
+    max_load: float  # of the machine, the greatest of the points that count
 
     @property
     def is_line(self) -> bool:
-        return self.knee is None and not self.scatter
+        return self.knee is None and not self.is_scatter
 
     @property
     def verdict(self) -> str:
-        if self.scatter:
+        if self.is_scatter:
             return "no line, scatter"
         if self.knee is not None:
             return f"no line, knee at {self.knee:g}"
         return "line" if len(self.sizes) >= KNEE_SIZES else f"line of {len(self.sizes)} sizes"
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """The line's value; where it is none, between the means of the sizes next to it, and past them
         on the straight through the last two."""
         if self.is_line:
@@ -81,7 +81,7 @@
         return y + (other - y) * (size - x) / (further - x)
 
 
-def gather(points: Iterable[Point]) -> dict[Series, list[Point]]:
+def group_by_series(points: Iterable[Point]) -> dict[Series, list[Point]]:
     """By series; PointsError where one has two units."""
     found: dict[Series, list[Point]] = {}
     for point in points:
@@ -92,20 +92,20 @@
     return found
 
 
-def load(folder: Path = FOLDER) -> dict[Series, list[Point]]:
+def load_points(folder: Path = POINTS_FOLDER) -> dict[Series, list[Point]]:
     """All points of the folder's files; PointsError where there is none, or a line is no point."""
     if not folder.is_dir():
         raise PointsError(f"no folder of points: {folder}")
     try:
-        return gather(read(sorted(folder.glob("*.jsonl"))))
+        return group_by_series(read_points(sorted(folder.glob("*.jsonl"))))
     except (OSError, msgspec.DecodeError, UnicodeDecodeError) as error:
         raise PointsError(str(error)) from None
 
 
-def fit(points: Iterable[Point]) -> Fit | None:
+def fit_line(points: Iterable[Point]) -> LineFit | None:
     """The line of one series' points; None where those that count are of fewer than two sizes."""
     some = list(points)
-    good = [one for one in some if not one.void]
+    good = [one for one in some if not one.is_void]
     by_size: dict[float, list[float]] = {}
     for one in sorted(good, key=lambda one: one.size):
         by_size.setdefault(one.size, []).append(one.value)
@@ -119,22 +119,22 @@
     off = float(np.sum((y - y.mean()) ** 2))
     spread = float(np.sum((x - x.mean()) ** 2))
     knee, scatter = _judge(x, y, by_size, miss, left)
-    return Fit(
+    return LineFit(
         unit=good[0].unit,
         size_unit=good[0].size_unit,
         sizes=sizes,
         means=means,
         slope=slope,
         base=base,
-        miss=miss,
+        max_residual=miss,
         r2=1.0 - left / off if off > 0.0 else 1.0,
         slope_error=float(np.sqrt(left / (len(good) - 2) / spread)) if len(good) > 2 else float("nan"),
         knee=knee,
-        scatter=scatter,
-        points=len(good),
-        void=len(some) - len(good),
-        turns=min(len(values) for values in by_size.values()),
-        load=max(one.load for one in good),
+        is_scatter=scatter,
+        point_count=len(good),
+        void_count=len(some) - len(good),
+        min_turns=min(len(values) for values in by_size.values()),
+        max_load=max(one.load for one in good),
     )
 
 
@@ -165,14 +165,14 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--points", type=Path, default=FOLDER, help="folder of the points")
+    parser.add_argument("--points", type=Path, default=POINTS_FOLDER, help="folder of the points")
     parser.add_argument("--role", help="this role alone")
 
 
 def main(arguments: argparse.Namespace) -> int:
     """Print the table; 2 where the points can't be read."""
     try:
-        found = load(arguments.points)
+        found = load_points(arguments.points)
     except PointsError as error:
         print(f"{error}; {error.remedy}", file=sys.stderr)
         return 2
@@ -189,18 +189,18 @@
     heads = ("role", "phase", "metric", "unit", "slope", "+-", "base", "miss", "R2", "verdict", "n", "void")
     rows: list[tuple[str, ...]] = [(*heads, "turns", "load")]
     for series, some in sorted(found.items()):
-        one = fit(some)
+        one = fit_line(some)
         if one is None:
-            void = sum(point.void for point in some)
-            good = {point.size for point in some if not point.void}
+            void = sum(point.is_void for point in some)
+            good = {point.size for point in some if not point.is_void}
             verdict = "all void" if not good else f"{len(good)} size"
             rows.append(
                 (*series, some[0].unit, "", "", "", "", "", verdict, str(len(some) - void), str(void), "", "")
             )
             continue
         unit = f"{one.unit} / {one.size_unit.removesuffix('s')}"
-        figures = (one.slope, one.slope_error, one.base, one.miss, one.r2)
-        counts = (one.points, one.void, one.turns, one.load)
+        figures = (one.slope, one.slope_error, one.base, one.max_residual, one.r2)
+        counts = (one.point_count, one.void_count, one.min_turns, one.max_load)
         shown = (*(f"{figure:.3g}" for figure in figures), one.verdict, *(f"{count:.3g}" for count in counts))
         rows.append((*series, unit, *shown))
     widths = [max(len(row[at]) for row in rows) for at in range(len(rows[0]))]
--- a/benchmarks/scale/formulas.py
+++ b/benchmarks/scale/formulas.py
@@ -32,17 +32,17 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.fit import Fit, Series, fit
+from benchmarks.scale.fit import LineFit, Series, fit_line
 from benchmarks.scale.points import Point
 from woadyard.errors import WoadyardError
 
-LONGEST, POWER_MOST = 600, 128  # characters of a formula; an exponent
+MAX_FORMULA_CHARS, MAX_EXPONENT = 600, 128  # characters of a formula; an exponent
 NOT_MEASURED, VOID, NO_LINE, NONE = "not measured", "void", "no line", "none"
 HOLDS, BROKEN = "holds", "broken"
-WORDS = (NOT_MEASURED, VOID, NO_LINE, NONE, HOLDS, BROKEN)
-ROOT = Path(__file__).parents[2]
+RESULT_WORDS = (NOT_MEASURED, VOID, NO_LINE, NONE, HOLDS, BROKEN)
+PROJECT_ROOT = Path(__file__).parents[2]
 
-_DO: dict[type, Callable[[Any, Any], Any]] = {
+_OPERATORS: dict[type, Callable[[Any, Any], Any]] = {
     ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv,
     ast.Lt: operator.lt, ast.LtE: operator.le, ast.Gt: operator.gt, ast.GtE: operator.ge,
 }  # fmt: skip
@@ -54,30 +54,30 @@
     remedy = "see benchmarks/scale/formulas.py for what a formula may hold"
 
 
-class UnknownError(Exception):
+class NoValueError(Exception):
     """There is no such figure; the message is the word for why."""
 
 
 @dataclass
-class Formulas:
+class FormulaEvaluator:
     """Evaluates formulas over points and figures; `names` grows with the page's own named figures."""
 
     points: Mapping[Series, list[Point]]
     names: dict[str, float | str]
-    root: Path = ROOT
-    fits: dict[tuple[Any, ...], Fit] = field(default_factory=dict)
+    root: Path = PROJECT_ROOT
+    fits: dict[tuple[Any, ...], LineFit] = field(default_factory=dict)
 
-    def value(self, formula: str) -> float | str:
+    def evaluate(self, formula: str) -> float | str:
         """The figure, or the word for why there is none. FormulaError where it is no formula."""
-        if len(formula) > LONGEST:
-            raise FormulaError(f"the formula is over {LONGEST} characters")
+        if len(formula) > MAX_FORMULA_CHARS:
+            raise FormulaError(f"the formula is over {MAX_FORMULA_CHARS} characters")
         try:
-            found = self._of(ast.parse(formula.strip(), mode="eval").body)
+            found = self._evaluate_node(ast.parse(formula.strip(), mode="eval").body)
         except (SyntaxError, ValueError, RecursionError) as error:
             raise FormulaError(f"no formula: {error}") from None
         except (ZeroDivisionError, OverflowError, TypeError) as error:
             raise FormulaError(f"{formula}: {error}") from None
-        except UnknownError as word:
+        except NoValueError as word:
             return str(word)
         if isinstance(found, bool):
             return HOLDS if found else BROKEN
@@ -85,130 +85,136 @@
             raise FormulaError(f"{formula}: no number")
         return float(found)
 
-    def _of(self, node: ast.AST) -> Any:
+    def _evaluate_node(self, node: ast.AST) -> Any:
         match node:
             case ast.Constant(value=bool()):
                 pass
             case ast.Constant(value=int() | float() | str() as value):
                 return value
             case ast.Name(id=name):
-                return self._named(name)
+                return self._lookup_figure(name)
             case ast.UnaryOp(op=ast.USub(), operand=operand):
                 return -self._number(operand)
             case ast.BinOp(left=left, op=ast.Pow(), right=right):
                 power = self._number(right)
-                if abs(power) > POWER_MOST:
-                    raise FormulaError(f"an exponent over {POWER_MOST}")
+                if abs(power) > MAX_EXPONENT:
+                    raise FormulaError(f"an exponent over {MAX_EXPONENT}")
                 return float(self._number(left)) ** power
-            case ast.BinOp(left=left, op=op, right=right) if type(op) in _DO:
-                return _DO[type(op)](self._number(left), self._number(right))
-            case ast.Compare(left=left, ops=[op], comparators=[right]) if type(op) in _DO:
-                return bool(_DO[type(op)](self._number(left), self._number(right)))
+            case ast.BinOp(left=left, op=op, right=right) if type(op) in _OPERATORS:
+                return _OPERATORS[type(op)](self._number(left), self._number(right))
+            case ast.Compare(left=left, ops=[op], comparators=[right]) if type(op) in _OPERATORS:
+                return bool(_OPERATORS[type(op)](self._number(left), self._number(right)))
             case ast.Call(func=ast.Name(id=name), args=args, keywords=keywords) if name in _FUNCTIONS:
-                told = {one.arg: self._of(one.value) for one in keywords if one.arg}
+                told = {one.arg: self._evaluate_node(one.value) for one in keywords if one.arg}
                 if len(told) < len(keywords):
                     raise FormulaError("a formula has no `**`")
-                return _FUNCTIONS[name](self, *(self._of(one) for one in args), **told)
+                return _FUNCTIONS[name](self, *(self._evaluate_node(one) for one in args), **told)
         raise FormulaError(f"a formula has no {ast.unparse(node)!r}")
 
     def _number(self, node: ast.AST) -> float:
-        match self._of(node):
+        match self._evaluate_node(node):
             case bool():
                 pass
             case int() | float() as found:
                 return found
         raise FormulaError(f"no number: {ast.unparse(node)}")
 
-    def _named(self, name: str) -> float:
+    def _lookup_figure(self, name: str) -> float:
         if name not in self.names:
             raise FormulaError(f"nothing is named {name!r}")
         found = self.names[name]
         if isinstance(found, str):
-            raise UnknownError(found)
+            raise NoValueError(found)
         return found
 
     # --- Functions ------------------------------------------------------------------------
 
-    def some(self, role: str, phase: str, metric: str, since: str = "", until: str = "~") -> list[Point]:
+    def valid_points(
+        self, role: str, phase: str, metric: str, since: str = "", until: str = "~"
+    ) -> list[Point]:
         """The series' points of these runs that count."""
-        good = [one for one in self._told(role, phase, metric, since, until) if not one.void]
+        good = [one for one in self._points_of_runs(role, phase, metric, since, until) if not one.is_void]
         if not good:
-            raise UnknownError(VOID)
+            raise NoValueError(VOID)
         return good
 
-    def _told(self, role: str, phase: str, metric: str, since: str = "", until: str = "~") -> list[Point]:
+    def _points_of_runs(
+        self, role: str, phase: str, metric: str, since: str = "", until: str = "~"
+    ) -> list[Point]:
         told = [one for one in self.points.get((role, phase, metric), []) if since <= one.run <= until]
         if not told:
-            raise UnknownError(NOT_MEASURED)
+            raise NoValueError(NOT_MEASURED)
         return told
 
-    def fit(self, *series: str, **runs: str) -> Fit:
+    def line_fit(self, *series: str, **runs: str) -> LineFit:
         key = (*series, *sorted(runs.items()))
         if key not in self.fits:
-            found = fit(self.some(*series, **runs))
+            found = fit_line(self.valid_points(*series, **runs))
             if found is None:
-                raise UnknownError(NOT_MEASURED)
+                raise NoValueError(NOT_MEASURED)
             self.fits[key] = found
         return self.fits[key]
 
-    def line(self, *series: str, **runs: str) -> Fit:
-        found = self.fit(*series, **runs)
+    def require_line(self, *series: str, **runs: str) -> LineFit:
+        found = self.line_fit(*series, **runs)
         if not found.is_line:
-            raise UnknownError(NO_LINE)
+            raise NoValueError(NO_LINE)
         return found
 
     def slope(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        return self.line(role, phase, metric, **runs).slope
+        return self.require_line(role, phase, metric, **runs).slope
 
     def base(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        return self.line(role, phase, metric, **runs).base
+        return self.require_line(role, phase, metric, **runs).base
 
     def at(self, role: str, phase: str, metric: str, size: float, **runs: str) -> float:
-        return self.fit(role, phase, metric, **runs).at(size)
+        return self.line_fit(role, phase, metric, **runs).value_at(size)
 
     def measured(self, role: str, phase: str, metric: str, size: float, **runs: str) -> float:
-        return sum(found := self._sized(role, phase, metric, size, runs)) / len(found)
+        return sum(found := self._values_at_size(role, phase, metric, size, runs)) / len(found)
 
     def worst(self, role: str, phase: str, metric: str, size: float | None = None, **runs: str) -> float:
         if size is None:
-            return max(one.value for one in self.some(role, phase, metric, **runs))
-        return max(self._sized(role, phase, metric, size, runs))
+            return max(one.value for one in self.valid_points(role, phase, metric, **runs))
+        return max(self._values_at_size(role, phase, metric, size, runs))
 
-    def _sized(self, role: str, phase: str, metric: str, size: float, runs: dict[str, str]) -> list[float]:
+    def _values_at_size(
+        self, role: str, phase: str, metric: str, size: float, runs: dict[str, str]
+    ) -> list[float]:
         told = [one for one in self.points.get((role, phase, metric), []) if one.size == size]
-        only = Formulas({(role, phase, metric): told}, {})
-        return [one.value for one in only.some(role, phase, metric, **runs)]
+        only = FormulaEvaluator({(role, phase, metric): told}, {})
+        return [one.value for one in only.valid_points(role, phase, metric, **runs)]
 
     def knee(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        found = self.fit(role, phase, metric, **runs).knee
+        found = self.line_fit(role, phase, metric, **runs).knee
         if found is None:
-            raise UnknownError(NONE)
+            raise NoValueError(NONE)
         return found
 
     def turns(self, role: str, phase: str, metric: str, **runs: str) -> float:
         by_size: dict[float, int] = {}
-        for one in self.some(role, phase, metric, **runs):
+        for one in self.valid_points(role, phase, metric, **runs):
             by_size[one.size] = by_size.get(one.size, 0) + 1
         return min(by_size.values())
 
     def load(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        return max(one.load for one in self.some(role, phase, metric, **runs))
+        return max(one.load for one in self.valid_points(role, phase, metric, **runs))
 
     def voids(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        told = self._told(role, phase, metric, **runs)
-        return sum(one.void for one in told)
+        told = self._points_of_runs(role, phase, metric, **runs)
+        return sum(one.is_void for one in told)
 
     def breaks(self, role: str, phase: str, metric: str, budget: float, **runs: str) -> float:
-        return self._over(role, phase, metric, budget, 1.0, runs)
+        return self._crossing_size(role, phase, metric, budget, 1.0, runs)
 
     def falls(self, role: str, phase: str, metric: str, goal: float, **runs: str) -> float:
-        return self._over(role, phase, metric, goal, -1.0, runs)
+        return self._crossing_size(role, phase, metric, goal, -1.0, runs)
 
-    def _over(
+    def _crossing_size(
         self, role: str, phase: str, metric: str, budget: float, sign: float, runs: dict[str, str]
     ) -> float:
         by_size: dict[float, list[float]] = {}
-        for one in self.some(role, phase, metric, **runs):
+        for one in self.valid_points(role, phase, metric, **runs):
             by_size.setdefault(one.size, []).append(one.value)
         before: tuple[float, float] | None = None
         for size, values in sorted(by_size.items()):
@@ -218,7 +224,7 @@
                     return size
                 return before[0] + (size - before[0]) * (budget - before[1]) / (mean - before[1])
             before = size, mean
-        raise UnknownError(NONE)
+        raise NoValueError(NONE)
 
     def code(self, file: str, name: str) -> float:
         """A number that the file's top level gives the name."""
@@ -226,13 +232,13 @@
         if not path.is_relative_to(self.root.resolve()) or path.suffix != ".py" or not path.is_file():
             raise FormulaError(f"no file of the program: {file}")
         for node in ast.parse(path.read_text()).body:
-            for target, value in _assigned(node):
+            for target, value in _assignments(node):
                 if target == name:
-                    return Formulas({}, {})._number(value)
+                    return FormulaEvaluator({}, {})._number(value)
         raise FormulaError(f"{file} has no constant {name}")
 
 
-def _assigned(node: ast.stmt) -> list[tuple[str, ast.expr]]:
+def _assignments(node: ast.stmt) -> list[tuple[str, ast.expr]]:
     """Names and values of `A = 1` and of `A, B = 1, 2`."""
     if not isinstance(node, ast.Assign) or len(node.targets) != 1:
         return []
@@ -243,18 +249,19 @@
     return [(one.id, given) for one, given in pairs if isinstance(one, ast.Name)]
 
 
-def _least(_: Formulas, *values: float) -> float:
+def _min(_: FormulaEvaluator, *values: float) -> float:
     return min(values)
 
 
-def _most(_: Formulas, *values: float) -> float:
+def _max(_: FormulaEvaluator, *values: float) -> float:
     return max(values)
 
 
 _FUNCTIONS: dict[str, Callable[..., Any]] = {
-    "slope": Formulas.slope, "base": Formulas.base, "at": Formulas.at, "measured": Formulas.measured,
-    "worst": Formulas.worst, "knee": Formulas.knee, "turns": Formulas.turns, "breaks": Formulas.breaks,
-    "falls": Formulas.falls, "load": Formulas.load, "voids": Formulas.voids, "code": Formulas.code,
-    "min": _least, "max": _most,
+    "slope": FormulaEvaluator.slope, "base": FormulaEvaluator.base, "at": FormulaEvaluator.at,
+    "measured": FormulaEvaluator.measured, "worst": FormulaEvaluator.worst, "knee": FormulaEvaluator.knee,
+    "turns": FormulaEvaluator.turns, "breaks": FormulaEvaluator.breaks, "falls": FormulaEvaluator.falls,
+    "load": FormulaEvaluator.load, "voids": FormulaEvaluator.voids, "code": FormulaEvaluator.code,
+    "min": _min, "max": _max,
     "ceil": lambda _, value: math.ceil(value), "floor": lambda _, value: math.floor(value),
 }  # fmt: skip
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from benchmarks.scale import listings, points, state, usage
+from benchmarks.scale import endpoint_lists, points, state, usage
 from benchmarks.scale.points import Point
 from tests.lab import Lab, Program
 from woadyard.audit.ledger import MAX_ROWS
@@ -40,14 +40,14 @@
 
 
 @dataclass
-class Notes:
+class PointRecorder:
     """Writes the points of one size and turn."""
 
     out: Path
     run: str
     size: int
     turn: int
-    rows_most: int = MAX_ROWS  # of the audit's ledger
+    max_rows: int = MAX_ROWS  # of the audit's ledger
 
     def add(self, role: str, phase: str, found: Mapping[str, float], note: str = "") -> None:
         made = [
@@ -58,9 +58,9 @@
             )
             for metric, value in found.items()
         ]  # fmt: skip
-        points.write(self.out, made)
+        points.append_points(self.out, made)
         for point in made:
-            usage.show(point)
+            usage.print_point(point)
 
 
 def record_cost(registry: Registry, make: Callable[[int], LogEntry]) -> dict[str, float]:
@@ -77,8 +77,8 @@
     return {"bytes_per_record": statistics.median(sizes), "commit_p50_s": statistics.median(times)}
 
 
-def log(notes: Notes, registry: Registry) -> None:
-    listed = listings.entries(notes.size)
+def log(notes: PointRecorder, registry: Registry) -> None:
+    listed = endpoint_lists.list_entries(notes.size)
     known = [one["instanceId"] for one in listed]
     fleet = [state.spoken(registry, name) for name in known[: max(BATCH, 1)]]
 
@@ -109,7 +109,7 @@
     notes.add("log", f"reports_by_{many}", each)
 
 
-def snapshot(notes: Notes, registry: Registry, shape: str) -> None:
+def snapshot(notes: PointRecorder, registry: Registry, shape: str) -> None:
     times = []
     for _ in range(SNAPSHOTS):
         began = time.perf_counter()
@@ -126,16 +126,16 @@
     notes.add("snapshot", f"{shape}_for_a_replica", still)
 
 
-async def prepared(notes: Notes, folder: Path, shape: str) -> None:
+async def prepared(notes: PointRecorder, folder: Path, shape: str) -> None:
     """The files of a service with that state, after what is measured of it in this process."""
     with TemporaryDirectory() as aside:
-        registry = state.made(Path(aside), notes.size, shape, notes.rows_most)
+        registry = state.made(Path(aside), notes.size, shape, notes.max_rows)
         if shape == state.SHAPES[0]:
             log(notes, registry)
         snapshot(notes, registry, shape)
         if registry.due_timer is not None:
             registry.due_timer.cancel()
-    registry = state.made(folder, notes.size, shape, notes.rows_most)
+    registry = state.made(folder, notes.size, shape, notes.max_rows)
     length = state.lengthen(registry, notes.size)
     if registry.due_timer is not None:
         registry.due_timer.cancel()
@@ -143,7 +143,7 @@
     notes.add("recovery", shape, files)
 
 
-async def recovery(notes: Notes, lab: Lab, shape: str) -> Program | None:
+async def recovery(notes: PointRecorder, lab: Lab, shape: str) -> Program | None:
     """The service out of its files, and a replica of it; the former, where it came up."""
     began = time.perf_counter()
     writer = await lab.service("writer")
@@ -161,7 +161,7 @@
     return writer
 
 
-async def told(notes: Notes, lab: Lab, service: Program) -> None:
+async def told(notes: PointRecorder, lab: Lab, service: Program) -> None:
     """Bytes on a watch, as they come: first the list whole, then a zone that drains."""
     reader, writer = await asyncio.open_connection("127.0.0.1", service.port, limit=LINE_MOST)
     with closing(writer):
@@ -170,7 +170,9 @@
         )
         whole = len(await reader.readuntil(b"\r\n\r\n")) + len(await reader.readline())
         whole += len(await reader.readline())  # behind the chunk's length
-        drains = [one for one in listings.entries(notes.size) if one["zone"] == listings.ZONES[0]]
+        drains = [
+            one for one in endpoint_lists.list_entries(notes.size) if one["zone"] == endpoint_lists.ZONES[0]
+        ]
         version = notes.size + len(drains)  # each put is one
         began = time.perf_counter()
         watched = asyncio.ensure_future(until(reader, f'"generation":{version},'.encode()))
@@ -195,7 +197,7 @@
                 return got
 
 
-async def one_size(notes: Notes) -> None:
+async def one_size(notes: PointRecorder) -> None:
     for shape in state.SHAPES:
         with TemporaryDirectory() as folder, closing(Lab(Path(folder))) as lab:
             await prepared(notes, lab.folder / "writer" / "data", shape)
@@ -210,18 +212,18 @@
         began = time.perf_counter()
         await lab.service("writer")
         took = time.perf_counter() - began
-    Notes(out, run, 0, turn).add("recovery", "empty", {"own_log_s": took})
+    PointRecorder(out, run, 0, turn).add("recovery", "empty", {"own_log_s": took})
 
 
 def measure(
-    out: Path = OUT, sizes: Sequence[int] = SIZES, turns: int = TURNS, rows_most: int = MAX_ROWS
+    out: Path = OUT, sizes: Sequence[int] = SIZES, turns: int = TURNS, max_rows: int = MAX_ROWS
 ) -> None:
     """Appends the points of each turn and size as they are measured."""
     run = usage.run_name()
     for turn in range(1, turns + 1):
         asyncio.run(empty(out, run, turn))
         for size in sizes:
-            asyncio.run(one_size(Notes(out, run, size, turn, rows_most)))
+            asyncio.run(one_size(PointRecorder(out, run, size, turn, max_rows)))
 
 
 def main() -> None:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,8 +20,8 @@
 import msgspec
 import uvloop
 
-from benchmarks.scale import names, talk
-from benchmarks.scale.meter import Lag, used
+from benchmarks.scale import fleet_names, talk
+from benchmarks.scale.meter import LoopLag, process_usage
 from benchmarks.scale.talk import Order, Plan, Reply, Tally
 from benchmarks.scale.traffic import Traffic, count
 from woadyard.audit import AuditSettings
@@ -77,19 +77,21 @@
     def __init__(self, n: int, plan: Plan, tally: Tally) -> None:
         self.n, self.plan, self.tally = n, plan, tally
         self.rng = random.Random(plan.seed * 1_000_003 + n)
-        self.service = plan.replicas[names.region(n)] if plan.regional else ",".join(plan.replicas)
+        self.service = (
+            plan.replicas[fleet_names.region_index(n)] if plan.regional else ",".join(plan.replicas)
+        )
         self.heard: list[tuple[float, int]] = []
         self.version = self.attempts = 0
         self.still = False  # no more attempts; what there were is reported
         self.discovery = self._discovery()
-        self.lease = Renewals(plan, names.entry(n), tally)
+        self.lease = Renewals(plan, fleet_names.list_entry(n), tally)
         self.keeping: asyncio.Task[None] | None = None
         orders = AuditHandlers(
             self._whole, lambda: self.discovery.restart_watch(), lambda out: None, lambda out: None
         )
         self.reporter = Reports(
-            AuditSettings(self.service), names.sidecar(n), BUILD, lambda: self.discovery.latest_term, orders,
-            self.rng,
+            AuditSettings(self.service), fleet_names.sidecar_name(n), BUILD,
+            lambda: self.discovery.latest_term, orders, self.rng,
         )  # fmt: skip
         self.reporter.tally, self.reporter.first_sent = tally, {}
         orders.reports_acknowledged = self.reporter.acked
@@ -147,8 +149,8 @@
     """The process's sidecars, and the orders that they are given."""
 
     def __init__(self, plan: Plan, traffic: Traffic) -> None:
-        self.plan, self.traffic, self.tally, self.lag = plan, traffic, Tally(), Lag()
-        self.rss = used(os.getpid()).rss
+        self.plan, self.traffic, self.tally, self.lag = plan, traffic, Tally(), LoopLag()
+        self.rss = process_usage(os.getpid()).rss_bytes
         self.sidecars = [Sidecar(n, plan, self.tally) for n in range(plan.first, plan.first + plan.count)]
         self.tasks: list[asyncio.Task[None]] = []
         self.task(self.lag.watch())
@@ -187,7 +189,7 @@
         return Reply(len(self.sidecars))
 
     def _zone(self, zone: int) -> list[Sidecar]:
-        return [one for one in self.sidecars if one.n % len(names.ZONES) == zone]
+        return [one for one in self.sidecars if one.n % len(fleet_names.ZONES) == zone]
 
     async def _lease(self) -> int:
         """Registers all within a third of a lease, as those that started at any time."""
@@ -217,7 +219,7 @@
     def _tell(self, versions: list[int]) -> Tally:
         tally = self.tally
         tally.seconds, tally.cpu_s = time.monotonic() - self.began, time.process_time() - self.cpu_s
-        tally.rss, tally.lag_p99_ms = used(os.getpid()).rss - self.rss, self.lag.p99_ms()
+        tally.rss, tally.lag_p99_ms = process_usage(os.getpid()).rss_bytes - self.rss, self.lag.p99_ms()
         tally.flows = self.traffic.told()
         tally.heard = [[one.in_force(version) for one in self.sidecars] for version in versions]
         return tally
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -26,7 +26,7 @@
 
 import msgspec
 
-from benchmarks.scale import listings, points, usage
+from benchmarks.scale import endpoint_lists, points, usage
 from benchmarks.scale.openloop import Plan
 from benchmarks.scale.points import Point
 from tests.lab import Lab, Program, call
@@ -46,7 +46,7 @@
 
 def settings(phase: str, size: int) -> dict[str, Any]:
     """The file's settings, in the zones of the size that is designed for."""
-    told = {**SETTINGS, "zones": list(listings.ZONES), "kinds": ["c7g-2xlarge"]}
+    told = {**SETTINGS, "zones": list(endpoint_lists.ZONES), "kinds": ["c7g-2xlarge"]}
     if phase == "entry":
         return {**told, "stage": 0}
     return {**told, "instances": size, "me": size // 2} if phase == "arcs" else told
@@ -67,7 +67,7 @@
         for one in self.origins:
             one.port = (await one.wait_logged("listening"))["port"]
         service = await self.lab.service()
-        listed = listings.entries(size, [one.port for one in self.origins])
+        listed = endpoint_lists.list_entries(size, [one.port for one in self.origins])
         for at in range(0, size, REGISTER_AT_ONCE):
             some = listed[at : at + REGISTER_AT_ONCE]
             each = (self.lab.register(service, one["instanceId"], one, LEASE_MS) for one in some)
@@ -85,7 +85,7 @@
         driver = self.python("driver", "benchmarks.scale.openloop", msgspec.json.encode(plan).decode())
         pid = self.sidecar.process.pid
         await driver.wait_logged("warm")
-        cpu, stolen, before = usage.cpu_s(pid), usage.Steal(), await self.counts()
+        cpu, stolen, before = usage.cpu_s(pid), usage.StealTime(), await self.counts()
         await driver.wait_logged("sent")
         cpu, steal, after = usage.cpu_s(pid) - cpu, stolen.share(), await self.counts()
         found = await driver.wait_logged("measured")
@@ -123,7 +123,7 @@
         rig = Rig(lab)
         async with asyncio.timeout(plan.warm_s + plan.seconds + 60.0):
             await rig.start(phase, size)
-            usage.say(f"path {phase} at {size} entries: all are up")
+            usage.log_progress(f"path {phase} at {size} entries: all are up")
             arms = {"sidecar": [rig.sidecar.port], "direct": [one.port for one in rig.origins]}
             found = await rig.play(msgspec.structs.replace(plan, arms=arms))
     return {**found, "seconds": plan.seconds}
@@ -170,9 +170,9 @@
             )
             for metric, unit, value in found
         ]  # fmt: skip
-        points.write(out, made)
+        points.append_points(out, made)
         for point in made:
-            usage.show(point)
+            usage.print_point(point)
 
     for turn in range(first_turn, first_turn + turns):
         for phase in phases:
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -20,25 +20,25 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.scale.fit import FOLDER, load
-from benchmarks.scale.formulas import ROOT, WORDS, Formulas
-from benchmarks.scale.size import PATH as SIZE_PATH
+from benchmarks.scale.fit import POINTS_FOLDER, load_points
+from benchmarks.scale.formulas import PROJECT_ROOT, RESULT_WORDS, FormulaEvaluator
+from benchmarks.scale.size import DEFAULT_PATH as SIZE_PATH
 from benchmarks.scale.size import read_size
 from woadyard.errors import WoadyardError
 
-PAGE = ROOT / "docs" / "CAPACITY.md"
-RANKED = "<!-- ranked -->"
-DIGITS = 3  # of a figure without a form of its own
-COMMENT = re.compile(r"<!--(.*?)-->", re.DOTALL)
-FIGURE = re.compile(
-    rf"(?P<shown>\?|{'|'.join(WORDS)}|[-+]?\d[\d,]*(?:\.\d+)?(?:e[-+]?\d+)?%?)?"
+PAGE_PATH = PROJECT_ROOT / "docs" / "CAPACITY.md"
+RANKED_MARK = "<!-- ranked -->"
+DEFAULT_DIGITS = 3  # of a figure without a form of its own
+COMMENT_PATTERN = re.compile(r"<!--(.*?)-->", re.DOTALL)
+FIGURE_PATTERN = re.compile(
+    rf"(?P<shown>\?|{'|'.join(RESULT_WORDS)}|[-+]?\d[\d,]*(?:\.\d+)?(?:e[-+]?\d+)?%?)?"
     r"<!--\s*(?:(?P<name>[a-z]\w*)\s*)?=(?!=)(?P<formula>.*?)(?:\|(?P<form>[^|]*?))?-->",
     re.DOTALL,
 )
-FORM = re.compile(r",?(\.\d)?[f%]")
-NUMBER = re.compile(r"(?<![\w.])\d[\d,]*(?:\.\d+)?")
-CODE = re.compile(r"`[^`]*`")
-FILE = re.compile(r"`((?:woadyard|benchmarks|docs|tests|deploy)/[\w./-]*\.\w+)`")
+FORM_PATTERN = re.compile(r",?(\.\d)?[f%]")
+NUMBER_PATTERN = re.compile(r"(?<![\w.])\d[\d,]*(?:\.\d+)?")
+CODE_PATTERN = re.compile(r"`[^`]*`")
+FILE_PATTERN = re.compile(r"`((?:woadyard|benchmarks|docs|tests|deploy)/[\w./-]*\.\w+)`")
 MARKS = {"given": "", "reckoned": "reckoned", "probe": "probe"}  # and what the reader sees with it
 
 
@@ -51,24 +51,24 @@
 @dataclass(frozen=True)
 class Fault:
     line: int
-    what: str
+    message: str
 
     def __str__(self) -> str:
-        return f"line {self.line}: {self.what}"
+        return f"line {self.line}: {self.message}"
 
 
-class Page:
+class CapacityPage:
     """The page's text, what its figures should be, and its faults."""
 
-    def __init__(self, text: str, formulas: Formulas) -> None:
+    def __init__(self, text: str, formulas: FormulaEvaluator) -> None:
         self.text, self.formulas = text, formulas
         self.faults: list[Fault] = []
-        self.true = _ranked(FIGURE.sub(self._figure, text))
-        for found in COMMENT.finditer(text):
+        self.corrected_text = _ranked(FIGURE_PATTERN.sub(self._figure, text))
+        for found in COMMENT_PATTERN.finditer(text):
             if "<!--" in found[1]:
                 self._fault(found.start(), "a comment within a comment")
         self._tables()
-        for found in FILE.finditer(text):
+        for found in FILE_PATTERN.finditer(text):
             if not (formulas.root / found[1]).exists():
                 self._fault(found.start(), f"no such file: {found[1]}")
         self.faults.sort(key=lambda one: one.line)
@@ -81,7 +81,7 @@
     def _figure(self, found: re.Match[str]) -> str:
         shown, name, formula, form = found["shown"], found["name"], found["formula"], found["form"]
         try:
-            value = self.formulas.value(formula)
+            value = self.formulas.evaluate(formula)
             told = _told(value, (form or "").strip())
         except (WoadyardError, ValueError) as error:
             self._fault(found.start(), f"{formula.strip()}: {error}")
@@ -114,21 +114,21 @@
                         last = size
             else:
                 if line.strip():
-                    ranked, last = RANKED in line, 0.0
+                    ranked, last = RANKED_MARK in line, 0.0
                 rows = 0
             at += len(line)
 
     def _cell(self, at: int, cell: str, head: str) -> None:
         """Each number before a mark is covered by it; the others are faults."""
-        plain = CODE.sub("", FIGURE.sub("", cell))
+        plain = CODE_PATTERN.sub("", FIGURE_PATTERN.sub("", cell))
         begin = 0
-        for found in COMMENT.finditer(plain):
+        for found in COMMENT_PATTERN.finditer(plain):
             mark = found[1].strip().split(":")[0]
             if mark in MARKS:
                 begin = found.end()
-                if MARKS[mark] not in COMMENT.sub("", f"{head} {cell}").lower():
+                if MARKS[mark] not in COMMENT_PATTERN.sub("", f"{head} {cell}").lower():
                     self._fault(at, f"the reader is not told that it is {mark}: {cell.strip()}")
-        for number in NUMBER.findall(COMMENT.sub("", plain[begin:])):
+        for number in NUMBER_PATTERN.findall(COMMENT_PATTERN.sub("", plain[begin:])):
             self._fault(at, f"{number} has no formula and no mark: {cell.strip()}")
 
 
@@ -140,7 +140,7 @@
         held.append(found[0])
         return f"\0{len(held) - 1}\0"
 
-    parts = COMMENT.sub(hold, line.strip()).strip("|").split("|")
+    parts = COMMENT_PATTERN.sub(hold, line.strip()).strip("|").split("|")
     return [re.sub(r"\0(\d+)\0", lambda one: held[int(one[1])], part) for part in parts]
 
 
@@ -157,7 +157,7 @@
         done += [*rows[:2], *body, line]
         rows = []
         if line.strip():
-            ranked = RANKED in line
+            ranked = RANKED_MARK in line
     return "".join(done)
 
 
@@ -167,13 +167,13 @@
 
 
 def _first(cell: str) -> float | None:
-    found = NUMBER.search(COMMENT.sub("", cell))
+    found = NUMBER_PATTERN.search(COMMENT_PATTERN.sub("", cell))
     return float(found[0].replace(",", "")) if found else None
 
 
 def _told(value: float | str, form: str) -> str:
     """As the page shows it; ValueError on a form that is none."""
-    if form and not FORM.fullmatch(form):
+    if form and not FORM_PATTERN.fullmatch(form):
         raise ValueError(f"no form of a figure: {form}")
     if isinstance(value, str):
         return value
@@ -181,10 +181,10 @@
         return f"{value:{form}}"
     if value == 0.0:
         return "0"
-    whole = float(f"{value:.{DIGITS}g}")
-    if abs(whole) >= 10 ** (DIGITS - 1):
+    whole = float(f"{value:.{DEFAULT_DIGITS}g}")
+    if abs(whole) >= 10 ** (DEFAULT_DIGITS - 1):
         return f"{whole:,.0f}"
-    return f"{whole:.{DIGITS}g}" if abs(whole) >= 1e-4 else f"{whole:.{DIGITS - 1}e}"
+    return f"{whole:.{DEFAULT_DIGITS}g}" if abs(whole) >= 1e-4 else f"{whole:.{DEFAULT_DIGITS - 1}e}"
 
 
 # --- The command ------------------------------------------------------------------------------
@@ -192,17 +192,17 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--check", action="store_true", help="change nothing; 1 where the page has faults")
-    parser.add_argument("--page", type=Path, default=PAGE)
-    parser.add_argument("--points", type=Path, default=FOLDER, help="folder of the points")
+    parser.add_argument("--page", type=Path, default=PAGE_PATH)
+    parser.add_argument("--points", type=Path, default=POINTS_FOLDER, help="folder of the points")
     parser.add_argument("--size", type=Path, default=SIZE_PATH, help="file of the sizes")
 
 
-def read(page: Path = PAGE, points: Path = FOLDER, size: Path = SIZE_PATH) -> Page:
+def read_page(page: Path = PAGE_PATH, points: Path = POINTS_FOLDER, size: Path = SIZE_PATH) -> CapacityPage:
     """The page held against its files; PageError, SizeError or PointsError where one can't be read."""
     names: dict[str, float | str] = {**read_size(size).figures()}
-    formulas = Formulas(load(points), names)
+    formulas = FormulaEvaluator(load_points(points), names)
     try:
-        return Page(page.read_text(), formulas)
+        return CapacityPage(page.read_text(), formulas)
     except (OSError, UnicodeDecodeError) as error:
         raise PageError(f"{page}: {error}") from None
 
@@ -210,10 +210,10 @@
 def main(arguments: argparse.Namespace) -> int:
     """Check the page, or write the figures anew; 1 where faults are left, 2 where a file can't be read."""
     try:
-        found = read(arguments.page, arguments.points, arguments.size)
-        if not arguments.check and found.true != found.text:
-            arguments.page.write_text(found.true)
-            found = read(arguments.page, arguments.points, arguments.size)
+        found = read_page(arguments.page, arguments.points, arguments.size)
+        if not arguments.check and found.corrected_text != found.text:
+            arguments.page.write_text(found.corrected_text)
+            found = read_page(arguments.page, arguments.points, arguments.size)
     except (WoadyardError, OSError) as error:
         print(f"{error}; {getattr(error, 'remedy', PageError.remedy)}", file=sys.stderr)
         return 2
--- a/benchmarks/scale/phases.py
+++ b/benchmarks/scale/phases.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from benchmarks.scale import talk
-from benchmarks.scale.meter import Lag, Peaks, Used, used
+from benchmarks.scale.meter import CpuPeaks, LoopLag, ProcessUsage, process_usage
 from benchmarks.scale.talk import Tally
 from benchmarks.scale.world import World, running
 from woadyard.errors import StateError
@@ -42,8 +42,8 @@
 class Measured:
     phase: str
     seconds: float
-    before: dict[str, Used]
-    after: dict[str, Used]
+    before: dict[str, ProcessUsage]
+    after: dict[str, ProcessUsage]
     counts_before: dict[str, dict[str, float]]  # the services' own, by process
     counts_after: dict[str, dict[str, float]]
     peaks: dict[str, float]
@@ -65,7 +65,7 @@
 async def measured(world: World, phase: str, during: During, length_s: float) -> Measured:
     """`during` within the phase, which lasts `length_s` or as long as that takes."""
     say(f"size {world.size}: {phase}")
-    lag, peaks = Lag(), Peaks(dict(world.pids()))
+    lag, peaks = LoopLag(), CpuPeaks(dict(world.pids()))
     counts = await _counts(world)
     await world.all(talk.MARK)
     before, began, cpu = _used(world), time.monotonic(), time.process_time()
@@ -76,7 +76,7 @@
         driver_cpu = (time.process_time() - cpu) / seconds
     tallies = await world.tell([one.version for one in asked if one.version])
     found = Measured(
-        phase, seconds, before, after, counts, await _counts(world), peaks.most, tallies, asked,
+        phase, seconds, before, after, counts, await _counts(world), peaks.peak_cpu, tallies, asked,
         world.hollow - len(await world.listed(world.replicas[0])),
         max([lag.p99_ms(), *(one.lag_p99_ms for one in tallies)]),
         max([driver_cpu, *(one.cpu_s / one.seconds for one in tallies)]),
@@ -86,11 +86,11 @@
     return found
 
 
-def _used(world: World) -> dict[str, Used]:
+def _used(world: World) -> dict[str, ProcessUsage]:
     found = {}
     for name, pid in world.pids():
         with contextlib.suppress(OSError):  # the writer, where it was killed
-            found[name] = used(pid)
+            found[name] = process_usage(pid)
     return found
 
 
--- a/benchmarks/scale/points.py
+++ b/benchmarks/scale/points.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-LAG_MOST_MS = 50.0  # a driver whose loop came later than this (p99) measured itself
+MAX_DRIVER_LAG_P99_MS = 50.0  # a driver whose loop came later than this (p99) measured itself
 
 
 class Point(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -29,16 +29,16 @@
     note: str = ""
 
     @property
-    def void(self) -> bool:
+    def is_void(self) -> bool:
         """Whether the driver itself was the limit, so that the figure says nothing."""
-        return self.driver_lag_p99_ms > LAG_MOST_MS
+        return self.driver_lag_p99_ms > MAX_DRIVER_LAG_P99_MS
 
     @property
     def series(self) -> tuple[str, str, str]:
         return self.role, self.phase, self.metric
 
 
-def write(path: Path, points: Iterable[Point]) -> None:
+def append_points(path: Path, points: Iterable[Point]) -> None:
     """Append to `path`, one line each; whole lines reach the disk even if the run is stopped."""
     path.parent.mkdir(parents=True, exist_ok=True)
     with path.open("ab") as file:
@@ -48,7 +48,7 @@
         os.fsync(file.fileno())
 
 
-def read(paths: Iterable[Path]) -> Iterator[Point]:
+def read_points(paths: Iterable[Path]) -> Iterator[Point]:
     """All points of the files; msgspec.DecodeError names a line that is none."""
     for path in paths:
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
--- a/benchmarks/scale/retries.py
+++ b/benchmarks/scale/retries.py
@@ -86,9 +86,9 @@
         Point(run, role, phase, size, metric, "s" if metric.endswith("_s") else "count", value, unit, turn)
         for metric, value in found.items()
     ]
-    points.write(out, made)
+    points.append_points(out, made)
     for point in made:
-        usage.show(point)
+        usage.print_point(point)
 
 
 def budget(out: Path, run: str, rates: Sequence[float], turn: int) -> dict[str, float]:
@@ -111,7 +111,7 @@
     try:
         found = chain(phase, depth, RATE, turn)
     except TooManyError as error:
-        usage.say(f"retries {phase} at {depth} tiers: not measured: {error}")
+        usage.log_progress(f"retries {phase} at {depth} tiers: not measured: {error}")
         return
     shares = Shares.of(found.taken[0], found.last)
     failing_us = [took for due, took in found.took_us if due >= CALM_S * SECOND]
--- a/benchmarks/scale/size.py
+++ b/benchmarks/scale/size.py
@@ -9,7 +9,7 @@
 
 from woadyard.errors import WoadyardError
 
-PATH = Path(__file__).with_name("size.toml")
+DEFAULT_PATH = Path(__file__).with_name("size.toml")
 
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Above = Annotated[float, msgspec.Meta(gt=0.0)]
@@ -86,7 +86,7 @@
         return {name: float(value) for part in parts for name, value in msgspec.structs.asdict(part).items()}
 
 
-def read_size(path: Path = PATH) -> Size:
+def read_size(path: Path = DEFAULT_PATH) -> Size:
     """The sizes in the file; SizeError where it can't be read or a figure is none."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=Size)
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from benchmarks.scale import listings
+from benchmarks.scale import endpoint_lists
 from woadyard.audit import Position, SpanRecorder
 from woadyard.audit.ledger import MAX_ROWS, MIN_ROWS_PER_RUN, REPORTS_OP, AuditState
 from woadyard.audit.messages import Report, Row
@@ -78,7 +78,7 @@
     registry = Registry(Journal(folder))
     with unsynced():
         registry.become_leader()
-        listed = listings.entries(size)
+        listed = endpoint_lists.list_entries(size)
         for entry in listed:
             registry.append_entry({"op": PUT, "entry": entry, "ttl_us": TTL_US})
         if shape == "whole":
@@ -96,7 +96,7 @@
 def lengthen(registry: Registry, size: int) -> int:
     """Renewals until the log is about to be replaced by a snapshot: the longest a start has to read.
     Its bytes."""
-    known, journal, at = listings.names(size), registry.journal, 0
+    known, journal, at = endpoint_lists.instance_ids(size), registry.journal, 0
     with unsynced():
         while journal.log_bytes < 0.98 * max(MIN_SNAPSHOT_LOG_BYTES, journal.snapshot_bytes):
             registry.append_entry({"op": RENEW, "id": known[at % size]})
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -20,7 +20,7 @@
 import aiohttp
 import msgspec
 
-from benchmarks.scale import names, talk
+from benchmarks.scale import fleet_names, talk
 from benchmarks.scale.talk import Order, Plan, Reply, Tally
 from tests.lab import Lab, Program
 from tests.sockets import SETTINGS
@@ -114,7 +114,7 @@
     ) -> None:
         self.size, self.seed, self.ttl_ms = size, seed, ttl_ms
         self.real, self.regional = min(real, size - 1), regional
-        self.ids = {names.instance(n) for n in range(self.hollow)}
+        self.ids = {fleet_names.instance_id(n) for n in range(self.hollow)}
         self.lab = Lab(folder)
         self.hollows: list[Hollows] = []
         self.sidecars: list[Program] = []
@@ -163,7 +163,14 @@
 
     def _endpoint(self, n: int) -> None:
         words = ["woadyard.standins", "endpoint", "--discovery", f"127.0.0.1:{self.writer.port}"]
-        words += ["--name", names.instance(REAL_FROM + n), "--zone", "here", "--ttl-ms", str(self.ttl_ms)]
+        words += [
+            "--name",
+            fleet_names.instance_id(REAL_FROM + n),
+            "--zone",
+            "here",
+            "--ttl-ms",
+            str(self.ttl_ms),
+        ]
         folder = self.lab.folder / "endpoints"
         self.lab.run(Program(f"e{n}", folder, words, dict(self.writer.environ)))
 
@@ -183,7 +190,7 @@
             one = await self.lab.sidecar(
                 f"real-{n}", discovery=self.replicas,
                 audit={"service": ",".join(f"127.0.0.1:{each.port}" for each in self.replicas)},
-                settings={**SETTINGS, "zones": ["here", *names.ZONES]},
+                settings={**SETTINGS, "zones": ["here", *fleet_names.ZONES]},
             )  # fmt: skip
             self.sidecars.append(one)
             self.loads.append(asyncio.get_running_loop().create_task(one.run_load(1, LOAD_PAUSE_S)))
@@ -215,7 +222,7 @@
     async def change(self) -> tuple[int, float]:
         """A change of the list asked for at the writer: its version, 0 where it was not taken; when."""
         self.changes += 1
-        told = names.entry(CHANGED, weight=float(self.changes))
+        told = fleet_names.list_entry(CHANGED, weight=float(self.changes))
         began = time.monotonic()
         back = await self.call(
             self.writer, "PUT", f"{INSTANCES_PATH}/{told['instanceId']}?ttl_ms=600000", told
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -14,7 +14,7 @@
 
 from benchmarks.scale import __main__ as command
 from benchmarks.scale import control, figures, phases, points, talk
-from benchmarks.scale.names import REGIONS, ZONES, entry, region, sidecar, zone
+from benchmarks.scale.fleet_names import REGIONS, ZONES, list_entry, region_index, sidecar_name, zone_name
 from benchmarks.scale.phases import CHANGE, WRITER
 from benchmarks.scale.world import World
 from woadyard.net.endpoint_table import PHASES
@@ -26,7 +26,7 @@
 async def ledger(world: World) -> int:
     """Attempts in the writer's ledger, of the hollow sidecars."""
     told = json.loads(await world.call(world.writer, "GET", "/registry/audit/acted?build=0-1-0"))
-    hollow = {sidecar(n) for n in range(world.hollow)}
+    hollow = {sidecar_name(n) for n in range(world.hollow)}
     return sum(one["attempts"] - one["unsent"] for one in told["spans"] if one["name"] in hollow)
 
 
@@ -39,15 +39,15 @@
         assert [one.version > 0 for one in found.asked] == [True, True]
         for tally in found.tallies:  # in force everywhere, and in the changes' order
             assert all(0 < first <= second for first, second in zip(*tally.heard, strict=True))
-        made = figures.points("run", 1, world, found)
+        made = figures.phase_points("run", 1, world, found)
         told = {(one.role, one.metric): one for one in made}
         assert told["lists", "told_share"].value == 1.0 and told["leases", "missing"].value == 0
         assert {"writer", "replica", "control", "sidecar", "audit"} <= {role for role, _ in told}
         assert told["control", "lists_bytes_in_per_s"].value > 0
-        points.write(tmp_path / "points.jsonl", made)
-        assert list(points.read([tmp_path / "points.jsonl"])) == made
-        late = figures.points("run", 1, world, replace(found, driver_lag_ms=50.1))
-        assert all(one.void for one in late)
+        points.append_points(tmp_path / "points.jsonl", made)
+        assert list(points.read_points([tmp_path / "points.jsonl"])) == made
+        late = figures.phase_points("run", 1, world, replace(found, driver_lag_ms=50.1))
+        assert all(one.is_void for one in late)
 
         gone = await phases.zone(world, 1.0)
         assert [one.what for one in gone] == ["gone", "back"] and gone[0].version < gone[1].version
@@ -66,7 +66,9 @@
         found = await phases.measured(world, WRITER, phases.writer_killed, 2.0)
         assert [one.version for one in found.asked] == [0, 0] and found.missing == 0
         told = {
-            one.metric: one.value for one in figures.points("run", 1, world, found) if one.role == "lists"
+            one.metric: one.value
+            for one in figures.phase_points("run", 1, world, found)
+            if one.role == "lists"
         }
         assert told == {"told_share": 0.0}
         (back,) = await phases.writer_back(world, 1.0)
@@ -80,7 +82,7 @@
         await phases.begin(world)
         (change,) = await phases.changes(world, 1.0)
         (tally,) = await world.tell([change.version])
-    least = [min(at for n, at in enumerate(tally.heard[0]) if region(n) == place) for place in range(3)]
+    least = [min(at for n, at in enumerate(tally.heard[0]) if region_index(n) == place) for place in range(3)]
     assert len(REGIONS) == 3
     assert least[0] > change.at and least[1] > change.at + 0.040 and least[2] > change.at + 0.085
 
@@ -141,6 +143,6 @@
 
 
 def test_entries_are_as_the_product_takes_them() -> None:
-    assert len({entry(n)["instanceId"] for n in range(1100)}) == 1100
-    assert sorted({zone(n) for n in range(1100)}) == sorted(ZONES) and len(ZONES) == 10
-    assert all(entry(n)["lifecycle"] in PHASES for n in range(1100))
+    assert len({list_entry(n)["instanceId"] for n in range(1100)}) == 1100
+    assert sorted({zone_name(n) for n in range(1100)}) == sorted(ZONES) and len(ZONES) == 10
+    assert all(list_entry(n)["lifecycle"] in PHASES for n in range(1100))
--- a/tests/test_scale_page.py
+++ b/tests/test_scale_page.py
@@ -11,10 +11,10 @@
 
 from benchmarks.scale import fit as fitting
 from benchmarks.scale import page as paging
-from benchmarks.scale.fit import PointsError, fit, gather, load
-from benchmarks.scale.formulas import FormulaError, Formulas
-from benchmarks.scale.points import LAG_MOST_MS, Point, write
-from benchmarks.scale.size import PATH, SizeError, read_size
+from benchmarks.scale.fit import PointsError, fit_line, group_by_series, load_points
+from benchmarks.scale.formulas import FormulaError, FormulaEvaluator
+from benchmarks.scale.points import MAX_DRIVER_LAG_P99_MS, Point, append_points
+from benchmarks.scale.size import DEFAULT_PATH, SizeError, read_size
 
 SIZES = (100, 200, 400, 700, 1100)
 
@@ -30,12 +30,12 @@
     return [Point(**{**told, **more}, size=n, value=v) for n, v in zip(sizes, values, strict=True)]  # type: ignore[arg-type]
 
 
-def formulas(*some: Point, **names: float | str) -> Formulas:
-    return Formulas(gather(some), {"sidecars": 1100.0, **names})
+def formulas(*some: Point, **names: float | str) -> FormulaEvaluator:
+    return FormulaEvaluator(group_by_series(some), {"sidecars": 1100.0, **names})
 
 
-def page(text: str, *some: Point) -> paging.Page:
-    return paging.Page(text, formulas(*some))
+def page(text: str, *some: Point) -> paging.CapacityPage:
+    return paging.CapacityPage(text, formulas(*some))
 
 
 def arguments(of: object, *words: str) -> argparse.Namespace:
@@ -48,18 +48,18 @@
 
 
 def test_page_says_what_the_committed_points_give() -> None:
-    assert [str(fault) for fault in paging.read().faults] == []
+    assert [str(fault) for fault in paging.read_page().faults] == []
 
 
 def test_committed_page_has_figures_and_a_changed_one_is_caught() -> None:
-    text = paging.PAGE.read_text()
-    figures = [one for one in paging.FIGURE.finditer(text) if one["shown"]]
+    text = paging.PAGE_PATH.read_text()
+    figures = [one for one in paging.FIGURE_PATTERN.finditer(text) if one["shown"]]
     assert len(figures) > 100
     for one in (figures[0], figures[len(figures) // 2], figures[-1]):
         changed = f"{text[: one.start()]}987654{text[one.start() + len(one['shown']) :]}"
-        found = paging.Page(changed, Formulas(load(), {**read_size().figures()}))
+        found = paging.CapacityPage(changed, FormulaEvaluator(load_points(), {**read_size().figures()}))
         assert len(found.faults) == 1 and "987654" in str(found.faults[0])
-        assert found.true == text
+        assert found.corrected_text == text
 
 
 # --- The page's form ------------------------------------------------------------------------------
@@ -67,7 +67,7 @@
 
 def test_command_fills_in_what_it_then_finds_true(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder, file = tmp_path / "points", tmp_path / "PAGE.md"
-    write(folder / "a.jsonl", points(0.001 * n for n in SIZES))
+    append_points(folder / "a.jsonl", points(0.001 * n for n in SIZES))
     file.write_text(
         'In all ?<!-- whole = slope("writer", "quiet", "cpu_s_per_s") * sidecars --> of a core,\n'
         "?<!-- = whole / 2 | .0% --> of two; ?<!-- = whole <= 1 -->, ?<!-- = slope('a', 'b', 'c') -->.\n"
@@ -78,9 +78,9 @@
     assert paging.main(check) == 1 and len(capsys.readouterr().err.splitlines()) == 4
     assert file.read_text() == before
     assert paging.main(told) == 0 and paging.main(check) == 0
-    shown = paging.COMMENT.sub("", file.read_text())
+    shown = paging.COMMENT_PATTERN.sub("", file.read_text())
     assert shown == "In all 1.1 of a core,\n55% of two; broken, not measured.\n"
-    assert paging.COMMENT.findall(file.read_text()) == paging.COMMENT.findall(before)
+    assert paging.COMMENT_PATTERN.findall(file.read_text()) == paging.COMMENT_PATTERN.findall(before)
 
 
 @pytest.mark.parametrize(
@@ -113,11 +113,11 @@
     head = "\n| size | what |\n| --- | --- |\n"
     rows = "| 20<!-- given --> | a |\n| 1<!-- given --> | b |\n| not measured | c |\n"
     told = page("<!-- ranked -->\n" + head + rows)
-    assert page(head + rows).faults == [] and page(head + rows).true == head + rows
+    assert page(head + rows).faults == [] and page(head + rows).corrected_text == head + rows
     assert ["1 stands behind 20" in str(one) for one in told.faults] == [True]
     a, b, c = rows.splitlines(keepends=True)
-    assert told.true == "<!-- ranked -->\n" + head + b + a + c
-    assert page(told.true).faults == []
+    assert told.corrected_text == "<!-- ranked -->\n" + head + b + a + c
+    assert page(told.corrected_text).faults == []
 
 
 # --- Files ----------------------------------------------------------------------------------------
@@ -140,11 +140,13 @@
 
 
 def test_page_without_its_points_says_not_measured(tmp_path: Path) -> None:
-    copytree(fitting.FOLDER, tmp_path / "points")
-    assert paging.read(points=tmp_path / "points").faults == []
+    copytree(fitting.POINTS_FOLDER, tmp_path / "points")
+    assert paging.read_page(points=tmp_path / "points").faults == []
     for file in (tmp_path / "points").glob("*.jsonl"):
         file.unlink()
-        assert any("it is not measured" in str(one) for one in paging.read(points=tmp_path / "points").faults)
+        assert any(
+            "it is not measured" in str(one) for one in paging.read_page(points=tmp_path / "points").faults
+        )
 
 
 def test_size_file_is_the_letter_s() -> None:
@@ -179,7 +181,7 @@
 )
 def test_bad_sizes_are_refused(tmp_path: Path, old: str, new: str, told: str) -> None:
     file = tmp_path / "size.toml"
-    file.write_text(PATH.read_text().replace(old, new, 1))
+    file.write_text(DEFAULT_PATH.read_text().replace(old, new, 1))
     with pytest.raises(SizeError, match=told) as caught:
         read_size(file)
     assert caught.value.remedy
@@ -221,7 +223,7 @@
     ],
 )  # fmt: skip
 def test_formulas_say(formula: str, value: float | str) -> None:
-    told = formulas(*points(0.5 + 0.001 * n for n in SIZES), lost="no line").value(formula)
+    told = formulas(*points(0.5 + 0.001 * n for n in SIZES), lost="no line").evaluate(formula)
     assert told == value if isinstance(value, str) else told == pytest.approx(value, rel=1e-9)
 
 
@@ -233,14 +235,15 @@
         "not 1", "1 < 2 < 3", "True", "1j", "'a'", "'a' * 9", "1 // 2", "1 % 2", "1 << 9", "9 ** 999",
         "10 ** 128 * 10.0 ** 300",
         "1 / 0", "max()", "ceil(1, 2)", "slope('a')", "slope(*'abc')", "slope('a', 'b', 'c', **sidecars)",
-        "value('1')", "_of(1)", "slope('a', 'b', 'c', d='e')", "code('woadyard/lists/state.py', 'NONE')",
+        "evaluate('1')", "_evaluate_node(1)", "slope('a', 'b', 'c', d='e')",
+        "code('woadyard/lists/state.py', 'NONE')",
         "code('woadyard/lists/state.py', 'PUT')", "code('../x.py', 'A')", "code('README.md', 'A')", "x := 1",
         "+" * 700, "(" * 300, "1 + " * 140 + "1 +" * 20,
     ],
 )  # fmt: skip
 def test_formulas_do_nothing_else(formula: str) -> None:
     with pytest.raises(FormulaError):
-        formulas(*points(SIZES)).value(formula)
+        formulas(*points(SIZES)).evaluate(formula)
 
 
 # --- Fits -----------------------------------------------------------------------------------------
@@ -249,62 +252,68 @@
 def test_line_is_found_and_its_parts_are_told() -> None:
     wobble = (0.01, -0.01, 0.0, 0.01, -0.01)
     both = points((0.5 + 0.001 * n + w for n, w in zip(SIZES, wobble, strict=True)), load=2.0)
-    found = fit([*both, *points((0.5 + 0.001 * n - w for n, w in zip(SIZES, wobble, strict=True)), turn=2)])
+    found = fit_line(
+        [*both, *points((0.5 + 0.001 * n - w for n, w in zip(SIZES, wobble, strict=True)), turn=2)]
+    )
     assert found is not None and found.is_line and found.verdict == "line"
     assert found.slope == pytest.approx(0.001) and found.base == pytest.approx(0.5)
-    assert (found.points, found.void, found.turns, found.load) == (10, 0, 2, 2.0)
-    assert found.r2 > 0.99 and found.miss < 1e-9 and 0.0 < found.slope_error < 1e-4
+    assert (found.point_count, found.void_count, found.min_turns, found.max_load) == (10, 0, 2, 2.0)
+    assert found.r2 > 0.99 and found.max_residual < 1e-9 and 0.0 < found.slope_error < 1e-4
 
 
 def test_noise_about_a_line_is_no_knee() -> None:
     turns = [points((1.0, 1.3, 0.9, 1.2, 1.0)), points((1.3, 1.0, 1.2, 0.9, 1.3), turn=2)]
-    found = fit([one for turn in turns for one in turn])
+    found = fit_line([one for turn in turns for one in turn])
     assert found is not None and found.is_line
 
 
 def test_knee_is_found_where_two_lines_meet() -> None:
-    found = fit(points(0.001 * n if n <= 400 else 0.4 + 0.01 * (n - 400) for n in SIZES))
+    found = fit_line(points(0.001 * n if n <= 400 else 0.4 + 0.01 * (n - 400) for n in SIZES))
     assert found is not None and not found.is_line
     assert found.knee == 400 and found.verdict == "no line, knee at 400"
-    assert found.at(250) == pytest.approx(0.25) and found.at(900) == pytest.approx(5.4)
-    assert found.at(1200) == pytest.approx(8.4)
+    assert found.value_at(250) == pytest.approx(0.25) and found.value_at(900) == pytest.approx(5.4)
+    assert found.value_at(1200) == pytest.approx(8.4)
     told = formulas(*points(0.001 * n if n <= 400 else 0.4 + 0.01 * (n - 400) for n in SIZES))
     series = '"writer", "quiet", "cpu_s_per_s"'
-    assert told.value(f"slope({series})") == told.value(f"base({series}) + 1") == "no line"
-    assert told.value(f"knee({series})") == 400.0
+    assert told.evaluate(f"slope({series})") == told.evaluate(f"base({series}) + 1") == "no line"
+    assert told.evaluate(f"knee({series})") == 400.0
 
 
 def test_scatter_is_neither() -> None:
-    found = fit(points((1.0, 9.0, 1.0, 9.0, 1.0)))
-    assert found is not None and found.scatter and found.verdict == "no line, scatter"
+    found = fit_line(points((1.0, 9.0, 1.0, 9.0, 1.0)))
+    assert found is not None and found.is_scatter and found.verdict == "no line, scatter"
 
 
 def test_few_sizes_have_no_knee_and_say_so() -> None:
-    found = fit(points((1.0, 5.0, 6.0), (1, 2, 3)))
+    found = fit_line(points((1.0, 5.0, 6.0), (1, 2, 3)))
     assert found is not None and found.is_line and found.verdict == "line of 3 sizes"
-    assert fit(points((1.0, 2.0), (5, 5))) is None
-    assert fit([]) is None
+    assert fit_line(points((1.0, 2.0), (5, 5))) is None
+    assert fit_line([]) is None
 
 
 def test_void_points_are_left_out_and_counted() -> None:
-    void = points((50.0, 60.0), (400, 1100), driver_lag_p99_ms=LAG_MOST_MS + 1.0)
-    found = fit([*points(0.001 * n for n in SIZES), *void])
-    assert found is not None and found.slope == pytest.approx(0.001) and (found.points, found.void) == (5, 2)
+    void = points((50.0, 60.0), (400, 1100), driver_lag_p99_ms=MAX_DRIVER_LAG_P99_MS + 1.0)
+    found = fit_line([*points(0.001 * n for n in SIZES), *void])
+    assert (
+        found is not None
+        and found.slope == pytest.approx(0.001)
+        and (found.point_count, found.void_count) == (5, 2)
+    )
     told = formulas(*void)
-    assert told.value('worst("writer", "quiet", "cpu_s_per_s")') == "void"
-    assert told.value('slope("writer", "quiet", "cpu_s_per_s")') == "void"
-    assert told.value('voids("writer", "quiet", "cpu_s_per_s")') == 2.0
+    assert told.evaluate('worst("writer", "quiet", "cpu_s_per_s")') == "void"
+    assert told.evaluate('slope("writer", "quiet", "cpu_s_per_s")') == "void"
+    assert told.evaluate('voids("writer", "quiet", "cpu_s_per_s")') == 2.0
 
 
 def test_units_that_differ_are_refused() -> None:
     with pytest.raises(PointsError, match="writer quiet cpu_s_per_s"):
-        gather([*points(SIZES), *points(SIZES, unit="share")])
+        group_by_series([*points(SIZES), *points(SIZES, unit="share")])
 
 
 def test_table_says_each_series(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     void = points((1.0,), (100,), metric="p99_s", unit="s", driver_lag_p99_ms=90.0)
-    write(tmp_path / "a.jsonl", [*points(0.001 * n for n in SIZES), *void])
-    write(tmp_path / "b.jsonl", points((1.0, 9.0, 1.0, 9.0, 1.0), role="lists"))
+    append_points(tmp_path / "a.jsonl", [*points(0.001 * n for n in SIZES), *void])
+    append_points(tmp_path / "b.jsonl", points((1.0, 9.0, 1.0, 9.0, 1.0), role="lists"))
     assert fitting.main(arguments(fitting, "--points", str(tmp_path))) == 0
     head, *rows = capsys.readouterr().out.splitlines()
     assert "verdict" in head and len(rows) == 3
--- a/tests/test_scale_path.py
+++ b/tests/test_scale_path.py
@@ -15,7 +15,7 @@
 import msgspec
 import pytest
 
-from benchmarks.scale import exchange, growth, latency, listings, points, retries
+from benchmarks.scale import endpoint_lists, exchange, growth, latency, points, retries
 from benchmarks.scale.chain import Chain, TooManyError
 from benchmarks.scale.points import Point
 from tests.lab import _kill_with_parent
@@ -27,7 +27,9 @@
 
 def found(path: Path, role: str, phase: str, size: float) -> dict[str, float]:
     """Values by metric; each once."""
-    some = [one for one in points.read([path]) if (one.role, one.phase, one.size) == (role, phase, size)]
+    some = [
+        one for one in points.read_points([path]) if (one.role, one.phase, one.size) == (role, phase, size)
+    ]
     values = {one.metric: one.value for one in some}
     assert len(values) == len(some) > 0, f"no points of {role} {phase} {size}, or some twice"
     return values
@@ -42,9 +44,9 @@
     assert told["connections_open"] >= 1, "the sidecar keeps its connections"
     assert told["decision_s"] > 0.0 and told["cpu_s_per_request"] > 0.0 and told["rss_bytes"] > 0
     assert told["added_p99_s"] == pytest.approx(told["through_p99_s"] - told["direct_p99_s"])
-    one = next(one for one in points.read([out]) if one.metric == "added_p99_s")
+    one = next(one for one in points.read_points([out]) if one.metric == "added_p99_s")
     assert one.size_unit == "entries" and one.turn == 1 and one.driver_lag_p99_ms > 0.0
-    assert one.void == (one.driver_lag_p99_ms > points.LAG_MOST_MS)
+    assert one.is_void == (one.driver_lag_p99_ms > points.MAX_DRIVER_LAG_P99_MS)
 
 
 def _as_from_a_terminal() -> None:
@@ -118,7 +120,7 @@
 
 def test_the_log_grows_by_what_its_records_hold(tmp_path: Path) -> None:
     out, size = tmp_path / "growth.jsonl", 20
-    growth.measure(out, [size], 1, rows_most=size * 40)
+    growth.measure(out, [size], 1, max_rows=size * 40)
     renewal, change = found(out, "log", "renewal", size), found(out, "log", "change", size)
     report, many = found(out, "log", "report", size), found(out, "log", "reports_by_20", size)
     assert 0 < renewal["bytes_per_record"] < change["bytes_per_record"]
@@ -128,7 +130,7 @@
     for shape in ("lists", "whole"):
         back = found(out, "recovery", shape, size)
         assert back["replica_reached_share"] == 1.0 and back["own_log_s"] > 0.0
-    listed = sum(len(msgspec.json.encode(one)) for one in listings.entries(size))
+    listed = sum(len(msgspec.json.encode(one)) for one in endpoint_lists.list_entries(size))
     assert found(out, "told", "whole", size)["bytes_per_sidecar"] > listed
     assert found(out, "told", "zone", size)["bytes_per_sidecar"] > listed / 10
 
@@ -146,27 +148,27 @@
 
 
 def test_names_and_entries_are_distinct_and_as_long_as_real_ones() -> None:
-    known = listings.names(1_100)
+    known = endpoint_lists.instance_ids(1_100)
     assert len(set(known)) == 1_100 and {len(one) for one in known} == {len("s-5be2a07c")}
-    listed = listings.entries(1_100)
+    listed = endpoint_lists.list_entries(1_100)
     assert len({one["hostPort"] for one in listed}) == 1_100
-    assert Counter(one["zone"] for one in listed) == dict.fromkeys(listings.ZONES, 110)
-    assert len(set(listings.REGIONS.values())) == 3
+    assert Counter(one["zone"] for one in listed) == dict.fromkeys(endpoint_lists.ZONES, 110)
+    assert len(set(endpoint_lists.REGIONS.values())) == 3
 
 
 def test_a_point_of_a_late_driver_is_void_and_shown_as_such(capsys: pytest.CaptureFixture[str]) -> None:
     from benchmarks.scale import usage
 
     late = Point("r", "path", "inner", 9, "added_p99_s", "s", 0.1, "entries", driver_lag_p99_ms=50.1)
-    usage.show(late)
+    usage.print_point(late)
     assert "VOID" in capsys.readouterr().err
 
 
 async def test_a_loop_that_is_held_up_is_seen_to_lag() -> None:
     from benchmarks.scale import usage
 
-    lag = usage.Lag()
+    lag = usage.LoopMeter()
     await asyncio.sleep(0.02)
     time.sleep(0.3)  # it is what the measurer has to see
     await asyncio.sleep(0.02)
-    assert lag.end()[0] > points.LAG_MOST_MS
+    assert lag.stop()[0] > points.MAX_DRIVER_LAG_P99_MS
