--- a/benchmarks/scale/formulas.py
+++ b/benchmarks/scale/formulas.py
@@ -1,25 +1,26 @@
-"""The formulas behind the figures of docs/CAPACITY.md: arithmetic over measured points, and no more.
-
-Numbers, the names of `size.toml` and of earlier figures, `+ - * / **`, one comparison (which gives `holds`
-or `broken`) and these functions; R, P and M are role, phase and metric in quotes:
-
-    slope(R, P, M)           of the line, per unit of size; `no line` where the curve is none
-    base(R, P, M)            the line's value at size 0
-    at(R, P, M, size)        the line's value; where it is none, between the means beside it
-    measured(R, P, M, size)  the mean of the points at that very size
-    worst(R, P, M[, size])   the greatest point, of all or at that size
-    knee(R, P, M)            the size at which the curve bends; `none` where it does not
-    turns(R, P, M)           how often the size that was run least often was
-    load(R, P, M)            the machine's load over a minute, the greatest as the points were taken
-    voids(R, P, M)           how many of the series' points are void
-    breaks(R, P, M, budget)  the smallest size whose figure is over the budget, between sizes on the
-                             straight; past the last size `none` (not seen to break)
-    falls(R, P, M, goal)     the same for a figure that must not be under its goal
-    code(FILE, NAME)         a constant of the program, as its file says it
+"""The formulas behind the figures of docs/CAPACITY.md: plain arithmetic over measured points.
+
+A formula may hold numbers, the names of `size.toml` and of figures defined earlier on the page,
+`+ - * / **`, one comparison (the result is `holds` or `broken`) and the functions below. R, P and M are
+a role, a phase and a metric in quotes:
+
+    slope(R, P, M)           slope of the line, per unit of size; `no line` where no line fits
+    base(R, P, M)            value of the line at size 0
+    at(R, P, M, size)        value of the line; where no line fits, interpolated between the nearest means
+    measured(R, P, M, size)  mean of the points at exactly that size
+    worst(R, P, M[, size])   greatest value, over all points or over those at that size
+    knee(R, P, M)            size at which the curve bends; `none` where it does not
+    turns(R, P, M)           smallest number of points at any one size
+    load(R, P, M)            greatest one-minute load average of the machine while the points were taken
+    voids(R, P, M)           number of void points of the series
+    breaks(R, P, M, budget)  smallest size whose value exceeds the budget, interpolated linearly between
+                             the sizes; `none` if no measured size exceeds it
+    falls(R, P, M, goal)     the same for a value that must not drop below the goal
+    code(FILE, NAME)         a constant of the program, read from its source file
     min max ceil floor
 
 Each of the first eleven takes `since="..."` and `until="..."`, the first and last run that count. A figure
-that can't be had is a word: `not measured`, `void` (all its points are), `no line`, `none`.
+without a value is shown as a word: `not measured`, `void` (all its points are void), `no line` or `none`.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 from benchmarks.scale.points import Point
 from woadyard.errors import WoadyardError
 
-MAX_FORMULA_CHARS, MAX_EXPONENT = 600, 128  # characters of a formula; an exponent
+MAX_FORMULA_CHARS, MAX_EXPONENT = 600, 128  # characters of a formula; absolute value of an exponent
 NOT_MEASURED, VOID, NO_LINE, NONE = "not measured", "void", "no line", "none"
 HOLDS, BROKEN = "holds", "broken"
 RESULT_WORDS = (NOT_MEASURED, VOID, NO_LINE, NONE, HOLDS, BROKEN)
@@ -49,41 +50,44 @@
 
 
 class FormulaError(WoadyardError):
-    """It is no formula, or names what there is not."""
+    """A formula is invalid, or names something that does not exist."""
 
-    remedy = "see benchmarks/scale/formulas.py for what a formula may hold"
+    remedy = "see the docstring of benchmarks/scale/formulas.py for the syntax of formulas"
 
 
 class NoValueError(Exception):
-    """There is no such figure; the message is the word for why."""
+    """A figure has no value; the message is the word that the page shows for the reason."""
 
 
 @dataclass
 class FormulaEvaluator:
-    """Evaluates formulas over points and figures; `names` grows with the page's own named figures."""
+    """Evaluates formulas over measured points and named figures.
+
+    `figures` starts with those of `size.toml`; the page adds each figure that it names.
+    """
 
     points: Mapping[Series, list[Point]]
-    names: dict[str, float | str]
+    figures: dict[str, float | str]
     root: Path = PROJECT_ROOT
     fits: dict[tuple[Any, ...], LineFit] = field(default_factory=dict)
 
     def evaluate(self, formula: str) -> float | str:
-        """The figure, or the word for why there is none. FormulaError where it is no formula."""
+        """Return the figure, or the word for why it has none; raises FormulaError for an invalid formula."""
         if len(formula) > MAX_FORMULA_CHARS:
-            raise FormulaError(f"the formula is over {MAX_FORMULA_CHARS} characters")
+            raise FormulaError(f"the formula is longer than {MAX_FORMULA_CHARS} characters")
         try:
-            found = self._evaluate_node(ast.parse(formula.strip(), mode="eval").body)
+            result = self._evaluate_node(ast.parse(formula.strip(), mode="eval").body)
         except (SyntaxError, ValueError, RecursionError) as error:
-            raise FormulaError(f"no formula: {error}") from None
+            raise FormulaError(f"invalid formula: {error}") from None
         except (ZeroDivisionError, OverflowError, TypeError) as error:
             raise FormulaError(f"{formula}: {error}") from None
         except NoValueError as word:
             return str(word)
-        if isinstance(found, bool):
-            return HOLDS if found else BROKEN
-        if not isinstance(found, (int, float)) or not math.isfinite(found):
-            raise FormulaError(f"{formula}: no number")
-        return float(found)
+        if isinstance(result, bool):
+            return HOLDS if result else BROKEN
+        if not isinstance(result, (int, float)) or not math.isfinite(result):
+            raise FormulaError(f"{formula}: the result is not a finite number")
+        return float(result)
 
     def _evaluate_node(self, node: ast.AST) -> Any:
         match node:
@@ -94,72 +98,78 @@
             case ast.Name(id=name):
                 return self._lookup_figure(name)
             case ast.UnaryOp(op=ast.USub(), operand=operand):
-                return -self._number(operand)
+                return -self._evaluate_number(operand)
             case ast.BinOp(left=left, op=ast.Pow(), right=right):
-                power = self._number(right)
-                if abs(power) > MAX_EXPONENT:
-                    raise FormulaError(f"an exponent over {MAX_EXPONENT}")
-                return float(self._number(left)) ** power
+                exponent = self._evaluate_number(right)
+                if abs(exponent) > MAX_EXPONENT:
+                    raise FormulaError(f"the absolute value of an exponent is over {MAX_EXPONENT}")
+                return float(self._evaluate_number(left)) ** exponent
             case ast.BinOp(left=left, op=op, right=right) if type(op) in _OPERATORS:
-                return _OPERATORS[type(op)](self._number(left), self._number(right))
+                return _OPERATORS[type(op)](self._evaluate_number(left), self._evaluate_number(right))
             case ast.Compare(left=left, ops=[op], comparators=[right]) if type(op) in _OPERATORS:
-                return bool(_OPERATORS[type(op)](self._number(left), self._number(right)))
+                return bool(_OPERATORS[type(op)](self._evaluate_number(left), self._evaluate_number(right)))
             case ast.Call(func=ast.Name(id=name), args=args, keywords=keywords) if name in _FUNCTIONS:
-                told = {one.arg: self._evaluate_node(one.value) for one in keywords if one.arg}
-                if len(told) < len(keywords):
-                    raise FormulaError("a formula has no `**`")
-                return _FUNCTIONS[name](self, *(self._evaluate_node(one) for one in args), **told)
-        raise FormulaError(f"a formula has no {ast.unparse(node)!r}")
-
-    def _number(self, node: ast.AST) -> float:
+                named = {
+                    keyword.arg: self._evaluate_node(keyword.value) for keyword in keywords if keyword.arg
+                }
+                if len(named) < len(keywords):
+                    raise FormulaError("arguments can't be unpacked with `**` in a formula")
+                return _FUNCTIONS[name](self, *(self._evaluate_node(arg) for arg in args), **named)
+        raise FormulaError(f"{ast.unparse(node)!r} is not allowed in a formula")
+
+    def _evaluate_number(self, node: ast.AST) -> float:
         match self._evaluate_node(node):
             case bool():
                 pass
-            case int() | float() as found:
-                return found
-        raise FormulaError(f"no number: {ast.unparse(node)}")
+            case int() | float() as number:
+                return number
+        raise FormulaError(f"not a number: {ast.unparse(node)}")
 
     def _lookup_figure(self, name: str) -> float:
-        if name not in self.names:
-            raise FormulaError(f"nothing is named {name!r}")
-        found = self.names[name]
-        if isinstance(found, str):
-            raise NoValueError(found)
-        return found
+        if name not in self.figures:
+            raise FormulaError(f"unknown name {name!r}")
+        figure = self.figures[name]
+        if isinstance(figure, str):
+            raise NoValueError(figure)
+        return figure
 
     # --- Functions ------------------------------------------------------------------------
 
     def valid_points(
         self, role: str, phase: str, metric: str, since: str = "", until: str = "~"
     ) -> list[Point]:
-        """The series' points of these runs that count."""
-        good = [one for one in self._points_of_runs(role, phase, metric, since, until) if not one.is_void]
-        if not good:
+        """Return the points of the series, of runs `since` to `until`, that are not void."""
+        valid = [
+            point for point in self._points_of_runs(role, phase, metric, since, until) if not point.is_void
+        ]
+        if not valid:
             raise NoValueError(VOID)
-        return good
+        return valid
 
     def _points_of_runs(
         self, role: str, phase: str, metric: str, since: str = "", until: str = "~"
     ) -> list[Point]:
-        told = [one for one in self.points.get((role, phase, metric), []) if since <= one.run <= until]
-        if not told:
+        in_runs = [
+            point for point in self.points.get((role, phase, metric), []) if since <= point.run <= until
+        ]
+        if not in_runs:
             raise NoValueError(NOT_MEASURED)
-        return told
+        return in_runs
 
     def line_fit(self, *series: str, **runs: str) -> LineFit:
         key = (*series, *sorted(runs.items()))
         if key not in self.fits:
-            found = fit_line(self.valid_points(*series, **runs))
-            if found is None:
+            fit = fit_line(self.valid_points(*series, **runs))
+            if fit is None:
                 raise NoValueError(NOT_MEASURED)
-            self.fits[key] = found
+            self.fits[key] = fit
         return self.fits[key]
 
     def require_line(self, *series: str, **runs: str) -> LineFit:
-        found = self.line_fit(*series, **runs)
-        if not found.is_line:
+        fit = self.line_fit(*series, **runs)
+        if not fit.is_line:
             raise NoValueError(NO_LINE)
-        return found
+        return fit
 
     def slope(self, role: str, phase: str, metric: str, **runs: str) -> float:
         return self.require_line(role, phase, metric, **runs).slope
@@ -171,38 +181,38 @@
         return self.line_fit(role, phase, metric, **runs).value_at(size)
 
     def measured(self, role: str, phase: str, metric: str, size: float, **runs: str) -> float:
-        return sum(found := self._values_at_size(role, phase, metric, size, runs)) / len(found)
+        return sum(values := self._values_at_size(role, phase, metric, size, runs)) / len(values)
 
     def worst(self, role: str, phase: str, metric: str, size: float | None = None, **runs: str) -> float:
         if size is None:
-            return max(one.value for one in self.valid_points(role, phase, metric, **runs))
+            return max(point.value for point in self.valid_points(role, phase, metric, **runs))
         return max(self._values_at_size(role, phase, metric, size, runs))
 
     def _values_at_size(
         self, role: str, phase: str, metric: str, size: float, runs: dict[str, str]
     ) -> list[float]:
-        told = [one for one in self.points.get((role, phase, metric), []) if one.size == size]
-        only = FormulaEvaluator({(role, phase, metric): told}, {})
-        return [one.value for one in only.valid_points(role, phase, metric, **runs)]
+        at_size = [point for point in self.points.get((role, phase, metric), []) if point.size == size]
+        evaluator = FormulaEvaluator({(role, phase, metric): at_size}, {})
+        return [point.value for point in evaluator.valid_points(role, phase, metric, **runs)]
 
     def knee(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        found = self.line_fit(role, phase, metric, **runs).knee
-        if found is None:
+        size = self.line_fit(role, phase, metric, **runs).knee
+        if size is None:
             raise NoValueError(NONE)
-        return found
+        return size
 
     def turns(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        by_size: dict[float, int] = {}
-        for one in self.valid_points(role, phase, metric, **runs):
-            by_size[one.size] = by_size.get(one.size, 0) + 1
-        return min(by_size.values())
+        counts: dict[float, int] = {}
+        for point in self.valid_points(role, phase, metric, **runs):
+            counts[point.size] = counts.get(point.size, 0) + 1
+        return min(counts.values())
 
     def load(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        return max(one.load for one in self.valid_points(role, phase, metric, **runs))
+        return max(point.load for point in self.valid_points(role, phase, metric, **runs))
 
     def voids(self, role: str, phase: str, metric: str, **runs: str) -> float:
-        told = self._points_of_runs(role, phase, metric, **runs)
-        return sum(one.is_void for one in told)
+        points = self._points_of_runs(role, phase, metric, **runs)
+        return sum(point.is_void for point in points)
 
     def breaks(self, role: str, phase: str, metric: str, budget: float, **runs: str) -> float:
         return self._crossing_size(role, phase, metric, budget, 1.0, runs)
@@ -211,42 +221,43 @@
         return self._crossing_size(role, phase, metric, goal, -1.0, runs)
 
     def _crossing_size(
-        self, role: str, phase: str, metric: str, budget: float, sign: float, runs: dict[str, str]
+        self, role: str, phase: str, metric: str, bound: float, sign: float, runs: dict[str, str]
     ) -> float:
+        """Return the smallest size whose mean is past the bound; `sign` is -1 for a lower bound."""
         by_size: dict[float, list[float]] = {}
-        for one in self.valid_points(role, phase, metric, **runs):
-            by_size.setdefault(one.size, []).append(one.value)
-        before: tuple[float, float] | None = None
+        for point in self.valid_points(role, phase, metric, **runs):
+            by_size.setdefault(point.size, []).append(point.value)
+        previous: tuple[float, float] | None = None
         for size, values in sorted(by_size.items()):
             mean = sum(values) / len(values)
-            if sign * mean > sign * budget:
-                if before is None:
+            if sign * mean > sign * bound:
+                if previous is None:
                     return size
-                return before[0] + (size - before[0]) * (budget - before[1]) / (mean - before[1])
-            before = size, mean
+                return previous[0] + (size - previous[0]) * (bound - previous[1]) / (mean - previous[1])
+            previous = size, mean
         raise NoValueError(NONE)
 
     def code(self, file: str, name: str) -> float:
-        """A number that the file's top level gives the name."""
+        """Return the number that is assigned to `name` at the top level of a source file."""
         path = (self.root / file).resolve()
         if not path.is_relative_to(self.root.resolve()) or path.suffix != ".py" or not path.is_file():
-            raise FormulaError(f"no file of the program: {file}")
+            raise FormulaError(f"not a Python file of the project: {file}")
         for node in ast.parse(path.read_text()).body:
             for target, value in _assignments(node):
                 if target == name:
-                    return FormulaEvaluator({}, {})._number(value)
+                    return FormulaEvaluator({}, {})._evaluate_number(value)
         raise FormulaError(f"{file} has no constant {name}")
 
 
 def _assignments(node: ast.stmt) -> list[tuple[str, ast.expr]]:
-    """Names and values of `A = 1` and of `A, B = 1, 2`."""
+    """Return the names and values of `A = 1` or of `A, B = 1, 2`."""
     if not isinstance(node, ast.Assign) or len(node.targets) != 1:
         return []
     target, value = node.targets[0], node.value
     pairs = [(target, value)]
     if isinstance(target, ast.Tuple) and isinstance(value, ast.Tuple):
         pairs = list(zip(target.elts, value.elts, strict=True))
-    return [(one.id, given) for one, given in pairs if isinstance(one, ast.Name)]
+    return [(name.id, assigned) for name, assigned in pairs if isinstance(name, ast.Name)]
 
 
 def _min(_: FormulaEvaluator, *values: float) -> float:
--- a/benchmarks/scale/points.py
+++ b/benchmarks/scale/points.py
@@ -1,4 +1,4 @@
-"""The points that the scale run measures: one JSON line each, kept under docs/capacity/."""
+"""The points that the scale run measures, stored as JSON lines under docs/capacity/."""
 
 from __future__ import annotations
 
@@ -8,38 +8,39 @@
 
 import msgspec
 
-MAX_DRIVER_LAG_P99_MS = 50.0  # a driver whose loop came later than this (p99) measured itself
+MAX_DRIVER_LAG_P99_MS = 50.0  # above this, the driver was the bottleneck
 
 
 class Point(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One figure at one size. `series` groups what one line is fitted to: role, phase and metric."""
+    """One measured value at one size."""
 
-    run: str  # of one call of the command: its start, UTC, as 20261202T051500
+    run: str  # start of the command that measured it, UTC, as 20261202T051500
     role: str  # "audit", "lists", "leases", "limits", "gossip", "control", "path", "retries", "log", ...
-    phase: str  # "quiet", "change", "begin", "zone", "writer", or the role's own
-    size: float  # sidecars, unless `size_unit` says otherwise
-    metric: str  # such as "cpu_s_per_s", "rss_bytes", "bytes_out_per_s", "p99_s"
+    phase: str  # "quiet", "change", "begin", "zone", "writer", or a phase of the role
+    size: float  # in `size_unit`
+    metric: str  # for example "cpu_s_per_s", "rss_bytes", "bytes_out_per_s", "p99_s"
     unit: str  # "s/s", "bytes", "bytes/s", "messages/s", "s", "share", "count"
     value: float
     size_unit: str = "sidecars"
-    turn: int = 1  # which play of this size in this run
-    driver_lag_p99_ms: float = 0.0  # of the drivers' loops, the worst of them
-    driver_cpu: float = 0.0  # share of a core, the busiest driver
-    load: float = 0.0  # the machine's load over the last minute, as the point was taken
+    turn: int = 1  # repetition of this size within the run
+    driver_lag_p99_ms: float = 0.0  # greatest event loop lag of all drivers
+    driver_cpu: float = 0.0  # share of a core, of the busiest driver
+    load: float = 0.0  # one-minute load average of the machine when the point was taken
     note: str = ""
 
     @property
     def is_void(self) -> bool:
-        """Whether the driver itself was the limit, so that the figure says nothing."""
+        """Whether the driver was the bottleneck, so that the value is meaningless."""
         return self.driver_lag_p99_ms > MAX_DRIVER_LAG_P99_MS
 
     @property
     def series(self) -> tuple[str, str, str]:
+        """Role, phase and metric: the points to which one line is fitted."""
         return self.role, self.phase, self.metric
 
 
 def append_points(path: Path, points: Iterable[Point]) -> None:
-    """Append to `path`, one line each; whole lines reach the disk even if the run is stopped."""
+    """Append points to a file, one line each, and flush it to disk, as a run may be aborted at any time."""
     path.parent.mkdir(parents=True, exist_ok=True)
     with path.open("ab") as file:
         for point in points:
@@ -49,7 +50,7 @@
 
 
 def read_points(paths: Iterable[Path]) -> Iterator[Point]:
-    """All points of the files; msgspec.DecodeError names a line that is none."""
+    """Yield all points of the files; msgspec.DecodeError names the file and line of an invalid one."""
     for path in paths:
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             try:
--- a/benchmarks/scale/size.py
+++ b/benchmarks/scale/size.py
@@ -1,4 +1,4 @@
-"""The size to design for, as `size.toml` holds it: the letter's figures, and what the page assumes."""
+"""The target size of the system, read from `size.toml`: the requirements and the page's assumptions."""
 
 from __future__ import annotations
 
@@ -11,69 +11,75 @@
 
 DEFAULT_PATH = Path(__file__).with_name("size.toml")
 
-Count = Annotated[int, msgspec.Meta(ge=1)]
-Above = Annotated[float, msgspec.Meta(gt=0.0)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0.0)]
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 
 
 class SizeError(WoadyardError):
-    """The file of sizes can't be read, or has a figure that is none."""
+    """The size file can't be read or holds an invalid value."""
 
-    remedy = "give each figure of benchmarks/scale/size.py, and no other, in the unit of its name"
+    remedy = "set exactly the fields of benchmarks/scale/size.py, in the units of their names"
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    sidecars: Count
-    endpoints: Count
-    services: Count
-    calls_per_s: Above
-    depth: Count
-    regions: Count
-    zones: Count
-    control_machines: Count
+    """Required numbers of sidecars, endpoints, services and machines, and the rate of requests."""
+
+    sidecars: PositiveInt
+    endpoints: PositiveInt
+    services: PositiveInt
+    calls_per_s: PositiveFloat
+    depth: PositiveInt
+    regions: PositiveInt
+    zones: PositiveInt
+    control_machines: PositiveInt
 
 
 class Budget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Of a sidecar's control but for the first two: of a call, and of a change of configuration."""
+    """Limits: added latency of a request, delay of a configuration change, and control cost of a sidecar."""
 
-    added_p99_s: Above
-    in_force_s: Above
+    added_p99_s: PositiveFloat
+    in_force_s: PositiveFloat
     control_core: Share
-    control_rss_bytes: Above
-    control_bytes_per_s: Above
+    control_rss_bytes: PositiveFloat
+    control_bytes_per_s: PositiveFloat
 
 
 class Day(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    changes_a_day: Count
-    machine_failures_a_day: Count
-    restarts_a_day: Count
-    racks_a_year: Count
-    zone_failures_a_year: Count
-    region_splits_a_year: Count
-    region_split_s: Above
+    """Expected frequency of changes and failures."""
+
+    changes_a_day: PositiveInt
+    machine_failures_a_day: PositiveInt
+    restarts_a_day: PositiveInt
+    racks_a_year: PositiveInt
+    zone_failures_a_year: PositiveInt
+    region_splits_a_year: PositiveInt
+    region_split_s: PositiveFloat
 
 
 class Goal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The issue's, of the control plane."""
+    """Goals for the control plane."""
 
     writer_core: Share
     relay_core: Share
-    report_p99_s: Above
-    change_p99_s: Above
+    report_p99_s: PositiveFloat
+    change_p99_s: PositiveFloat
 
 
 class Assumed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Not the letter's: whatever is reckoned from these is marked so on the page."""
+    """Assumptions beyond the requirements; the page marks the figures that are derived from them."""
 
-    way_s: Above
-    burst_changes: Count
-    lease_s: Above
-    report_s: Above
-    gossip_s: Above
-    control_cores: Count
+    way_s: PositiveFloat
+    burst_changes: PositiveInt
+    lease_s: PositiveFloat
+    report_s: PositiveFloat
+    gossip_s: PositiveFloat
+    control_cores: PositiveInt
 
 
 class Size(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The contents of `size.toml`."""
+
     fleet: Fleet
     budget: Budget
     day: Day
@@ -81,13 +87,17 @@
     assumed: Assumed
 
     def figures(self) -> dict[str, float]:
-        """All figures by name; no two parts have a name in common."""
-        parts = (self.fleet, self.budget, self.day, self.goal, self.assumed)
-        return {name: float(value) for part in parts for name, value in msgspec.structs.asdict(part).items()}
+        """Return all values by field name; field names are unique across the sections."""
+        sections = (self.fleet, self.budget, self.day, self.goal, self.assumed)
+        return {
+            name: float(value)
+            for section in sections
+            for name, value in msgspec.structs.asdict(section).items()
+        }
 
 
 def read_size(path: Path = DEFAULT_PATH) -> Size:
-    """The sizes in the file; SizeError where it can't be read or a figure is none."""
+    """Read a size file; raises SizeError if it can't be read or a value is invalid."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=Size)
     except OSError as error:
--- a/tests/test_scale_page.py
+++ b/tests/test_scale_page.py
@@ -90,15 +90,15 @@
         ("7<!-- given -->", ""),
         ("7<!-- given --> and 8", "8 has no formula"),
         ("about 7, reckoned<!-- reckoned: none fails -->", ""),
-        ("7<!-- reckoned -->", "the reader is not told"),
-        ("7<!-- probe -->", "the reader is not told"),
+        ("7<!-- reckoned -->", "the page does not show the word"),
+        ("7<!-- probe -->", "the page does not show the word"),
         ("`HISTORY = 256`, p99, HTTP", ""),
         ("1,100<!-- = sidecars -->", ""),
         ("1,100<!-- = sidecars | ,.0f --> of 3", "3 has no formula"),
         ("1,200<!-- = sidecars -->", "the page says 1,200, it is 1,100"),
         ("<!-- = sidecars -->", "the page says nothing"),
-        ("1<!-- = sidecar -->", "nothing is named 'sidecar'"),
-        ("1,100<!-- = sidecars | .3x -->", "no form"),
+        ("1<!-- = sidecar -->", "unknown name 'sidecar'"),
+        ("1,100<!-- = sidecars | .3x -->", "invalid format"),
         ("1,100<!-- sidecars = sidecars -->", "named twice"),
         ("`woadyard/lists/state.py`", ""),
         ("`woadyard/lists/bock.py`", "no such file"),
@@ -114,7 +114,7 @@
     rows = "| 20<!-- given --> | a |\n| 1<!-- given --> | b |\n| not measured | c |\n"
     told = page("<!-- ranked -->\n" + head + rows)
     assert page(head + rows).faults == [] and page(head + rows).corrected_text == head + rows
-    assert ["1 stands behind 20" in str(one) for one in told.faults] == [True]
+    assert ["1 follows 20 in a ranked table" in str(one) for one in told.faults] == [True]
     a, b, c = rows.splitlines(keepends=True)
     assert told.corrected_text == "<!-- ranked -->\n" + head + b + a + c
     assert page(told.corrected_text).faults == []
@@ -130,7 +130,7 @@
     (tmp_path / "bad" / "x.jsonl").write_text('{"run": "a"}\n')
     for words, told in (
         (("--page", str(tmp_path / "none.md")), "none.md"),
-        (("--page", str(good), "--points", str(tmp_path / "none")), "no folder of points"),
+        (("--page", str(good), "--points", str(tmp_path / "none")), "the folder of points does not exist"),
         (("--page", str(good), "--points", str(tmp_path / "bad")), "x.jsonl:1"),
         (("--page", str(good), "--size", str(tmp_path / "none.toml")), "none.toml"),
     ):
