--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the program that tests do not assert."""
+"""Benchmarks: measurements that the tests do not assert."""
--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The scale run: what the program costs at the size of two years from now, measured as slopes."""
+"""The scale run: measures how the cost of the program grows towards the size expected in two years."""
--- a/benchmarks/scale/endpoint_lists.py
+++ b/benchmarks/scale/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Entries as long as real ones: names, zones and addresses of the size that is designed for."""
+"""Synthetic endpoint lists whose names, zones and addresses are as long as real ones."""
 
 from __future__ import annotations
 
@@ -12,25 +12,29 @@
     "ap-south-1a", "ap-south-1b", "ap-south-1c",
 )  # fmt: skip
 REGIONS = {zone: zone[:-1] for zone in ZONES}
-ENDPOINTS_PER_CELL = 4  # endpoints that share one
-FIRST_START_MS = 1_764_000_000_000  # long ago: none is cold
+ENDPOINTS_PER_CELL = 4
+FIRST_START_MS = 1_764_000_000_000  # long ago, so that no endpoint is in slow start
 
 
 def instance_ids(size: int) -> list[str]:
-    """Distinct, the same in each run."""
-    rng, found = random.Random(27), dict[str, None]()
-    while len(found) < size:
-        found[f"s-{rng.getrandbits(32):08x}"] = None
-    return list(found)
+    """Return distinct instance ids, the same in each run."""
+    rng, ids = random.Random(27), dict[str, None]()
+    while len(ids) < size:
+        ids[f"s-{rng.getrandbits(32):08x}"] = None
+    return list(ids)
 
 
-def host_port(at: int, ports: list[int] | None) -> str:
-    return f"127.0.0.1:{ports[at % len(ports)]}" if ports else f"10.12.{130 + at // 200}.{at % 200}:7070"
+def host_port(n: int, ports: list[int] | None) -> str:
+    """Return the address of the n-th endpoint: a loopback port, or an address that is never connected to."""
+    return f"127.0.0.1:{ports[n % len(ports)]}" if ports else f"10.12.{130 + n // 200}.{n % 200}:7070"
 
 
 def list_entries(size: int, ports: list[int] | None = None) -> list[dict[str, Any]]:
-    """A list of `size` endpoints, spread over the zones. With `ports` they stand on this machine, on
-    these in turns; without, at addresses that are as long as real ones and are never called."""
+    """Return a list of `size` endpoints, spread over the zones.
+
+    With `ports` their addresses are these ports of the loopback interface, in rotation; without, they
+    are addresses as long as real ones that are never connected to.
+    """
     return [
         {
             "instanceId": name, "hostPort": host_port(n, ports),
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -1,4 +1,4 @@
-"""Points out of what a phase measured: per role its messages, bytes, processor time and memory."""
+"""Derives points from the measurements of a phase: messages, bytes, CPU time and memory of each role."""
 
 from __future__ import annotations
 
@@ -21,6 +21,8 @@
 
 @dataclass(frozen=True)
 class Figure:
+    """One value of a role, before it becomes a point."""
+
     role: str
     metric: str
     unit: str
@@ -28,174 +30,198 @@
     note: str = ""
 
 
-def phase_points(run: str, turn: int, world: World, found: Measured) -> list[Point]:
+def phase_points(run: str, turn: int, world: World, measured: Measured) -> list[Point]:
+    """Return the points of a phase."""
     return [
         Point(
-            run, one.role, found.phase, world.size, one.metric, one.unit, round(one.value, 6), turn=turn,
-            driver_lag_p99_ms=round(found.driver_lag_ms, 1), driver_cpu=round(found.driver_cpu, 3),
-            load=round(found.load, 2), note=one.note,
+            run, figure.role, measured.phase, world.size, figure.metric, figure.unit,
+            round(figure.value, 6), turn=turn,
+            driver_lag_p99_ms=round(measured.driver_lag_ms, 1), driver_cpu=round(measured.driver_cpu, 3),
+            load=round(measured.load, 2), note=figure.note,
         )
-        for one in figures(world, found)
+        for figure in phase_figures(world, measured)
     ]  # fmt: skip
 
 
-def figures(world: World, found: Measured) -> Iterator[Figure]:
-    yield from services(world, found)
-    yield from control(world, found)
-    yield from reports(found)
-    yield from leases(found)
-    yield from lists(world, found)
+def phase_figures(world: World, measured: Measured) -> Iterator[Figure]:
+    """Yield the figures of all roles."""
+    yield from service_figures(world, measured)
+    yield from control_figures(world, measured)
+    yield from report_figures(measured)
+    yield from lease_figures(measured)
+    yield from list_figures(world, measured)
 
 
 # --- Roles ----------------------------------------------------------------------------
 
 
-def services(world: World, found: Measured) -> Iterator[Figure]:
-    """The writer, and the replicas' mean. Bytes out of one are what the others took from it."""
+def service_figures(world: World, measured: Measured) -> Iterator[Figure]:
+    """Yield the figures of the leader and the mean of its followers.
+
+    The bytes that a process sends are taken from what the others received from it.
+    """
     replicas = [f"replica-{n}" for n in range(len(world.replicas))]
-    ports = {one.port for one in world.replicas}
-    read: dict[str, float] = {name: _grown(found, name) for name in ("writer", *replicas)}
-    from_replicas = sum(_flows(found, "bytes_in", ports))
-    to_replicas = sum(_flows(found, "bytes_out", ports))
-    to_writer = sum(_flows(found, "bytes_out", {world.writer.port}))
-    from_writer = sum(_flows(found, "bytes_in", {world.writer.port}))
-    between_back = sum(read[name] for name in replicas) - to_replicas
-    between_there = read["writer"] - to_writer
-    if read["writer"]:
-        yield from _process(found, "writer", ["writer"])
-        yield Figure("writer", "bytes_in_per_s", "bytes/s", read["writer"] / found.seconds)
-        out = between_back + from_writer
-        told = "what sidecars and replicas took of it"
-        yield Figure("writer", "bytes_out_per_s", "bytes/s", out / found.seconds, told)
-        records = _counted(found, "writer", "registry_applied")
-        yield Figure("writer", "records_per_s", "messages/s", records / found.seconds)
-        calls = _reads(found, "writer") + sum(one.sent for one in found.tallies)
-        calls += sum(_flows(found, "connections", {world.writer.port}))
-        yield Figure("writer", "messages_per_s", "messages/s", calls / found.seconds, "calls taken")
-    yield from _process(found, "replica", replicas)
-    each = len(replicas) * found.seconds
-    yield Figure("replica", "bytes_in_per_s", "bytes/s", sum(read[name] for name in replicas) / each)
-    out, told = from_replicas + max(0.0, between_there), "what sidecars and the writer took of it"
-    yield Figure("replica", "bytes_out_per_s", "bytes/s", out / each, told)
-    taken = sum(_flows(found, "connections", ports))
-    yield Figure("replica", "messages_per_s", "messages/s", taken / each, "calls taken")
-
-
-def _process(found: Measured, role: str, names: Sequence[str]) -> Iterator[Figure]:
-    """CPU and memory, the mean of the processes; of the peak, the greatest."""
-    there = [name for name in names if name in found.before and name in found.after]
-    if not there:
+    ports = {replica.port for replica in world.replicas}
+    received: dict[str, float] = {name: _bytes_read(measured, name) for name in ("writer", *replicas)}
+    from_replicas = sum(_flow_counts(measured, "bytes_in", ports))
+    to_replicas = sum(_flow_counts(measured, "bytes_out", ports))
+    to_writer = sum(_flow_counts(measured, "bytes_out", {world.writer.port}))
+    from_writer = sum(_flow_counts(measured, "bytes_in", {world.writer.port}))
+    writer_to_replicas = sum(received[name] for name in replicas) - to_replicas
+    replicas_to_writer = received["writer"] - to_writer
+    if received["writer"]:
+        yield from _process_figures(measured, "writer", ["writer"])
+        yield Figure("writer", "bytes_in_per_s", "bytes/s", received["writer"] / measured.seconds)
+        sent_bytes = writer_to_replicas + from_writer
+        note = "what sidecars and replicas took of it"
+        yield Figure("writer", "bytes_out_per_s", "bytes/s", sent_bytes / measured.seconds, note)
+        entries = _metric_increase(measured, "writer", "registry_applied")
+        yield Figure("writer", "records_per_s", "messages/s", entries / measured.seconds)
+        calls = _registry_reads(measured, "writer") + sum(tally.sent for tally in measured.tallies)
+        calls += sum(_flow_counts(measured, "connections", {world.writer.port}))
+        yield Figure("writer", "messages_per_s", "messages/s", calls / measured.seconds, "calls taken")
+    yield from _process_figures(measured, "replica", replicas)
+    replica_seconds = len(replicas) * measured.seconds
+    yield Figure(
+        "replica", "bytes_in_per_s", "bytes/s", sum(received[name] for name in replicas) / replica_seconds
+    )
+    sent_bytes, note = from_replicas + max(0.0, replicas_to_writer), "what sidecars and the writer took of it"
+    yield Figure("replica", "bytes_out_per_s", "bytes/s", sent_bytes / replica_seconds, note)
+    accepted = sum(_flow_counts(measured, "connections", ports))
+    yield Figure("replica", "messages_per_s", "messages/s", accepted / replica_seconds, "calls taken")
+
+
+def _process_figures(measured: Measured, role: str, names: Sequence[str]) -> Iterator[Figure]:
+    """Yield CPU and memory as the mean of the processes, and the greatest CPU peak of any of them."""
+    running = [name for name in names if name in measured.before and name in measured.after]
+    if not running:
         return
-    cpu = statistics.fmean(found.after[one].cpu_s - found.before[one].cpu_s for one in there)
-    yield Figure(role, "cpu_s_per_s", "s/s", cpu / found.seconds)
-    if peaks := [found.peaks[one] for one in there if one in found.peaks]:
+    cpu = statistics.fmean(
+        measured.after[process].cpu_s - measured.before[process].cpu_s for process in running
+    )
+    yield Figure(role, "cpu_s_per_s", "s/s", cpu / measured.seconds)
+    if peaks := [measured.peaks[process] for process in running if process in measured.peaks]:
         yield Figure(role, "cpu_peak_s_per_s", "s/s", max(peaks), "within one second")
-    yield Figure(role, "rss_bytes", "bytes", statistics.fmean(found.after[one].rss_bytes for one in there))
+    yield Figure(
+        role, "rss_bytes", "bytes", statistics.fmean(measured.after[process].rss_bytes for process in running)
+    )
 
 
-def control(world: World, found: Measured) -> Iterator[Figure]:
-    """A hollow sidecar's control side, the mean of all; and the real sidecars, each a process."""
+def control_figures(world: World, measured: Measured) -> Iterator[Figure]:
+    """Yield the control cost of a hollow sidecar, as the mean of all, and the cost of the real sidecars."""
     hollow, note = world.hollow, "each sidecar"
-    cpu = sum(one.cpu_s / one.seconds for one in found.tallies)
+    cpu = sum(tally.cpu_s / tally.seconds for tally in measured.tallies)
     yield Figure("control", "cpu_s_per_s", "s/s", cpu / hollow, note)
-    yield Figure("control", "rss_bytes", "bytes", sum(one.rss for one in found.tallies) / hollow, note)
-    for metric, kind in (("bytes_in", "bytes_in"), ("bytes_out", "bytes_out"), ("messages", "connections")):
-        total = sum(_flows(found, kind)) / hollow / found.seconds
+    yield Figure("control", "rss_bytes", "bytes", sum(tally.rss for tally in measured.tallies) / hollow, note)
+    for metric, field in (("bytes_in", "bytes_in"), ("bytes_out", "bytes_out"), ("messages", "connections")):
+        total = sum(_flow_counts(measured, field)) / hollow / measured.seconds
         unit = "messages/s" if metric == "messages" else "bytes/s"
-        told = f"{note}, calls made" if metric == "messages" else f"{note}, {OWN_BYTES}"
-        yield Figure("control", f"{metric}_per_s", unit, total, told)
+        metric_note = f"{note}, calls made" if metric == "messages" else f"{note}, {OWN_BYTES}"
+        yield Figure("control", f"{metric}_per_s", unit, total, metric_note)
     for kind in ("lists", "reports", "leases"):
-        flows = [flow for one in found.tallies for flow in one.flows if flow.kind == kind]
-        for way in ("bytes_in", "bytes_out"):
-            total = sum(getattr(flow, way) for flow in flows) / hollow / found.seconds
-            yield Figure("control", f"{kind}_{way}_per_s", "bytes/s", total, f"{note}, {OWN_BYTES}")
-    real = [name for name in found.after if name.startswith("sidecar-")]
-    yield from _process(found, "sidecar", real)
+        flows = [flow for tally in measured.tallies for flow in tally.flows if flow.kind == kind]
+        for direction in ("bytes_in", "bytes_out"):
+            total = sum(getattr(flow, direction) for flow in flows) / hollow / measured.seconds
+            yield Figure("control", f"{kind}_{direction}_per_s", "bytes/s", total, f"{note}, {OWN_BYTES}")
+    sidecars = [name for name in measured.after if name.startswith("sidecar-")]
+    yield from _process_figures(measured, "sidecar", sidecars)
 
 
-def reports(found: Measured) -> Iterator[Figure]:
-    sent = sum(one.sent for one in found.tallies)
+def report_figures(measured: Measured) -> Iterator[Figure]:
+    """Yield the rate, failures and durations of audit reports."""
+    sent = sum(tally.sent for tally in measured.tallies)
     if not sent:
         return
-    failed = sum(one.failed for one in found.tallies)
-    yield Figure("audit", "reports_per_s", "messages/s", sent / found.seconds)
+    failed = sum(tally.failed for tally in measured.tallies)
+    yield Figure("audit", "reports_per_s", "messages/s", sent / measured.seconds)
     yield Figure("audit", "failed_share", "share", failed / sent, f"{failed} of {sent}")
-    calls = [took for one in found.tallies for took in one.calls_s]
-    acks = [took for one in found.tallies for took in one.acks_s]
-    yield from _times("audit", "call", calls)
-    yield from _times("audit", "ack", acks)
-
-
-def leases(found: Measured) -> Iterator[Figure]:
-    done = sum(one.renewed for one in found.tallies)
-    failed = sum(one.unrenewed for one in found.tallies)
-    yield Figure("leases", "renewals_per_s", "messages/s", done / found.seconds)
-    if done + failed:
-        share = failed / (done + failed)
-        yield Figure("leases", "failed_share", "share", share, f"{failed} of {done + failed}")
-    if found.phase == LEASES and done:
-        cpu = found.after["writer"].cpu_s - found.before["writer"].cpu_s
+    call_times_s = [duration_s for tally in measured.tallies for duration_s in tally.calls_s]
+    ack_times_s = [duration_s for tally in measured.tallies for duration_s in tally.acks_s]
+    yield from _duration_figures("audit", "call", call_times_s)
+    yield from _duration_figures("audit", "ack", ack_times_s)
+
+
+def lease_figures(measured: Measured) -> Iterator[Figure]:
+    """Yield the rate, failures and cost of lease renewals."""
+    renewals = sum(tally.renewed for tally in measured.tallies)
+    failed = sum(tally.unrenewed for tally in measured.tallies)
+    yield Figure("leases", "renewals_per_s", "messages/s", renewals / measured.seconds)
+    if renewals + failed:
+        share = failed / (renewals + failed)
+        yield Figure("leases", "failed_share", "share", share, f"{failed} of {renewals + failed}")
+    if measured.phase == LEASES and renewals:
+        leader_cpu_s = measured.after["writer"].cpu_s - measured.before["writer"].cpu_s
         note = "nothing else at the writer but its replicas and the real sidecars' reports"
-        yield Figure("leases", "writer_cpu_s_per_renewal", "s", cpu / done, note)
-    yield Figure("leases", "missing", "count", found.missing, "endpoints, at a replica at the end")
+        yield Figure("leases", "writer_cpu_s_per_renewal", "s", leader_cpu_s / renewals, note)
+    yield Figure("leases", "missing", "count", measured.missing, "endpoints, at a replica at the end")
 
 
-def lists(world: World, found: Measured) -> Iterator[Figure]:
-    """A change in force: from when it was asked for until each sidecar held it."""
-    if found.phase == WRITER:
-        taken = sum(bool(one.version) for one in found.asked)
-        told = sum(at >= 0 for one in found.tallies for heard in one.heard for at in heard)
-        share = told / (len(found.asked) * world.hollow)
-        yield Figure("lists", "told_share", "share", share, f"{taken} of {len(found.asked)} changes taken")
+def list_figures(world: World, measured: Measured) -> Iterator[Figure]:
+    """Yield how long changes of the list took from their request until each sidecar had received them."""
+    if measured.phase == WRITER:
+        accepted = sum(bool(change.version) for change in measured.asked)
+        received = sum(
+            at >= 0 for process_tally in measured.tallies for heard in process_tally.heard for at in heard
+        )
+        share = received / (len(measured.asked) * world.hollow)
+        yield Figure(
+            "lists", "told_share", "share", share, f"{accepted} of {len(measured.asked)} changes taken"
+        )
         return
-    versions = [one for one in found.asked if one.version]
-    times: dict[str, list[float]] = {}
+    changes = [change for change in measured.asked if change.version]
+    times_s: dict[str, list[float]] = {}
     missed = 0
-    for n, one in enumerate(versions):
-        for tally in found.tallies:
-            times.setdefault(one.what, []).extend(at - one.at for at in tally.heard[n] if at >= 0)
+    for n, change in enumerate(changes):
+        for tally in measured.tallies:
+            times_s.setdefault(change.what, []).extend(at - change.at for at in tally.heard[n] if at >= 0)
             missed += sum(at < 0 for at in tally.heard[n])
-    for what, each in times.items():
-        yield from _times("lists", what, each, DELAY if world.regional else NO_DELAY)
-    if versions:
-        share = 1 - missed / (len(versions) * world.hollow)
-        yield Figure("lists", "told_share", "share", share, f"{len(versions)} of {len(found.asked)} taken")
-    if found.phase in (BEGIN, ZONE, RESTART):
-        took = sum(_flows(found, "bytes_in", kind="lists")) / world.hollow
-        yield Figure("lists", "bytes_in", "bytes", took, "each sidecar, within the phase")
+    for change_kind, durations_s in times_s.items():
+        yield from _duration_figures("lists", change_kind, durations_s, DELAY if world.regional else NO_DELAY)
+    if changes:
+        share = 1 - missed / (len(changes) * world.hollow)
+        yield Figure("lists", "told_share", "share", share, f"{len(changes)} of {len(measured.asked)} taken")
+    if measured.phase in (BEGIN, ZONE, RESTART):
+        received_bytes = sum(_flow_counts(measured, "bytes_in", kind="lists")) / world.hollow
+        yield Figure("lists", "bytes_in", "bytes", received_bytes, "each sidecar, within the phase")
 
 
-# --- Sums -----------------------------------------------------------------------------
+# --- Helpers -----------------------------------------------------------------------------
 
 
-def _times(role: str, what: str, times: Sequence[float], note: str = "") -> Iterator[Figure]:
-    if times:
-        p50, p99, most = (float(one) for one in np.percentile(np.asarray(times), (50, 99, 100)))
-        count = f"{len(times)} times" + (f"; {note}" if note else "")
-        for name, value in (("p50", p50), ("p99", p99), ("max", most)):
-            yield Figure(role, f"{what}_{name}_s", "s", value, count)
+def _duration_figures(role: str, metric: str, times_s: Sequence[float], note: str = "") -> Iterator[Figure]:
+    """Yield the median, the 99th percentile and the maximum of durations in seconds."""
+    if times_s:
+        p50, p99, maximum = (float(number) for number in np.percentile(np.asarray(times_s), (50, 99, 100)))
+        times_note = f"{len(times_s)} times" + (f"; {note}" if note else "")
+        for quantile, value in (("p50", p50), ("p99", p99), ("max", maximum)):
+            yield Figure(role, f"{metric}_{quantile}_s", "s", value, times_note)
 
 
-def _grown(found: Measured, name: str) -> float:
-    """Bytes that a process read; 0 where it was not there all along."""
-    if name not in found.before or name not in found.after:
+def _bytes_read(measured: Measured, name: str) -> float:
+    """Return the bytes that a process read; 0 if it did not run for the whole phase."""
+    if name not in measured.before or name not in measured.after:
         return 0.0
-    return max(0, found.after[name].bytes_read - found.before[name].bytes_read)
+    return max(0, measured.after[name].bytes_read - measured.before[name].bytes_read)
 
 
-def _flows(
-    found: Measured, what: str, ports: set[int] | None = None, kind: str | None = None
+def _flow_counts(
+    measured: Measured, field: str, ports: set[int] | None = None, kind: str | None = None
 ) -> Iterator[int]:
-    for tally in found.tallies:
+    """Yield a field of the flows, optionally of these ports or this kind only."""
+    for tally in measured.tallies:
         for flow in tally.flows:
             if (ports is None or flow.port in ports) and kind in (None, flow.kind):
-                yield getattr(flow, what)
+                yield getattr(flow, field)
 
 
-def _counted(found: Measured, name: str, metric: str) -> float:
-    return found.counts_after[name].get(metric, 0.0) - found.counts_before[name].get(metric, 0.0)
+def _metric_increase(measured: Measured, name: str, metric: str) -> float:
+    return measured.counts_after[name].get(metric, 0.0) - measured.counts_before[name].get(metric, 0.0)
 
 
-def _reads(found: Measured, name: str) -> float:
-    metrics = found.counts_after[name]
-    return sum(_counted(found, name, one) for one in metrics if one.startswith("registry_reads_total"))
+def _registry_reads(measured: Measured, name: str) -> float:
+    metrics = measured.counts_after[name]
+    return sum(
+        _metric_increase(measured, name, metric)
+        for metric in metrics
+        if metric.startswith("registry_reads_total")
+    )
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -96,7 +96,7 @@
         grouped.setdefault(point.series, []).append(point)
     for series, members in grouped.items():
         if len({(member.unit, member.size_unit) for member in members}) > 1:
-            raise PointsError(f"series {' '.join(series)} has points with different units")
+            raise PointsError(f"{' '.join(series)} has points with different units")
     return grouped
 
 
@@ -192,7 +192,9 @@
         print(f"{error}; {error.remedy}", file=sys.stderr)
         return 2
     selected = {
-        series: points for series, points in all_series.items() if arguments.role in (None, series[0])
+        series: series_points
+        for series, series_points in all_series.items()
+        if arguments.role in (None, series[0])
     }
     if not selected:
         print(f"no points in {arguments.points}; {PointsError.remedy}", file=sys.stderr)
--- a/benchmarks/scale/formulas.py
+++ b/benchmarks/scale/formulas.py
@@ -114,8 +114,8 @@
                 }
                 if len(named) < len(keywords):
                     raise FormulaError("arguments can't be unpacked with `**` in a formula")
-                return _FUNCTIONS[name](self, *(self._evaluate_node(arg) for arg in args), **named)
-        raise FormulaError(f"{ast.unparse(node)!r} is not allowed in a formula")
+                return _FUNCTIONS[name](self, *(self._evaluate_node(argument) for argument in args), **named)
+        raise FormulaError(f"a formula can't contain {ast.unparse(node)!r}")
 
     def _evaluate_number(self, node: ast.AST) -> float:
         match self._evaluate_node(node):
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -1,11 +1,11 @@
-"""How the list service's log and state grow, and what that costs: `python -m benchmarks.scale.growth`.
-
-Roles: `log`, bytes of one record (a renewal, a change of the list, a report of the audit alone and
-among 20) and the time that writing it takes; `snapshot`, how long the loop stands still for one,
-and its bytes; `recovery`, from the start of a process until it serves, out of its own files (a
-snapshot and the longest log) and as a replica with nothing, that takes the state whole; `told`,
-bytes that a sidecar is told over the wire: the list whole, and a zone's endpoints that drain. The
-state's shapes are those of benchmarks/scale/state.py.
+"""Measures how the list service's log and state grow: `python -m benchmarks.scale.growth`.
+
+Roles: `log`, the bytes of a log entry (a renewal, a change of the list, an audit report alone and in a batch
+of 20) and the time that it takes to append it; `snapshot`, its bytes and how long it blocks the event loop;
+`recovery`, the time from the start of a process until it serves, either from its own files (a snapshot and
+the longest log) or as a follower without data, which receives the whole state; `told`, the bytes that a
+sidecar receives over the wire: the whole list, and the changes when a zone's endpoints start draining. The
+shapes of the state are those of benchmarks/scale/state.py.
 """
 
 from __future__ import annotations
@@ -34,196 +34,212 @@
 
 OUT = Path("docs/capacity/growth.jsonl")
 SIZES, TURNS = (100, 200, 400, 700, 1_100), 1
-RECORDS, SNAPSHOTS, BATCH = 40, 3, 20
-RECOVERY_S, TOLD_S = 60.0, 30.0
-LEASE_MS, DRAINS_AT_ONCE, LINE_MOST = 3_600_000, 8, 16 * 1024 * 1024
+ENTRY_COUNT, SNAPSHOT_COUNT, REPORT_BATCH = 40, 3, 20
+RECOVERY_TIMEOUT_S, WATCH_TIMEOUT_S = 60.0, 30.0
+LEASE_MS, CONCURRENT_DRAINS, MAX_LINE_BYTES = 3_600_000, 8, 16 * 1024 * 1024
 
 
 @dataclass
 class PointRecorder:
-    """Writes the points of one size and turn."""
+    """Appends the points of one size and turn to a file."""
 
     out: Path
     run: str
     size: int
     turn: int
-    max_rows: int = MAX_ROWS  # of the audit's ledger
+    max_rows: int = MAX_ROWS  # of the audit ledger
 
-    def add(self, role: str, phase: str, found: Mapping[str, float], note: str = "") -> None:
-        made = [
+    def add(self, role: str, phase: str, values: Mapping[str, float], note: str = "") -> None:
+        """Append and print a point for each metric; the unit follows from the metric's name."""
+        recorded = [
             Point(
                 self.run, role, phase, self.size, metric,
                 "s" if metric.endswith("_s") else "share" if metric.endswith("_share") else "bytes",
                 float(value), "endpoints", self.turn, load=usage.load_1min(), note=note,
             )
-            for metric, value in found.items()
+            for metric, value in values.items()
         ]  # fmt: skip
-        points.append_points(self.out, made)
-        for point in made:
+        points.append_points(self.out, recorded)
+        for point in recorded:
             usage.print_point(point)
 
 
-def record_cost(registry: Registry, make: Callable[[int], LogEntry]) -> dict[str, float]:
-    """Of `RECORDS` records, median: bytes in the log, and time from the call until it is on disk."""
-    sizes, times = list[int](), list[float]()
-    for n in range(RECORDS):
-        record, before = make(n), registry.journal.log_bytes
-        began = time.perf_counter()
-        registry.append_entry(record)
-        took = time.perf_counter() - began
-        if registry.journal.log_bytes > before:  # no snapshot came in between
-            sizes.append(registry.journal.log_bytes - before)
-            times.append(took)
-    return {"bytes_per_record": statistics.median(sizes), "commit_p50_s": statistics.median(times)}
+def entry_cost(registry: Registry, make_entry: Callable[[int], LogEntry]) -> dict[str, float]:
+    """Return the median size of `ENTRY_COUNT` log entries and the median time until one is on disk."""
+    sizes, times_s = list[int](), list[float]()
+    for n in range(ENTRY_COUNT):
+        entry, bytes_before = make_entry(n), registry.journal.log_bytes
+        start_s = time.perf_counter()
+        registry.append_entry(entry)
+        duration_s = time.perf_counter() - start_s
+        if registry.journal.log_bytes > bytes_before:  # no snapshot has truncated the log
+            sizes.append(registry.journal.log_bytes - bytes_before)
+            times_s.append(duration_s)
+    return {"bytes_per_record": statistics.median(sizes), "commit_p50_s": statistics.median(times_s)}
 
 
-def log(notes: PointRecorder, registry: Registry) -> None:
-    listed = endpoint_lists.list_entries(notes.size)
-    known = [one["instanceId"] for one in listed]
-    fleet = [state.spoken(registry, name) for name in known[: max(BATCH, 1)]]
+def measure_log(recorder: PointRecorder, registry: Registry) -> None:
+    """Measure the cost of log entries: renewals, list changes and audit reports."""
+    listed = endpoint_lists.list_entries(recorder.size)
+    ids = [endpoint["instanceId"] for endpoint in listed]
+    span_recorders = [state.spoken(registry, name) for name in ids[: max(REPORT_BATCH, 1)]]
 
     def renewal(n: int) -> LogEntry:
-        return {"op": RENEW, "id": known[n % len(known)]}
+        return {"op": RENEW, "id": ids[n % len(ids)]}
 
     def change(n: int) -> LogEntry:
         entry = {**listed[n % len(listed)], "lifecycle": "draining", "weight": 1.0 - n / 1_000}
         return {"op": PUT, "entry": entry, "ttl_us": state.TTL_US}
 
-    def told(n: int, many: int) -> LogEntry:
-        """What each has to tell on an ordinary second: its open span went on."""
-        some = []
-        for spans in fleet[:many]:
+    def report_batch(n: int, count: int) -> LogEntry:
+        """The reports of `count` sidecars in an ordinary second: the open span of each continues."""
+        batch = []
+        for spans in span_recorders[:count]:
             spans.record_attempt(n * 1_000_000, n, 1)
             spans.record_attempt_end(n, 1, True)
-            some.append(spans.build_report(n * 1_000_000 + 500))
-        for spans in fleet[:many]:
+            batch.append(spans.build_report(n * 1_000_000 + 500))
+        for spans in span_recorders[:count]:
             spans.acknowledge([spans.last_report_number])
-        return state.reports(some)
-
-    notes.add("log", "renewal", record_cost(registry, renewal))
-    notes.add("log", "change", record_cost(registry, change))
-    notes.add("log", "report", record_cost(registry, lambda n: told(n + 1, 1)))
-    many = min(BATCH, len(fleet))
-    cost = record_cost(registry, lambda n: told(n + 101, many))
-    each = {"bytes_per_report": cost["bytes_per_record"] / many, "commit_p50_s": cost["commit_p50_s"]}
-    notes.add("log", f"reports_by_{many}", each)
-
-
-def snapshot(notes: PointRecorder, registry: Registry, shape: str) -> None:
-    times = []
-    for _ in range(SNAPSHOTS):
-        began = time.perf_counter()
-        registry.journal.write_snapshot(registry.log_state)  # as after a write: the loop does nothing else
-        times.append(time.perf_counter() - began)
+        return state.reports(batch)
+
+    recorder.add("log", "renewal", entry_cost(registry, renewal))
+    recorder.add("log", "change", entry_cost(registry, change))
+    recorder.add("log", "report", entry_cost(registry, lambda n: report_batch(n + 1, 1)))
+    batch_size = min(REPORT_BATCH, len(span_recorders))
+    cost = entry_cost(registry, lambda n: report_batch(n + 101, batch_size))
+    per_report = {
+        "bytes_per_report": cost["bytes_per_record"] / batch_size,
+        "commit_p50_s": cost["commit_p50_s"],
+    }
+    recorder.add("log", f"reports_by_{batch_size}", per_report)
+
+
+def measure_snapshot(recorder: PointRecorder, registry: Registry, shape: str) -> None:
+    """Measure the size of a snapshot and how long it blocks the event loop."""
+    times_s = []
+    for _ in range(SNAPSHOT_COUNT):
+        start_s = time.perf_counter()
+        registry.journal.write_snapshot(registry.log_state)  # blocks the event loop, as after a write
+        times_s.append(time.perf_counter() - start_s)
     size = registry.journal.snapshot_bytes
-    still = {"still_p50_s": statistics.median(times), "still_most_s": max(times), "bytes": size}
-    notes.add("snapshot", shape, still)
-    began = time.perf_counter()
-    told = msgspec.json.encode(
+    pause = {"still_p50_s": statistics.median(times_s), "still_most_s": max(times_s), "bytes": size}
+    recorder.add("snapshot", shape, pause)
+    start_s = time.perf_counter()
+    response = msgspec.json.encode(
         registry.entries_or_snapshot_after(0, EMPTY_CHAIN, "")
-    )  # as a replica with nothing is answered
-    still = {"still_p50_s": time.perf_counter() - began, "bytes": len(told)}
-    notes.add("snapshot", f"{shape}_for_a_replica", still)
+    )  # the response to a follower without data
+    pause = {"still_p50_s": time.perf_counter() - start_s, "bytes": len(response)}
+    recorder.add("snapshot", f"{shape}_for_a_replica", pause)
 
 
-async def prepared(notes: PointRecorder, folder: Path, shape: str) -> None:
-    """The files of a service with that state, after what is measured of it in this process."""
-    with TemporaryDirectory() as aside:
-        registry = state.made(Path(aside), notes.size, shape, notes.max_rows)
+async def prepare_state(recorder: PointRecorder, folder: Path, shape: str) -> None:
+    """Measure the log and the snapshot of a state in this process, then write its files to `folder`."""
+    with TemporaryDirectory() as temporary:
+        registry = state.made(Path(temporary), recorder.size, shape, recorder.max_rows)
         if shape == state.SHAPES[0]:
-            log(notes, registry)
-        snapshot(notes, registry, shape)
+            measure_log(recorder, registry)
+        measure_snapshot(recorder, registry, shape)
         if registry.due_timer is not None:
             registry.due_timer.cancel()
-    registry = state.made(folder, notes.size, shape, notes.max_rows)
-    length = state.lengthen(registry, notes.size)
+    registry = state.made(folder, recorder.size, shape, recorder.max_rows)
+    log_bytes = state.lengthen(registry, recorder.size)
     if registry.due_timer is not None:
         registry.due_timer.cancel()
-    files = {"log_bytes": length, "snapshot_bytes": registry.journal.snapshot_bytes}
-    notes.add("recovery", shape, files)
+    files = {"log_bytes": log_bytes, "snapshot_bytes": registry.journal.snapshot_bytes}
+    recorder.add("recovery", shape, files)
 
 
-async def recovery(notes: PointRecorder, lab: Lab, shape: str) -> Program | None:
-    """The service out of its files, and a replica of it; the former, where it came up."""
-    began = time.perf_counter()
-    writer = await lab.service("writer")
-    notes.add("recovery", shape, {"own_log_s": time.perf_counter() - began})
-    began = time.perf_counter()
-    replica = await lab.service("replica", writer)
+async def measure_recovery(recorder: PointRecorder, lab: Lab, shape: str) -> Program | None:
+    """Measure the recovery of a leader from its files and of a follower without data; returns the leader."""
+    start_s = time.perf_counter()
+    leader = await lab.service("writer")
+    recorder.add("recovery", shape, {"own_log_s": time.perf_counter() - start_s})
+    start_s = time.perf_counter()
+    follower = await lab.service("replica", leader)
     try:
-        async with asyncio.timeout(RECOVERY_S):
-            await replica.wait_logged("following")
-        took = time.perf_counter() - began
-        notes.add("recovery", shape, {"replica_s": took, "replica_reached_share": 1.0})
+        async with asyncio.timeout(RECOVERY_TIMEOUT_S):
+            await follower.wait_logged("following")
+        duration_s = time.perf_counter() - start_s
+        recorder.add("recovery", shape, {"replica_s": duration_s, "replica_reached_share": 1.0})
     except TimeoutError:
-        notes.add("recovery", shape, {"replica_reached_share": 0.0}, f"not within {RECOVERY_S:g} s")
-    await lab.kill(replica)
-    return writer
+        recorder.add(
+            "recovery", shape, {"replica_reached_share": 0.0}, f"not within {RECOVERY_TIMEOUT_S:g} s"
+        )
+    await lab.kill(follower)
+    return leader
 
 
-async def told(notes: PointRecorder, lab: Lab, service: Program) -> None:
-    """Bytes on a watch, as they come: first the list whole, then a zone that drains."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", service.port, limit=LINE_MOST)
+async def measure_watch(recorder: PointRecorder, lab: Lab, service: Program) -> None:
+    """Measure the bytes that a watch receives: first the whole list, then the draining of a zone."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", service.port, limit=MAX_LINE_BYTES)
     with closing(writer):
         writer.write(
             f"GET {INSTANCES_PATH}?watch=1&from=0 HTTP/1.1\r\nHost: list.service.local\r\n\r\n".encode()
         )
-        whole = len(await reader.readuntil(b"\r\n\r\n")) + len(await reader.readline())
-        whole += len(await reader.readline())  # behind the chunk's length
-        drains = [
-            one for one in endpoint_lists.list_entries(notes.size) if one["zone"] == endpoint_lists.ZONES[0]
+        list_bytes = len(await reader.readuntil(b"\r\n\r\n")) + len(await reader.readline())
+        list_bytes += len(await reader.readline())  # after the line with the length of the chunk
+        zone_entries = [
+            entry
+            for entry in endpoint_lists.list_entries(recorder.size)
+            if entry["zone"] == endpoint_lists.ZONES[0]
         ]
-        version = notes.size + len(drains)  # each put is one
-        began = time.perf_counter()
-        watched = asyncio.ensure_future(until(reader, f'"generation":{version},'.encode()))
-        for at in range(0, len(drains), DRAINS_AT_ONCE):
-            some = [{**one, "lifecycle": "draining"} for one in drains[at : at + DRAINS_AT_ONCE]]
-            await asyncio.gather(*(lab.register(service, one["instanceId"], one, LEASE_MS) for one in some))
-        got = await watched
-        took = time.perf_counter() - began
-    notes.add("told", "whole", {"bytes_per_sidecar": whole})
-    notes.add("told", "zone", {"bytes_per_sidecar": got, "took_s": took})
-
-
-async def until(reader: asyncio.StreamReader, mark: bytes) -> int:
-    """Bytes up to the end of the line with `mark` in it."""
-    got = 0
-    async with asyncio.timeout(TOLD_S):
+        version = recorder.size + len(zone_entries)  # each put increments it
+        start_s = time.perf_counter()
+        watch = asyncio.ensure_future(read_until(reader, f'"generation":{version},'.encode()))
+        for start in range(0, len(zone_entries), CONCURRENT_DRAINS):
+            drained = [
+                {**entry, "lifecycle": "draining"}
+                for entry in zone_entries[start : start + CONCURRENT_DRAINS]
+            ]
+            await asyncio.gather(
+                *(lab.register(service, entry["instanceId"], entry, LEASE_MS) for entry in drained)
+            )
+        drain_bytes = await watch
+        duration_s = time.perf_counter() - start_s
+    recorder.add("told", "whole", {"bytes_per_sidecar": list_bytes})
+    recorder.add("told", "zone", {"bytes_per_sidecar": drain_bytes, "took_s": duration_s})
+
+
+async def read_until(reader: asyncio.StreamReader, mark: bytes) -> int:
+    """Read up to the end of the line that contains `mark`; returns the number of bytes."""
+    received_bytes = 0
+    async with asyncio.timeout(WATCH_TIMEOUT_S):
         while True:
             line = await reader.readline()
-            assert line, "the watch ended"
-            got += len(line)
+            assert line, "the service closed the watch"
+            received_bytes += len(line)
             if mark in line:
-                return got
+                return received_bytes
 
 
-async def one_size(notes: PointRecorder) -> None:
+async def measure_size(recorder: PointRecorder) -> None:
+    """Measure the state of one size in both shapes."""
     for shape in state.SHAPES:
         with TemporaryDirectory() as folder, closing(Lab(Path(folder))) as lab:
-            await prepared(notes, lab.folder / "writer" / "data", shape)
-            service = await recovery(notes, lab, shape)
+            await prepare_state(recorder, lab.folder / "writer" / "data", shape)
+            service = await measure_recovery(recorder, lab, shape)
             if service is not None and shape == state.SHAPES[0]:
-                await told(notes, lab, service)
+                await measure_watch(recorder, lab, service)
 
 
-async def empty(out: Path, run: str, turn: int) -> None:
-    """What a process takes to start with nothing to read: part of each recovery."""
+async def measure_empty_start(out: Path, run: str, turn: int) -> None:
+    """Measure how long a process without data takes to start, which is part of each recovery."""
     with TemporaryDirectory() as folder, closing(Lab(Path(folder))) as lab:
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         await lab.service("writer")
-        took = time.perf_counter() - began
-    PointRecorder(out, run, 0, turn).add("recovery", "empty", {"own_log_s": took})
+        duration_s = time.perf_counter() - start_s
+    PointRecorder(out, run, 0, turn).add("recovery", "empty", {"own_log_s": duration_s})
 
 
 def measure(
     out: Path = OUT, sizes: Sequence[int] = SIZES, turns: int = TURNS, max_rows: int = MAX_ROWS
 ) -> None:
-    """Appends the points of each turn and size as they are measured."""
+    """Measure each size in each turn, and append the points as they are measured."""
     run = usage.run_name()
     for turn in range(1, turns + 1):
-        asyncio.run(empty(out, run, turn))
+        asyncio.run(measure_empty_start(out, run, turn))
         for size in sizes:
-            asyncio.run(one_size(PointRecorder(out, run, size, turn, max_rows)))
+            asyncio.run(measure_size(PointRecorder(out, run, size, turn, max_rows)))
 
 
 def main() -> None:
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -116,7 +116,7 @@
                         self._check_cell(offset, cell, headings[column] if column < len(headings) else "")
                     if is_ranked and (size := _first_number(cells[0])) is not None:
                         if size < previous:
-                            self._add_fault(offset, f"{size:g} follows {previous:g} in a ranked table")
+                            self._add_fault(offset, f"{size:g} is ranked after {previous:g}")
                         previous = size
             else:
                 if line.strip():
@@ -133,7 +133,7 @@
             if mark in MARKS:
                 unmarked_from = match.end()
                 if MARKS[mark] not in COMMENT_PATTERN.sub("", f"{heading} {cell}").lower():
-                    self._add_fault(offset, f"the page does not show the word {mark!r}: {cell.strip()}")
+                    self._add_fault(offset, f"the page does not show the word {mark}: {cell.strip()}")
         for number in NUMBER_PATTERN.findall(COMMENT_PATTERN.sub("", plain[unmarked_from:])):
             self._add_fault(offset, f"{number} has no formula and no mark: {cell.strip()}")
 
@@ -147,7 +147,7 @@
         return f"\0{len(comments) - 1}\0"
 
     parts = COMMENT_PATTERN.sub(store, line.strip()).strip("|").split("|")
-    return [re.sub(r"\0(\d+)\0", lambda match: comments[int(match[1])], part) for part in parts]
+    return [re.sub(r"\0(\d+)\0", lambda placeholder: comments[int(placeholder[1])], part) for part in parts]
 
 
 def _sort_ranked_tables(text: str) -> str:
@@ -207,8 +207,8 @@
 
 def read_page(page: Path = PAGE_PATH, points: Path = POINTS_FOLDER, size: Path = SIZE_PATH) -> CapacityPage:
     """Check the page against its points; raises PageError, SizeError or PointsError."""
-    figures: dict[str, float | str] = {**read_size(size).figures()}
-    formulas = FormulaEvaluator(load_points(points), figures)
+    named_figures: dict[str, float | str] = {**read_size(size).figures()}
+    formulas = FormulaEvaluator(load_points(points), named_figures)
     try:
         return CapacityPage(page.read_text(), formulas)
     except (OSError, UnicodeDecodeError) as error:
--- a/benchmarks/scale/usage.py
+++ b/benchmarks/scale/usage.py
@@ -1,4 +1,4 @@
-"""What a process uses, as the system books it: processor time of all its threads, and memory."""
+"""CPU time and memory of processes, steal time of the host, event loop lag, and progress messages."""
 
 from __future__ import annotations
 
@@ -18,58 +18,65 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of all threads of a process so far, s; by the scheduler's count (ns) where there
-    is one, else by the clock's ticks. A thread that ended is missed by the first: none here does."""
+    """Return the CPU time of all threads of a process so far, in seconds.
+
+    Uses the scheduler's statistics (ns) where the kernel has them, else clock ticks. The former leave
+    out threads that have exited; the measured processes have none.
+    """
     try:
         threads = list(Path(f"/proc/{pid}/task").iterdir())
-        return sum(int((one / "schedstat").read_text().split()[0]) for one in threads) / 1e9
+        return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / 1e9
     except FileNotFoundError:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def rss_bytes(pid: int) -> int:
-    """Resident memory of a process now."""
+    """Return the resident memory of a process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def run_name() -> str:
-    """Of one call of a measurer: its start, UTC."""
+    """Name a run after its start time, the current one, in UTC."""
     return datetime.now(UTC).strftime("%Y%m%dT%H%M%S")
 
 
 def load_1min() -> float:
+    """Return the one-minute load average of the machine."""
     return round(os.getloadavg()[0], 2)
 
 
 def log_progress(text: str) -> None:
-    """Progress, for who waits."""
+    """Print a progress message with the time of day to stderr."""
     print(f"{time.strftime('%H:%M:%S')} {text}", file=sys.stderr, flush=True)
 
 
 def print_point(point: Point) -> None:
-    """A point as it was measured, and whether it counts."""
-    void = "  VOID: the driver was the limit" if point.is_void else ""
-    at = f"{point.role} {point.phase} at {point.size:g} {point.size_unit}, turn {point.turn}"
-    log_progress(f"{at}: {point.metric} {point.value:.6g} {point.unit}{void}")
+    """Print a measured point to stderr, and whether it is void."""
+    void = "  VOID: the driver was the bottleneck" if point.is_void else ""
+    series = f"{point.role} {point.phase} at {point.size:g} {point.size_unit}, turn {point.turn}"
+    log_progress(f"{series}: {point.metric} {point.value:.6g} {point.unit}{void}")
 
 
 class StealTime:
-    """The part of the cores' time that the host of a virtual machine gave to others, since the begin."""
+    """Measures the share of CPU time that the host of a virtual machine gave to others since the start."""
 
     def __init__(self) -> None:
         self.start_ticks = self._read_ticks()
 
     def _read_ticks(self) -> list[int]:
-        return [int(one) for one in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:9]]
+        return [int(ticks) for ticks in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:9]]
 
     def share(self) -> float:
-        spent = [now - then for now, then in zip(self._read_ticks(), self.start_ticks, strict=True)]
-        return spent[7] / max(1, sum(spent))
+        """Return the steal time since the start, as a share of all CPU time."""
+        elapsed = [
+            current - start for current, start in zip(self._read_ticks(), self.start_ticks, strict=True)
+        ]
+        return elapsed[7] / max(1, sum(elapsed))
 
 
 class LoopMeter:
-    """How late the loop of this process comes: a task that wants to run each `EVERY_S`."""
+    """Measures this process's event loop lag, by a task due every `INTERVAL_S`, and its CPU share."""
 
     INTERVAL_S = 0.005
 
@@ -80,12 +87,12 @@
 
     async def _run(self) -> None:
         while True:
-            due = time.perf_counter() + self.INTERVAL_S
+            due_s = time.perf_counter() + self.INTERVAL_S
             await asyncio.sleep(self.INTERVAL_S)
-            self.lag_us.record_value(max(1, int((time.perf_counter() - due) * 1e6)))
+            self.lag_us.record_value(max(1, int((time.perf_counter() - due_s) * 1e6)))
 
     def stop(self) -> tuple[float, float]:
-        """Lag p99, ms, and this process's share of a core since the begin."""
+        """Stop measuring; return the p99 of the lag in ms and the share of a core that this process used."""
         self.task.cancel()
         share = (time.process_time() - self.start_cpu_s) / (time.perf_counter() - self.start_s)
         return self.lag_us.get_value_at_percentile(99.0) / 1e3, share
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -106,7 +106,7 @@
     assert len(started) > 6  # writer, replicas, endpoints, sidecars and hollow ones
     process.send_signal(signal.SIGINT)
     _, told = await process.communicate()
-    assert process.returncode == 130 and b"ended early" in told
+    assert process.returncode == 130 and b"interrupted; the points" in told
     assert not [pid for pid in started if Path("/proc", str(pid)).exists()]
     assert list(tmp_path.iterdir()) == []
 
@@ -133,7 +133,7 @@
 def test_a_part_that_counts_by_something_else_has_sizes_of_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
     called: list[tuple[object, ...]] = []
     for part in command.PARTS:
-        monkeypatch.setattr(command.module(part), "measure", lambda *told: called.append(told))
+        monkeypatch.setattr(command.load_module(part), "measure", lambda *told: called.append(told))
     assert command.main(["run"]) == 0
     assert len(called) == len(command.PARTS)
     sizes = {str(out): list(sizes) for out, sizes, _ in called}  # type: ignore[call-overload]
--- a/tests/test_scale_page.py
+++ b/tests/test_scale_page.py
@@ -114,7 +114,7 @@
     rows = "| 20<!-- given --> | a |\n| 1<!-- given --> | b |\n| not measured | c |\n"
     told = page("<!-- ranked -->\n" + head + rows)
     assert page(head + rows).faults == [] and page(head + rows).corrected_text == head + rows
-    assert ["1 follows 20 in a ranked table" in str(one) for one in told.faults] == [True]
+    assert ["1 is ranked after 20" in str(one) for one in told.faults] == [True]
     a, b, c = rows.splitlines(keepends=True)
     assert told.corrected_text == "<!-- ranked -->\n" + head + b + a + c
     assert page(told.corrected_text).faults == []
