--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -29,7 +29,7 @@
     LEADER,
     Election,
     Heartbeat,
-    LogState,
+    LogPosition,
     Message,
     Outgoing,
     PeerResponse,
@@ -79,9 +79,9 @@
         self.saved_ballot = self.ballot_file.read()
         now = time.monotonic()
         self.election = Election(
-            registry.member_id, list(peers), self.saved_ballot, self._log_state, rng, now, timing
+            registry.member_id, list(peers), self.saved_ballot, self._log_position, rng, now, timing
         )
-        self.election.observe_term(registry.highest_term, now)
+        self.election.adopt_term(registry.highest_term, now)
         registry.election = self.election
         registry.observe_term(registry.log_state.lineage, self.saved_ballot.term, "the ballot")
         registry.replica_progress.required_replicas = self.election.quorum_peers
@@ -102,9 +102,9 @@
         )
         leads.set_function(lambda: float(registry.is_leader))
 
-    def _log_state(self) -> LogState:
-        host = self.registry.log_state
-        return LogState(host.lineage, (host.term, host.applied_index))
+    def _log_position(self) -> LogPosition:
+        log_state = self.registry.log_state
+        return LogPosition(log_state.lineage, (log_state.term, log_state.applied_index))
 
     async def run(self) -> None:
         """Ticks the election until cancelled."""
@@ -126,7 +126,7 @@
 
     def _observe_registry_term(self) -> None:
         """Passes on a greater term that the registry has seen in calls of clients or followers."""
-        self.election.observe_term(self.registry.highest_term, time.monotonic())
+        self.election.adopt_term(self.registry.highest_term, time.monotonic())
 
     def _apply_turn(self, messages: Iterable[Outgoing]) -> None:
         """Stores the ballot, updates the role and sends the messages; sends nothing if the ballot can't be
@@ -198,8 +198,8 @@
             self.follow_task = None
 
     def _log_fields(self) -> dict[str, int]:
-        host = self.registry.log_state
-        return {"term": self.election.term, "log_term": host.term, "index": host.applied_index}
+        log_state = self.registry.log_state
+        return {"term": self.election.term, "log_term": log_state.term, "index": log_state.applied_index}
 
     async def _send(self, peer: str, message: Message) -> None:
         path = VOTE_PATH if isinstance(message, VoteRequest) else HEARTBEAT_PATH
@@ -227,11 +227,11 @@
             fields = {"peer": peer, "status": status, "error": refusal.error, "remedy": refusal.remedy}
             LOG.error("a member refuses this one", extra=fields)
 
-    async def handle_vote_request(self, request: web.Request) -> web.StreamResponse:
+    async def post_vote(self, request: web.Request) -> web.StreamResponse:
         vote_request = await self._read_message(request, VoteRequest)
         return self._respond(self.election.handle_vote_request(vote_request, time.monotonic()))
 
-    async def handle_heartbeat(self, request: web.Request) -> web.StreamResponse:
+    async def post_heartbeat(self, request: web.Request) -> web.StreamResponse:
         heartbeat = await self._read_message(request, Heartbeat)
         return self._respond(self.election.handle_heartbeat(heartbeat, time.monotonic()))
 
@@ -251,7 +251,4 @@
         return json_response(response)
 
     def routes(self) -> list[web.RouteDef]:
-        return [
-            web.post(VOTE_PATH, self.handle_vote_request),
-            web.post(HEARTBEAT_PATH, self.handle_heartbeat),
-        ]
+        return [web.post(VOTE_PATH, self.post_vote), web.post(HEARTBEAT_PATH, self.post_heartbeat)]
