--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -32,8 +32,8 @@
                 World(Path(folder), size, regional=regional) as world,
             ):
                 async for result in phases.run_phases(world, chosen_phases):
-                    measured_points = figures.points(run, turn, world, result)
-                    points.write(out, measured_points)
+                    measured_points = figures.phase_points(run, turn, world, result)
+                    points.append_points(out, measured_points)
                     print_phase(result.phase, measured_points)
         except TimeoutError:
             raise StateError(
@@ -47,13 +47,12 @@
         first = measured_points[0]
         lateness = f"the driver's event loops ran {first.driver_lag_p99_ms} ms late (p99)"
         log_progress(
-            "VOID" if first.void else "fine",
+            "VOID" if first.is_void else "fine",
             f"{phase}: {lateness}, {first.driver_cpu} of a core; load {first.load}",
         )
     for point in measured_points:
         log_progress(
-            f"  {point.phase:8} {point.role:8} {point.metric:26} {point.value:>14.6g} "
-            f"{point.unit}  {point.note}"
+            f"  {point.phase:8} {point.role:8} {point.metric:26} {point.value:>14.6g} {point.unit}  {point.note}"
         )
 
 
--- a/benchmarks/scale/exchange.py
+++ b/benchmarks/scale/exchange.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from benchmarks import gossip
-from benchmarks.scale import listings, points, usage
+from benchmarks.scale import endpoint_lists, points, usage
 from benchmarks.scale.points import Point
 from benchmarks.scale.state import ENDPOINTS_PER_SIDECAR, LIMIT_ATTEMPTS
 from tests.lab import Lab
@@ -57,14 +57,14 @@
         )
         for metric, value in metrics.items()
     ]  # fmt: skip
-    points.write(out, new_points)
+    points.append_points(out, new_points)
     for point in new_points:
-        usage.show(point)
+        usage.print_point(point)
 
 
 def measure_gossip(out: Path, run: str, size: int, turn: int) -> None:
     """Measures gossip. No driver can be late, because the stores run on a simulated clock."""
-    sidecar_names, no_lag = listings.names(size), (0.0, 0.0)
+    sidecar_names, no_lag = endpoint_lists.instance_ids(size), (0.0, 0.0)
     for phase, accusers in (("quiet", 0), ("accusing", max(1, size // SIDECARS_PER_ACCUSER))):
         rate = gossip.wire(size, accusers, turn, sidecar_names)
         write_points(out, run, "gossip", phase, size, turn, no_lag, bytes_per_sidecar_and_second=rate)
@@ -82,8 +82,8 @@
     def __init__(self, service: str, size: int) -> None:
         self.grants_received = 0
         self.settings = SharedSettings("127.0.0.1:0", service, limit=LIMIT_ATTEMPTS)
-        self.endpoint_keys = [endpoint_number(name) for name in listings.names(size)]
-        self.limit_shares = [self._new_holder(n, name) for n, name in enumerate(listings.names(size))]
+        self.endpoint_keys = [endpoint_number(name) for name in endpoint_lists.instance_ids(size)]
+        self.limit_shares = [self._new_holder(n, name) for n, name in enumerate(endpoint_lists.instance_ids(size))]
 
     def _new_holder(self, index: int, name: str) -> LimitShares:
         held_endpoints = [
@@ -127,10 +127,10 @@
         holders = LimitHolders(f"127.0.0.1:{service.port}", size)
         try:
             await holders.open(spread_s)
-            lag, grants_before, cpu_before_s = usage.Lag(), holders.grants_received, usage.cpu_s(pid)
+            lag, grants_before, cpu_before_s = usage.LoopMeter(), holders.grants_received, usage.cpu_s(pid)
             await asyncio.sleep(seconds)
             call_count, cpu_used_s = holders.grants_received - grants_before, usage.cpu_s(pid) - cpu_before_s
-            driver_lag = lag.end()
+            driver_lag = lag.stop()
             holders_with_shares = sum(bool(holder.lease.caps) for holder in holders.limit_shares)
         finally:
             await holders.close()
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -26,7 +26,7 @@
 
 from msgspec import structs
 
-from benchmarks.scale.points import Point, write
+from benchmarks.scale.points import Point, append_points
 from tests.lab import Lab, Program, free_port
 from tests.test_registry import ENTRY
 from woadyard.lists.service import INSTANCES_PATH
@@ -218,7 +218,7 @@
             print(
                 f"driver: loop lag p99 {lag_p99_ms:.1f} ms, {cpu_share:.2f} of a core; load {template.load}"
             )
-            write(out, new_points)
+            append_points(out, new_points)
 
 
 def main() -> None:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,9 +20,9 @@
 import msgspec
 import uvloop
 
-from benchmarks.scale import messages, names
+from benchmarks.scale import fleet_names, messages
 from benchmarks.scale.messages import HollowPlan, Order, Reply, Tally
-from benchmarks.scale.meter import Lag, used
+from benchmarks.scale.meter import LoopLag, process_usage
 from benchmarks.scale.traffic import Traffic, count_traffic
 from woadyard.audit import AuditSettings
 from woadyard.errors import PeerError
@@ -79,12 +79,14 @@
     def __init__(self, number: int, plan: HollowPlan, tally: Tally) -> None:
         self.number, self.plan, self.tally = number, plan, tally
         self.rng = random.Random(plan.seed * 1_000_003 + number)
-        self.list_services = plan.replicas[names.region(number)] if plan.regional else ",".join(plan.replicas)
+        self.list_services = (
+            plan.replicas[fleet_names.region_index(number)] if plan.regional else ",".join(plan.replicas)
+        )
         self.received_versions: list[tuple[float, int]] = []
         self.version = self.attempts = 0
         self.attempts_stopped = False  # no more attempts are recorded; earlier ones are still reported
         self.discovery = self._new_discovery()
-        self.lease = CountedLease(plan, names.entry(number), tally)
+        self.lease = CountedLease(plan, fleet_names.list_entry(number), tally)
         self.lease_task: asyncio.Task[None] | None = None
         handlers = AuditHandlers(
             self._full_list_received,
@@ -93,7 +95,7 @@
             lambda out: None,
         )
         self.reporter = CountedReporter(
-            AuditSettings(self.list_services), names.sidecar(number), BUILD,
+            AuditSettings(self.list_services), fleet_names.sidecar_name(number), BUILD,
             lambda: self.discovery.latest_term, handlers, self.rng,
         )  # fmt: skip
         self.reporter.tally, self.reporter.sent_at_s = tally, {}
@@ -160,8 +162,8 @@
     """The process's sidecars; executes the driver's orders on them."""
 
     def __init__(self, plan: HollowPlan, traffic: Traffic) -> None:
-        self.plan, self.traffic, self.tally, self.lag = plan, traffic, Tally(), Lag()
-        self.initial_rss = used(os.getpid()).rss
+        self.plan, self.traffic, self.tally, self.lag = plan, traffic, Tally(), LoopLag()
+        self.initial_rss = process_usage(os.getpid()).rss_bytes
         self.sidecars = [
             HollowSidecar(number, plan, self.tally) for number in range(plan.first, plan.first + plan.count)
         ]
@@ -208,7 +210,7 @@
         return Reply(len(self.sidecars))
 
     def _sidecars_in_zone(self, zone: int) -> list[HollowSidecar]:
-        return [sidecar for sidecar in self.sidecars if sidecar.number % len(names.ZONES) == zone]
+        return [sidecar for sidecar in self.sidecars if sidecar.number % len(fleet_names.ZONES) == zone]
 
     async def _register_all(self) -> int:
         """Registers all endpoints, spread over a third of the lease like endpoints started at any time."""
@@ -241,7 +243,10 @@
             time.monotonic() - self.reset_at_s,
             time.process_time() - self.reset_cpu_s,
         )
-        tally.rss, tally.lag_p99_ms = used(os.getpid()).rss - self.initial_rss, self.lag.p99_ms()
+        tally.rss, tally.lag_p99_ms = (
+            process_usage(os.getpid()).rss_bytes - self.initial_rss,
+            self.lag.p99_ms(),
+        )
         tally.flows = self.traffic.snapshot()
         tally.heard = [[sidecar.in_force_at_s(version) for sidecar in self.sidecars] for version in versions]
         return tally
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -26,7 +26,7 @@
 
 import msgspec
 
-from benchmarks.scale import listings, points, usage
+from benchmarks.scale import endpoint_lists, points, usage
 from benchmarks.scale.openloop import LoadPlan
 from benchmarks.scale.points import Point
 from tests.lab import Lab, Program, call
@@ -51,7 +51,7 @@
 
 def sidecar_settings(phase: str, size: int) -> dict[str, Any]:
     """The sidecar's settings file, with the zones of the fleet size that the design assumes."""
-    base = {**SETTINGS, "zones": list(listings.ZONES), "kinds": ["c7g-2xlarge"]}
+    base = {**SETTINGS, "zones": list(endpoint_lists.ZONES), "kinds": ["c7g-2xlarge"]}
     if phase == "entry":
         return {**base, "stage": 0}
     return {**base, "instances": size, "me": size // 2} if phase == "arcs" else base
@@ -72,7 +72,7 @@
         for origin in self.origins:
             origin.port = (await origin.wait_logged("listening"))["port"]
         list_service = await self.lab.service()
-        listed_entries = listings.entries(size, [origin.port for origin in self.origins])
+        listed_entries = endpoint_lists.list_entries(size, [origin.port for origin in self.origins])
         for first in range(0, size, CONCURRENT_REGISTRATIONS):
             batch = listed_entries[first : first + CONCURRENT_REGISTRATIONS]
             registrations = (
@@ -92,7 +92,7 @@
         driver = self.run_module("driver", "benchmarks.scale.openloop", msgspec.json.encode(plan).decode())
         pid = self.sidecar.process.pid
         await driver.wait_logged("warm")
-        cpu_used_s, steal, before = usage.cpu_s(pid), usage.Steal(), await self.connection_counts()
+        cpu_used_s, steal, before = usage.cpu_s(pid), usage.StealTime(), await self.connection_counts()
         await driver.wait_logged("sent")
         cpu_used_s, steal_share, after = (
             usage.cpu_s(pid) - cpu_used_s,
@@ -134,7 +134,7 @@
         testbed = Testbed(lab)
         async with asyncio.timeout(plan.warm_s + plan.seconds + 60.0):
             await testbed.start(phase, size)
-            usage.say(f"path {phase} at {size} entries: all are up")
+            usage.log_progress(f"path {phase} at {size} entries: all are up")
             arms = {"sidecar": [testbed.sidecar.port], "direct": [origin.port for origin in testbed.origins]}
             measured = await testbed.measure_plan(msgspec.structs.replace(plan, arms=arms))
     return {**measured, "seconds": plan.seconds}
@@ -184,9 +184,9 @@
             )
             for metric, unit, value in metrics
         ]  # fmt: skip
-        points.write(out, new_points)
+        points.append_points(out, new_points)
         for point in new_points:
-            usage.show(point)
+            usage.print_point(point)
 
     for turn in range(first_turn, first_turn + turns):
         for phase in phases:
--- a/benchmarks/scale/phases.py
+++ b/benchmarks/scale/phases.py
@@ -12,7 +12,7 @@
 
 from benchmarks.scale import messages
 from benchmarks.scale.messages import Tally
-from benchmarks.scale.meter import Lag, Peaks, Used, used
+from benchmarks.scale.meter import CpuPeaks, LoopLag, ProcessUsage, process_usage
 from benchmarks.scale.world import World, background_task
 from woadyard.errors import StateError
 
@@ -44,8 +44,8 @@
 
     phase: str
     duration_s: float
-    usage_before: dict[str, Used]
-    usage_after: dict[str, Used]
+    usage_before: dict[str, ProcessUsage]
+    usage_after: dict[str, ProcessUsage]
     metrics_before: dict[str, dict[str, float]]  # the list services' metrics, by role
     metrics_after: dict[str, dict[str, float]]
     cpu_peaks: dict[str, float]
@@ -67,7 +67,7 @@
 async def measure_phase(world: World, phase: str, action: PhaseAction, min_duration_s: float) -> PhaseResult:
     """Measures a phase, which runs the action and lasts at least `min_duration_s`."""
     log_progress(f"size {world.size}: {phase}")
-    lag, peaks = Lag(), Peaks(dict(world.pids_by_role()))
+    lag, peaks = LoopLag(), CpuPeaks(dict(world.pids_by_role()))
     metrics_before = await _metrics_by_role(world)
     await world.order_all(messages.RESET_COUNTS)
     usage_before, started_at_s, cpu_before_s = _usage_by_role(world), time.monotonic(), time.process_time()
@@ -79,7 +79,7 @@
     tallies = await world.collect_tallies([item.version for item in list_changes if item.version])
     result = PhaseResult(
         phase, duration_s, usage_before, usage_after, metrics_before,
-        await _metrics_by_role(world), peaks.most, tallies, list_changes,
+        await _metrics_by_role(world), peaks.peak_cpu, tallies, list_changes,
         world.hollow_count - len(await world.listed_hollow_ids(world.followers[0])),
         max([lag.p99_ms(), *(item.lag_p99_ms for item in tallies)]),
         max([driver_cpu, *(item.cpu_s / item.seconds for item in tallies)]),
@@ -89,11 +89,11 @@
     return result
 
 
-def _usage_by_role(world: World) -> dict[str, Used]:
+def _usage_by_role(world: World) -> dict[str, ProcessUsage]:
     usage_by_role = {}
     for role, pid in world.pids_by_role():
         with contextlib.suppress(OSError):  # the leader has ended in the phase that kills it
-            usage_by_role[role] = used(pid)
+            usage_by_role[role] = process_usage(pid)
     return usage_by_role
 
 
--- a/benchmarks/scale/retries.py
+++ b/benchmarks/scale/retries.py
@@ -92,9 +92,9 @@
         Point(run, role, phase, size, metric, "s" if metric.endswith("_s") else "count", value, unit, turn)
         for metric, value in metrics.items()
     ]
-    points.write(out, new_points)
+    points.append_points(out, new_points)
     for point in new_points:
-        usage.show(point)
+        usage.print_point(point)
 
 
 def measure_budget(out: Path, run: str, rates: Sequence[float], turn: int) -> dict[str, float]:
@@ -117,7 +117,7 @@
     try:
         counts = run_chain(phase, depth, RATE, turn)
     except EventLimitError as error:
-        usage.say(f"retries {phase} at {depth} tiers: not measured: {error}")
+        usage.log_progress(f"retries {phase} at {depth} tiers: not measured: {error}")
         return
     ratios = AttemptRatios.from_counts(counts.requests_by_tier[0], counts.last_tier_attempts)
     failing_us = [
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from benchmarks.scale import listings
+from benchmarks.scale import endpoint_lists
 from woadyard.audit import Position, SpanRecorder
 from woadyard.audit.ledger import MAX_ROWS, MIN_ROWS_PER_RUN, REPORTS_OP, AuditState
 from woadyard.audit.messages import Report, Row
@@ -87,7 +87,7 @@
     registry = Registry(Journal(folder))
     with without_fsync():
         registry.become_leader()
-        list_entries = listings.entries(size)
+        list_entries = endpoint_lists.list_entries(size)
         for entry in list_entries:
             registry.append_entry({"op": PUT, "entry": entry, "ttl_us": TTL_US})
         if shape == "whole":
@@ -108,7 +108,7 @@
     """Appends renewals until the log is about to be replaced by a snapshot; returns its bytes.
 
     A start never has to read a longer log."""
-    endpoint_ids, journal, renewals = listings.names(size), registry.journal, 0
+    endpoint_ids, journal, renewals = endpoint_lists.instance_ids(size), registry.journal, 0
     with without_fsync():
         while journal.log_bytes < 0.98 * max(MIN_SNAPSHOT_LOG_BYTES, journal.snapshot_bytes):
             registry.append_entry({"op": RENEW, "id": endpoint_ids[renewals % size]})
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -20,7 +20,7 @@
 import aiohttp
 import msgspec
 
-from benchmarks.scale import messages, names
+from benchmarks.scale import fleet_names, messages
 from benchmarks.scale.messages import HollowPlan, Order, Reply, Tally
 from tests.lab import Lab, Program
 from tests.sockets import SETTINGS
@@ -51,10 +51,7 @@
     if soft != resource.RLIM_INFINITY and soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
     if wanted < WANTED_DESCRIPTORS:
-        return (
-            f"the hard limit of open files is {hard}, {WANTED_DESCRIPTORS} are needed: "
-            "large sizes may fail because of it"
-        )
+        return f"the hard limit of open files is {hard}, {WANTED_DESCRIPTORS} are needed: large sizes may fail because of it"
     return ""
 
 
@@ -122,7 +119,7 @@
     ) -> None:
         self.size, self.seed, self.ttl_ms = size, seed, ttl_ms
         self.real_count, self.regional = min(real_count, size - 1), regional
-        self.hollow_ids = {names.instance(n) for n in range(self.hollow_count)}
+        self.hollow_ids = {fleet_names.instance_id(n) for n in range(self.hollow_count)}
         self.lab = Lab(folder)
         self.hollow_processes: list[HollowProcess] = []
         self.real_sidecars: list[Program] = []
@@ -177,7 +174,7 @@
         arguments = ["woadyard.standins", "endpoint", "--discovery", f"127.0.0.1:{self.leader.port}"]
         arguments += [
             "--name",
-            names.instance(FIRST_REAL_ENDPOINT + n),
+            fleet_names.instance_id(FIRST_REAL_ENDPOINT + n),
             "--zone",
             "here",
             "--ttl-ms",
@@ -212,7 +209,7 @@
             real_sidecar = await self.lab.sidecar(
                 f"real-{n}", discovery=self.followers,
                 audit={"service": ",".join(f"127.0.0.1:{follower.port}" for follower in self.followers)},
-                settings={**SETTINGS, "zones": ["here", *names.ZONES]},
+                settings={**SETTINGS, "zones": ["here", *fleet_names.ZONES]},
             )  # fmt: skip
             self.real_sidecars.append(real_sidecar)
             self.load_tasks.append(
@@ -256,7 +253,7 @@
 
         Returns its version (0 if the leader did not accept it) and the time of the request."""
         self.change_count += 1
-        changed_entry = names.entry(CHANGED_ENDPOINT, weight=float(self.change_count))
+        changed_entry = fleet_names.list_entry(CHANGED_ENDPOINT, weight=float(self.change_count))
         requested_at_s = time.monotonic()
         response = await self.call(
             self.leader, "PUT", f"{INSTANCES_PATH}/{changed_entry['instanceId']}?ttl_ms=600000", changed_entry
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -14,7 +14,7 @@
 
 from benchmarks.scale import __main__ as command
 from benchmarks.scale import control, figures, messages, phases, points
-from benchmarks.scale.names import REGIONS, ZONES, entry, region, sidecar, zone
+from benchmarks.scale.fleet_names import REGIONS, ZONES, list_entry, region_index, sidecar_name, zone_name
 from benchmarks.scale.phases import CHANGE, WRITER
 from benchmarks.scale.world import World
 from woadyard.net.endpoint_table import PHASES
@@ -26,7 +26,7 @@
 async def attempts_in_ledger(world: World) -> int:
     """The hollow sidecars' attempts in the leader's audit ledger."""
     ledger_json = json.loads(await world.call(world.leader, "GET", "/registry/audit/acted?build=0-1-0"))
-    hollow = {sidecar(n) for n in range(world.hollow_count)}
+    hollow = {sidecar_name(n) for n in range(world.hollow_count)}
     return sum(span["attempts"] - span["unsent"] for span in ledger_json["spans"] if span["name"] in hollow)
 
 
@@ -43,15 +43,15 @@
         assert [one.version > 0 for one in result.list_changes] == [True, True]
         for tally in result.tallies:  # in force at every sidecar, and in the order of the changes
             assert all(0 < first <= second for first, second in zip(*tally.heard, strict=True))
-        measured_points = figures.points("run", 1, world, result)
+        measured_points = figures.phase_points("run", 1, world, result)
         by_metric = {(one.role, one.metric): one for one in measured_points}
         assert by_metric["lists", "told_share"].value == 1.0 and by_metric["leases", "missing"].value == 0
         assert {"writer", "replica", "control", "sidecar", "audit"} <= {role for role, _ in by_metric}
         assert by_metric["control", "lists_bytes_in_per_s"].value > 0
-        points.write(tmp_path / "points.jsonl", measured_points)
-        assert list(points.read([tmp_path / "points.jsonl"])) == measured_points
-        late_points = figures.points("run", 1, world, replace(result, driver_lag_ms=50.1))
-        assert all(one.void for one in late_points)
+        points.append_points(tmp_path / "points.jsonl", measured_points)
+        assert list(points.read_points([tmp_path / "points.jsonl"])) == measured_points
+        late_points = figures.phase_points("run", 1, world, replace(result, driver_lag_ms=50.1))
+        assert all(one.is_void for one in late_points)
 
         changes = await phases.drain_zone(world, 1.0)
         assert [one.label for one in changes] == ["gone", "back"] and changes[0].version < changes[1].version
@@ -70,7 +70,9 @@
         result = await phases.measure_phase(world, WRITER, phases.kill_leader, 2.0)
         assert [one.version for one in result.list_changes] == [0, 0] and result.missing_endpoints == 0
         list_metrics = {
-            one.metric: one.value for one in figures.points("run", 1, world, result) if one.role == "lists"
+            one.metric: one.value
+            for one in figures.phase_points("run", 1, world, result)
+            if one.role == "lists"
         }
         assert list_metrics == {"told_share": 0.0}
         (restart_change,) = await phases.restart_leader(world, 1.0)
@@ -88,7 +90,7 @@
         min(
             received_at_s
             for number, received_at_s in enumerate(tally.heard[0])
-            if region(number) == region_index
+            if region_index(number) == region_index
         )
         for region_index in range(3)
     ]
@@ -119,7 +121,7 @@
     assert len(started_pids) > 6  # leader, followers, endpoints, real sidecars and processes of hollow ones
     process.send_signal(signal.SIGINT)
     _, error_output = await process.communicate()
-    assert process.returncode == 130 and b"ended early" in error_output
+    assert process.returncode == 130 and b"interrupted; the points" in error_output
     assert not [pid for pid in started_pids if Path("/proc", str(pid)).exists()]
     assert list(tmp_path.iterdir()) == []
 
@@ -148,7 +150,7 @@
 def test_each_part_has_default_sizes_of_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
     calls: list[tuple[object, ...]] = []
     for part in command.PARTS:
-        monkeypatch.setattr(command.module(part), "measure", lambda *arguments: calls.append(arguments))
+        monkeypatch.setattr(command.load_module(part), "measure", lambda *arguments: calls.append(arguments))
     assert command.main(["run"]) == 0
     assert len(calls) == len(command.PARTS)
     sizes = {str(out): list(sizes) for out, sizes, _ in calls}  # type: ignore[call-overload]
@@ -158,6 +160,6 @@
 
 
 def test_entries_are_distinct_and_valid_for_the_product() -> None:
-    assert len({entry(number)["instanceId"] for number in range(1100)}) == 1100
-    assert sorted({zone(number) for number in range(1100)}) == sorted(ZONES) and len(ZONES) == 10
-    assert all(entry(number)["lifecycle"] in PHASES for number in range(1100))
+    assert len({list_entry(number)["instanceId"] for number in range(1100)}) == 1100
+    assert sorted({zone_name(number) for number in range(1100)}) == sorted(ZONES) and len(ZONES) == 10
+    assert all(list_entry(number)["lifecycle"] in PHASES for number in range(1100))
--- a/tests/test_scale_path.py
+++ b/tests/test_scale_path.py
@@ -15,7 +15,7 @@
 import msgspec
 import pytest
 
-from benchmarks.scale import exchange, growth, latency, listings, points, retries
+from benchmarks.scale import endpoint_lists, exchange, growth, latency, points, retries
 from benchmarks.scale.chain import Chain, EventLimitError
 from benchmarks.scale.points import Point
 from tests.lab import _kill_with_parent
@@ -28,7 +28,9 @@
 def read_values(path: Path, role: str, phase: str, size: float) -> dict[str, float]:
     """The points' values by metric; fails if there are none or a metric occurs twice."""
     matching = [
-        point for point in points.read([path]) if (point.role, point.phase, point.size) == (role, phase, size)
+        point
+        for point in points.read_points([path])
+        if (point.role, point.phase, point.size) == (role, phase, size)
     ]
     values = {point.metric: point.value for point in matching}
     assert len(values) == len(matching) > 0, f"no points of {role} {phase} {size}, or some twice"
@@ -44,9 +46,9 @@
     assert values["connections_open"] >= 1, "the sidecar keeps its connections"
     assert values["decision_s"] > 0.0 and values["cpu_s_per_request"] > 0.0 and values["rss_bytes"] > 0
     assert values["added_p99_s"] == pytest.approx(values["through_p99_s"] - values["direct_p99_s"])
-    one = next(one for one in points.read([out]) if one.metric == "added_p99_s")
+    one = next(one for one in points.read_points([out]) if one.metric == "added_p99_s")
     assert one.size_unit == "entries" and one.turn == 1 and one.driver_lag_p99_ms > 0.0
-    assert one.void == (one.driver_lag_p99_ms > points.LAG_MOST_MS)
+    assert one.is_void == (one.driver_lag_p99_ms > points.MAX_DRIVER_LAG_P99_MS)
 
 
 def _reset_sigint() -> None:
@@ -120,7 +122,7 @@
 
 def test_log_and_snapshot_sizes_follow_their_contents(tmp_path: Path) -> None:
     out, size = tmp_path / "growth.jsonl", 20
-    growth.measure(out, [size], 1, rows_most=size * 40)
+    growth.measure(out, [size], 1, max_rows=size * 40)
     renewal, change = read_values(out, "log", "renewal", size), read_values(out, "log", "change", size)
     report, batch = read_values(out, "log", "report", size), read_values(out, "log", "reports_by_20", size)
     assert 0 < renewal["bytes_per_record"] < change["bytes_per_record"]
@@ -133,7 +135,7 @@
     for shape in ("lists", "whole"):
         recovered = read_values(out, "recovery", shape, size)
         assert recovered["replica_reached_share"] == 1.0 and recovered["own_log_s"] > 0.0
-    entry_bytes = sum(len(msgspec.json.encode(entry)) for entry in listings.entries(size))
+    entry_bytes = sum(len(msgspec.json.encode(entry)) for entry in endpoint_lists.list_entries(size))
     assert read_values(out, "told", "whole", size)["bytes_per_sidecar"] > entry_bytes
     assert read_values(out, "told", "zone", size)["bytes_per_sidecar"] > entry_bytes / 10
 
@@ -151,27 +153,27 @@
 
 
 def test_names_and_entries_are_distinct_and_as_long_as_real_ones() -> None:
-    known_names = listings.names(1_100)
+    known_names = endpoint_lists.instance_ids(1_100)
     assert len(set(known_names)) == 1_100 and {len(one) for one in known_names} == {len("s-5be2a07c")}
-    listed_entries = listings.entries(1_100)
+    listed_entries = endpoint_lists.list_entries(1_100)
     assert len({one["hostPort"] for one in listed_entries}) == 1_100
-    assert Counter(one["zone"] for one in listed_entries) == dict.fromkeys(listings.ZONES, 110)
-    assert len(set(listings.REGIONS.values())) == 3
+    assert Counter(one["zone"] for one in listed_entries) == dict.fromkeys(endpoint_lists.ZONES, 110)
+    assert len(set(endpoint_lists.REGIONS.values())) == 3
 
 
 def test_a_point_of_a_late_driver_is_void_and_shown_as_such(capsys: pytest.CaptureFixture[str]) -> None:
     from benchmarks.scale import usage
 
     late_point = Point("r", "path", "inner", 9, "added_p99_s", "s", 0.1, "entries", driver_lag_p99_ms=50.1)
-    usage.show(late_point)
+    usage.print_point(late_point)
     assert "VOID" in capsys.readouterr().err
 
 
 async def test_a_blocked_event_loop_is_measured_as_lag() -> None:
     from benchmarks.scale import usage
 
-    lag = usage.Lag()
+    lag = usage.LoopMeter()
     await asyncio.sleep(0.02)
     time.sleep(0.3)  # the delay that must be measured
     await asyncio.sleep(0.02)
-    assert lag.end()[0] > points.LAG_MOST_MS
+    assert lag.stop()[0] > points.MAX_DRIVER_LAG_P99_MS
