--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -52,7 +52,8 @@
         )
     for point in measured_points:
         log_progress(
-            f"  {point.phase:8} {point.role:8} {point.metric:26} {point.value:>14.6g} {point.unit}  {point.note}"
+            f"  {point.phase:8} {point.role:8} {point.metric:26} {point.value:>14.6g} "
+            f"{point.unit}  {point.note}"
         )
 
 
--- a/benchmarks/scale/exchange.py
+++ b/benchmarks/scale/exchange.py
@@ -83,7 +83,9 @@
         self.grants_received = 0
         self.settings = SharedSettings("127.0.0.1:0", service, limit=LIMIT_ATTEMPTS)
         self.endpoint_keys = [endpoint_number(name) for name in endpoint_lists.instance_ids(size)]
-        self.limit_shares = [self._new_holder(n, name) for n, name in enumerate(endpoint_lists.instance_ids(size))]
+        self.limit_shares = [
+            self._new_holder(n, name) for n, name in enumerate(endpoint_lists.instance_ids(size))
+        ]
 
     def _new_holder(self, index: int, name: str) -> LimitShares:
         held_endpoints = [
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -45,7 +45,10 @@
     """The delays of this process's event loop timers, s, and its share of a core."""
 
     delays_s: list[float] = field(default_factory=list)
-    began: tuple[float, float] = field(default_factory=lambda: (time.perf_counter(), time.process_time()))
+    # Wall-clock and processor time at the last `collect`, s.
+    period_start: tuple[float, float] = field(
+        default_factory=lambda: (time.perf_counter(), time.process_time())
+    )
 
     async def sample(self) -> None:
         while True:
@@ -56,8 +59,8 @@
     def collect(self) -> tuple[float, float]:
         """Returns the p99 delay in ms and the share of a core since the last call."""
         now = time.perf_counter(), time.process_time()
-        share = (now[1] - self.began[1]) / (now[0] - self.began[0])
-        delays_s, self.delays_s, self.began = sorted(self.delays_s), [], now
+        share = (now[1] - self.period_start[1]) / (now[0] - self.period_start[0])
+        delays_s, self.delays_s, self.period_start = sorted(self.delays_s), [], now
         return delays_s[int(0.99 * len(delays_s))] * 1e3 if delays_s else 0.0, share
 
 
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -103,7 +103,10 @@
     if peaks := [measured.cpu_peaks[process] for process in running if process in measured.cpu_peaks]:
         yield Figure(role, "cpu_peak_s_per_s", "s/s", max(peaks), "within one second")
     yield Figure(
-        role, "rss_bytes", "bytes", statistics.fmean(measured.usage_after[process].rss_bytes for process in running)
+        role,
+        "rss_bytes",
+        "bytes",
+        statistics.fmean(measured.usage_after[process].rss_bytes for process in running),
     )
 
 
@@ -135,8 +138,8 @@
     failed = sum(tally.failed for tally in measured.tallies)
     yield Figure("audit", "reports_per_s", "messages/s", sent / measured.duration_s)
     yield Figure("audit", "failed_share", "share", failed / sent, f"{failed} of {sent}")
-    call_times_s = [duration_s for tally in measured.tallies for duration_s in tally.calls_s]
-    ack_times_s = [duration_s for tally in measured.tallies for duration_s in tally.acks_s]
+    call_times_s = [call_s for tally in measured.tallies for call_s in tally.calls_s]
+    ack_times_s = [ack_s for tally in measured.tallies for ack_s in tally.acks_s]
     yield from _duration_figures("audit", "call", call_times_s)
     yield from _duration_figures("audit", "ack", ack_times_s)
 
@@ -153,7 +156,9 @@
         leader_cpu_s = measured.usage_after["writer"].cpu_s - measured.usage_before["writer"].cpu_s
         note = "nothing else at the writer but its replicas and the real sidecars' reports"
         yield Figure("leases", "writer_cpu_s_per_renewal", "s", leader_cpu_s / renewals, note)
-    yield Figure("leases", "missing", "count", measured.missing_endpoints, "endpoints, at a replica at the end")
+    yield Figure(
+        "leases", "missing", "count", measured.missing_endpoints, "endpoints, at a replica at the end"
+    )
 
 
 def list_figures(world: World, measured: PhaseResult) -> Iterator[Figure]:
--- a/benchmarks/scale/messages.py
+++ b/benchmarks/scale/messages.py
@@ -31,7 +31,7 @@
     """One of `ORDERS` with its arguments."""
 
     do: str
-    zone: int = -1  # DEREGISTER, REREGISTER: index of the endpoints' zone in `names.ZONES`
+    zone: int = -1  # DEREGISTER, REREGISTER: index of the endpoints' zone in `fleet_names.ZONES`
     version: int = 0  # WAIT_FOR_VERSION: the list version that all must have
     within_s: float = 0.0
     versions: list[int] = []  # COLLECT_TALLY: versions whose times in force are wanted
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -87,11 +87,11 @@
     registry = Registry(Journal(folder))
     with without_fsync():
         registry.become_leader()
-        list_entries = endpoint_lists.list_entries(size)
-        for entry in list_entries:
+        instances = endpoint_lists.list_entries(size)
+        for entry in instances:
             registry.append_entry({"op": PUT, "entry": entry, "ttl_us": TTL_US})
         if shape == "whole":
-            endpoint_ids = [listed["instanceId"] for listed in list_entries]
+            endpoint_ids = [listed["instanceId"] for listed in instances]
             for index in range(size):
                 registry.append_entry(hold_entry(index, endpoint_ids))
             rows_per_sidecar = max(MIN_ROWS_PER_RUN, max_rows // size)
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -51,7 +51,10 @@
     if soft != resource.RLIM_INFINITY and soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
     if wanted < WANTED_DESCRIPTORS:
-        return f"the hard limit of open files is {hard}, {WANTED_DESCRIPTORS} are needed: large sizes may fail because of it"
+        return (
+            f"the hard limit of open files is {hard}, {WANTED_DESCRIPTORS} are needed: "
+            "large sizes may fail because of it"
+        )
     return ""
 
 
@@ -293,7 +296,7 @@
         for program in (*self.followers, *self.real_sidecars):
             if program.process.poll() is not None:
                 raise StateError(
-                    f"{program.name} ended with exit status {program.process.returncode}",
+                    f"{program.name} ended with return code {program.process.returncode}",
                     "see the last line of its log",
                 )
 
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -90,9 +90,9 @@
         min(
             received_at_s
             for number, received_at_s in enumerate(tally.heard[0])
-            if region_index(number) == region_index
+            if region_index(number) == region_number
         )
-        for region_index in range(3)
+        for region_number in range(3)
     ]
     assert len(REGIONS) == 3
     assert (
