--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -24,7 +24,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from benchmarks.metrics_cost import load
+from benchmarks.metrics_cost import measure_request_rate
 from benchmarks.whatif_cost import REQUESTS, TURNS, cpu_s, sidecar
 from tests.process import free_port
 from tests.sockets import Endpoint, FakeDiscovery
@@ -36,37 +36,37 @@
 from woadyard.net import fetch, reporter
 from woadyard.net.reporter import AuditHandlers, Reporter, now_us
 
-REPORTERS, RATE, WARM_S, SECONDS = 200, 10, 3, 20
+REPORTERS, ATTEMPTS_PER_S, WARMUP_S, MEASURED_S = 200, 10, 3, 20
 SIDECARS, MINUTES = 200, 24 * 60
 
 
-class Wire:
+class CallMeter:
     """Bytes of each call and the time it took, by a client that counts."""
 
     def __init__(self) -> None:
-        self.bytes, self.ms = 0, HdrHistogram(1, 60_000_000, 3)
-        self.real, self.failed = fetch.fetch, 0
+        self.wire_bytes, self.latency_us = 0, HdrHistogram(1, 60_000_000, 3)
+        self.original_fetch, self.failed_calls = fetch.fetch, 0
 
     async def fetch(self, at: tuple[str, int], method: str, target: str, body: bytes, **more: Any) -> Any:
         began = time.perf_counter()
         try:
-            return await self.real(at, method, target, body, **more)
+            return await self.original_fetch(at, method, target, body, **more)
         except fetch.FetchError:
-            self.failed += 1
+            self.failed_calls += 1
             raise
         finally:
-            self.ms.record_value(int((time.perf_counter() - began) * 1e6))
+            self.latency_us.record_value(int((time.perf_counter() - began) * 1e6))
 
-    def count(self) -> None:
+    def install(self) -> None:
         """Bytes at the transport, of all exchanges from now on."""
         made, got = fetch._Exchange.__init__, fetch._Exchange.data_received
 
         def sent(exchange: fetch._Exchange, request: bytes, most: int) -> None:
-            self.bytes += len(request)
+            self.wire_bytes += len(request)
             made(exchange, request, most)
 
         def received(exchange: fetch._Exchange, data: bytes) -> None:
-            self.bytes += len(data)
+            self.wire_bytes += len(data)
             got(exchange, data)
 
         vars_ = {"__init__": sent, "data_received": received}
@@ -75,13 +75,13 @@
         setattr(reporter, "fetch", self.fetch)  # noqa: B010 - the module's name, not an attribute
 
 
-async def reports() -> dict[str, Any]:
+async def measure_reports() -> dict[str, Any]:
     with TemporaryDirectory() as folder:
         port = free_port()
         process = await start_registry(Path(folder), port)
         told = (await register_endpoint(port, "s-0"))[1]
-        wire = Wire()
-        wire.count()
+        wire = CallMeter()
+        wire.install()
         orders = AuditHandlers(lambda raw: True, lambda: None, lambda out: None, lambda names: None)
         settings = AuditSettings(f"127.0.0.1:{port}")
         named = told["lineage"], told["term"]
@@ -92,19 +92,19 @@
         for one in fleet:
             one.list_applied(now_us(), LIST_DELTA, told["generation"], [])
             one.open()
-        for second in range(WARM_S + SECONDS):
-            if second == WARM_S:
-                wire.bytes, wire.failed, cpu = 0, 0, cpu_s(process.pid)
-                wire.ms.reset()
+        for second in range(WARMUP_S + MEASURED_S):
+            if second == WARMUP_S:
+                wire.wire_bytes, wire.failed_calls, cpu = 0, 0, cpu_s(process.pid)
+                wire.latency_us.reset()
                 began = time.perf_counter()
             told = (await register_endpoint(port, f"s-{second + 1}"))[1]
             for one in fleet:
                 one.list_applied(now_us(), LIST_DELTA, told["generation"], [])
-            for tick in range(RATE):
-                await asyncio.sleep(1.0 / RATE)
+            for tick in range(ATTEMPTS_PER_S):
+                await asyncio.sleep(1.0 / ATTEMPTS_PER_S)
                 for one in fleet:
-                    one.attempt_started(now_us(), Send(second * RATE + tick, 1, 0))
-                    one.spans.record_attempt_end(second * RATE + tick, 1, True)
+                    one.attempt_started(now_us(), Send(second * ATTEMPTS_PER_S + tick, 1, 0))
+                    one.spans.record_attempt_end(second * ATTEMPTS_PER_S + tick, 1, True)
         took = time.perf_counter() - began
         used = cpu_s(process.pid) - cpu
         for one in fleet:
@@ -113,14 +113,14 @@
         process.kill()
         await process.wait()
     return {
-        "reporters": REPORTERS, "seconds": round(took, 1), "reports": wire.ms.get_total_count(),
-        "failed": wire.failed, "bytes_a_second_and_sidecar": round(wire.bytes / took / REPORTERS),
+        "reporters": REPORTERS, "seconds": round(took, 1), "reports": wire.latency_us.get_total_count(),
+        "failed": wire.failed_calls, "bytes_a_second_and_sidecar": round(wire.wire_bytes / took / REPORTERS),
         "service_cpu_share": round(used / took, 3),
-        **{f"p{p}_ms": wire.ms.get_value_at_percentile(p) / 1e3 for p in (50, 99, 100)},
+        **{f"p{p}_ms": wire.latency_us.get_value_at_percentile(p) / 1e3 for p in (50, 99, 100)},
     }  # fmt: skip
 
 
-def ledger() -> dict[str, Any]:
+def measure_ledger() -> dict[str, Any]:
     book, at = AuditState(), 0
     fleet = [SpanRecorder(f"n{n}", "run", 0, Position("log", 1, 0, "s", build="b")) for n in range(SIDECARS)]
     began = time.perf_counter()
@@ -159,7 +159,7 @@
     }  # fmt: skip
 
 
-async def path() -> dict[str, Any]:
+async def measure_hot_path() -> dict[str, Any]:
     endpoint, registry = Endpoint(), FakeDiscovery()
     found: dict[str, list[float]] = {"off": [], "on": []}
     with TemporaryDirectory() as name:
@@ -176,7 +176,7 @@
                     process, port = running[kind]
                     endpoint.received.clear()
                     before = cpu_s(process.pid)
-                    await load(port, REQUESTS)
+                    await measure_request_rate(port, REQUESTS)
                     if turn:  # the first warms up
                         found[kind].append((cpu_s(process.pid) - before) / REQUESTS * 1e6)
             for process in [lists, *(process for process, _ in running.values())]:
@@ -195,7 +195,11 @@
 
     parts = sys.argv[1:] or ["reports", "ledger", "path"]
     for part in parts:
-        told = ledger() if part == "ledger" else uvloop.run({"reports": reports, "path": path}[part]())
+        told = (
+            measure_ledger()
+            if part == "ledger"
+            else uvloop.run({"reports": measure_reports, "path": measure_hot_path}[part]())
+        )
         print(json.dumps({"part": part, **told}), flush=True)
 
 
--- a/benchmarks/discovery_watch.py
+++ b/benchmarks/discovery_watch.py
@@ -42,27 +42,27 @@
 
 
 @dataclass
-class Counting(FaultProxy):
+class CountingProxy(FaultProxy):
     """Notes when each connection came."""
 
-    at: list[float] = field(default_factory=list)
+    connection_times_s: list[float] = field(default_factory=list)
 
-    async def _serve(self, reader: Reader, writer: Writer) -> None:
-        self.at.append(time.perf_counter())
-        await super()._serve(reader, writer)
+    async def _handle_connection(self, reader: Reader, writer: Writer) -> None:
+        self.connection_times_s.append(time.perf_counter())
+        await super()._handle_connection(reader, writer)
 
 
-class Fleet:
+class WatcherFleet:
     """Discovery clients of one address, and when each heard of which version."""
 
     def __init__(self, port: int, jitter: bool = True) -> None:
         loop = asyncio.get_running_loop()
         self.versions, self.changed = [0] * WATCHERS, asyncio.Condition()
-        self.latency = HdrHistogram(1, 60_000_000, 3)  # µs
-        self.wrote = 0.0
+        self.latency_us = HdrHistogram(1, 60_000_000, 3)  # µs
+        self.write_sent_s = 0.0
         self.clients = [
             Discovery(
-                loop, f"127.0.0.1:{port}", INSTANCES_PATH, True, self.hears(n),
+                loop, f"127.0.0.1:{port}", INSTANCES_PATH, True, self.list_handler(n),
                 random.Random(n) if jitter else NoJitter(n),
             )
             for n in range(WATCHERS)
@@ -70,15 +70,15 @@
         for one in self.clients:
             one.set_watch(True)
 
-    def hears(self, n: int) -> Any:
+    def list_handler(self, n: int) -> Any:
         def listen(version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
             self.versions[n] = version
-            if self.wrote:
-                self.latency.record_value(max(1, int((time.perf_counter() - self.wrote) * 1e6)))
+            if self.write_sent_s:
+                self.latency_us.record_value(max(1, int((time.perf_counter() - self.write_sent_s) * 1e6)))
 
         return listen
 
-    async def reach(self, version: int) -> None:
+    async def wait_for_version(self, version: int) -> None:
         async with asyncio.timeout(30):
             while min(self.versions) < version:
                 await asyncio.sleep(0.002)
@@ -88,53 +88,56 @@
             one.close()
 
 
-async def watch_latency(name: str, port: int, writer: int, version: int) -> int:
-    fleet = Fleet(port)
-    await fleet.reach(version)
+async def measure_watch_latency(name: str, port: int, writer: int, version: int) -> int:
+    fleet = WatcherFleet(port)
+    await fleet.wait_for_version(version)
     for n in range(WRITES):
-        fleet.wrote = time.perf_counter()
+        fleet.write_sent_s = time.perf_counter()
         await register_endpoint(writer, f"{name}-{n}")
         version += 1
-        await fleet.reach(version)
+        await fleet.wait_for_version(version)
     fleet.close()
-    p50, p99 = (fleet.latency.get_value_at_percentile(p) / 1e3 for p in (50, 99))
-    most = fleet.latency.get_max_value() / 1e3
-    count = fleet.latency.get_total_count()
+    p50, p99 = (fleet.latency_us.get_value_at_percentile(p) / 1e3 for p in (50, 99))
+    most = fleet.latency_us.get_max_value() / 1e3
+    count = fleet.latency_us.get_total_count()
     print(f"{name}: {count} notices, p50 {p50:.1f} ms, p99 {p99:.1f} ms, largest {most:.1f} ms")
     return version
 
 
-async def quiet(port: int) -> None:
-    proxy = Counting(target=port)
+async def measure_quiet_list(port: int) -> None:
+    proxy = CountingProxy(target_port=port)
     async with await proxy.start():
-        fleet = Fleet(proxy.port)
-        await fleet.reach(1)
-        proxy.at.clear()
+        fleet = WatcherFleet(proxy.port)
+        await fleet.wait_for_version(1)
+        proxy.connection_times_s.clear()
         await asyncio.sleep(QUIET_S)
-        rate = len(proxy.at) / WATCHERS * 60.0 / QUIET_S
-        print(f"quiet list for {QUIET_S:.0f} s: {len(proxy.at)} calls, {rate:.2f} per client and minute")
+        rate = len(proxy.connection_times_s) / WATCHERS * 60.0 / QUIET_S
+        print(
+            f"quiet list for {QUIET_S:.0f} s: {len(proxy.connection_times_s)} calls, "
+            f"{rate:.2f} per client and minute"
+        )
         fleet.close()
 
 
-async def herd(port: int, jitter: bool) -> None:
-    proxy = Counting(target=port)
+async def measure_reconnection(port: int, jitter: bool) -> None:
+    proxy = CountingProxy(target_port=port)
     async with await proxy.start():
-        fleet = Fleet(proxy.port, jitter)
-        await fleet.reach(1)
-        proxy.at.clear()
+        fleet = WatcherFleet(proxy.port, jitter)
+        await fleet.wait_for_version(1)
+        proxy.connection_times_s.clear()
         began = time.perf_counter()
-        proxy.fault(CUT)
+        proxy.set_fault(CUT)
         await asyncio.sleep(OUTAGE_S)
-        proxy.fault(PASS)
+        proxy.set_fault(PASS)
         back = time.perf_counter()
         version = int((await register_endpoint(port, f"after-{jitter}"))[1]["generation"])
-        await fleet.reach(version)
+        await fleet.wait_for_version(version)
         took = time.perf_counter() - back
         fleet.close()
-    bins = Counter(int((at - began) / BIN_S) for at in proxy.at)
-    seconds = Counter(int(at - began) for at in proxy.at)
+    bins = Counter(int((at - began) / BIN_S) for at in proxy.connection_times_s)
+    seconds = Counter(int(at - began) for at in proxy.connection_times_s)
     print(
-        f"herd {'with' if jitter else 'without'} jitter: {len(proxy.at)} calls in "
+        f"herd {'with' if jitter else 'without'} jitter: {len(proxy.connection_times_s)} calls in "
         f"{OUTAGE_S + took:.1f} s, most in {BIN_S * 1e3:.0f} ms {max(bins.values())}, by second "
         f"{[seconds[n] for n in range(max(seconds) + 1)]}; all at the new version {took:.2f} s after its end"
     )
@@ -148,11 +151,11 @@
         processes.append(await start_follower(Path(folder) / "r", ports[1], ports[0]))
         await register_endpoint(ports[0], "first")
         await wait_for_list(ports[1], has_version(1))
-        version = await watch_latency("writer", ports[0], ports[0], 1)
-        version = await watch_latency("replica", ports[1], ports[0], version)
-        await quiet(ports[0])
+        version = await measure_watch_latency("writer", ports[0], ports[0], 1)
+        version = await measure_watch_latency("replica", ports[1], ports[0], version)
+        await measure_quiet_list(ports[0])
         for jitter in (False, True):
-            await herd(ports[0], jitter)
+            await measure_reconnection(ports[0], jitter)
         assert (await call_registry(ports[0], "GET", INSTANCES_PATH))[0] == 200
         await kill_processes(*processes)
 
--- a/benchmarks/metrics_cost.py
+++ b/benchmarks/metrics_cost.py
@@ -20,11 +20,11 @@
 from tests.sockets import Endpoint, FakeDiscovery, http_request, read_message, run_sidecar
 from woadyard.ops.metrics import Metrics, NullMetrics
 
-REQUESTS, AT_ONCE, TURNS, IDLE = 4_000, 32, 4, 100
-IDS = count()  # a repeated X-Request-Id is turned down
+REQUESTS, CONNECTIONS, TURNS, IDLE_CONNECTIONS = 4_000, 32, 4, 100
+REQUEST_NUMBERS = count()  # a repeated X-Request-Id is turned down
 
 
-async def load(port: int, requests: int = REQUESTS) -> float:
+async def measure_request_rate(port: int, requests: int = REQUESTS) -> float:
     """Requests per second over `AT_ONCE` keep-alive connections."""
     todo = list(range(requests))
 
@@ -32,34 +32,34 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         while todo:
             todo.pop()
-            writer.write(http_request(rid=f"r{next(IDS)}"))
+            writer.write(http_request(rid=f"r{next(REQUEST_NUMBERS)}"))
             await read_message(reader)
         writer.close()
 
     began = time.perf_counter()
-    await asyncio.gather(*(caller() for _ in range(AT_ONCE)))
+    await asyncio.gather(*(caller() for _ in range(CONNECTIONS)))
     return requests / (time.perf_counter() - began)
 
 
-async def hot_path() -> None:
+async def compare_hot_path() -> None:
     async with run_sidecar(Endpoint()) as one:
-        await load(one.port, 500)  # warm
+        await measure_request_rate(one.port, 500)  # warm
         rates: dict[str, list[float]] = {"Metrics": [], "NullMetrics": []}
         for _ in range(TURNS):
             for kind in (Metrics, NullMetrics):
                 one.driver.dispatcher.metrics = kind()
-                rates[kind.__name__].append(await load(one.port))
+                rates[kind.__name__].append(await measure_request_rate(one.port))
     for name, found in rates.items():
         print(f"{name:8} requests/s median {statistics.median(found):7.0f}  all {[round(r) for r in found]}")
 
 
-async def door_under_load() -> None:
+async def measure_admin_latency() -> None:
     endpoint, registry = Endpoint(), FakeDiscovery()
     with TemporaryDirectory() as folder:
         async with await endpoint.start(), await registry.start():
             process, port, door = await start_ready_sidecar(Path(folder), registry, endpoint)
-            idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(IDLE)]
-            running = asyncio.ensure_future(load(port))
+            idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(IDLE_CONNECTIONS)]
+            running = asyncio.ensure_future(measure_request_rate(port))
             took = []
             while not running.done():
                 began = time.perf_counter()
@@ -71,14 +71,14 @@
             process.terminate()
             await process.wait()
     print(
-        f"door /_metrics under {rate:.0f} requests/s and {IDLE} idle connections: {len(took)} calls, "
-        f"median {statistics.median(took) * 1e3:.1f} ms, slowest {max(took) * 1e3:.1f} ms"
+        f"door /_metrics under {rate:.0f} requests/s and {IDLE_CONNECTIONS} idle connections: "
+        f"{len(took)} calls, median {statistics.median(took) * 1e3:.1f} ms, slowest {max(took) * 1e3:.1f} ms"
     )
 
 
 async def main() -> None:
-    await hot_path()
-    await door_under_load()
+    await compare_hot_path()
+    await measure_admin_latency()
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/exchange.py
+++ b/benchmarks/scale/exchange.py
@@ -58,9 +58,9 @@
     """Of gossip. There is no driver that could be late: the clock is the stores' own."""
     named, none = listings.names(size), (0.0, 0.0)
     for phase, accusers in (("quiet", 0), ("accusing", max(1, size // ACCUSING))):
-        rate = gossip.wire(size, accusers, turn, named)
+        rate = gossip.simulate_bytes_per_s(size, accusers, turn, named)
         write(out, run, "gossip", phase, size, turn, none, bytes_per_sidecar_and_second=rate)
-    times = gossip.pure(size, NEWS_RUNS, named)
+    times = gossip.simulate_convergence(size, NEWS_RUNS, named)
     rounds = {
         f"{name}_rounds": times.get_value_at_percentile(percent) / 1e3 / gossip.INTERVAL_MS
         for name, percent in (("p50", 50), ("p99", 99), ("last", 100))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -120,14 +120,14 @@
     def keep(self, wait_s: float) -> None:
         async def keep() -> None:
             await asyncio.sleep(wait_s)
-            await self.lease.keep()
+            await self.lease.keep_registered()
 
         self.keeping = asyncio.get_running_loop().create_task(keep())
 
     async def leave(self) -> bool:
         if self.keeping is not None:
             self.keeping.cancel()
-        return await self.lease.leave()
+        return await self.lease.unregister()
 
     async def report(self) -> None:
         """Reports, and an attempt each second to report on."""
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from benchmarks.metrics_cost import load
+from benchmarks.metrics_cost import measure_request_rate
 from tests.process import Process, free_port, sidecar_environ, wait_until_ready
 from tests.sockets import Endpoint, FakeDiscovery
 
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Found:
+class Measurements:
     ready_ms: list[float] = field(default_factory=list)
     rss_mb: list[float] = field(default_factory=list)
     cpu_us: list[float] = field(default_factory=list)  # for one request
@@ -41,26 +41,26 @@
     return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-async def start(checkout: Path, environ: dict[str, str]) -> Process:
+async def start_sidecar(checkout: Path, environ: dict[str, str]) -> Process:
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "woadyard", cwd=checkout, env=environ, stderr=asyncio.subprocess.DEVNULL
     )
 
 
-async def measure(checkout: Path, found: Found, registry: FakeDiscovery, endpoint: Endpoint) -> None:
+async def measure(checkout: Path, found: Measurements, registry: FakeDiscovery, endpoint: Endpoint) -> None:
     with TemporaryDirectory() as folder:
         port, door = free_port(), free_port()
         environ = sidecar_environ(Path(folder), registry, endpoint)
         environ |= {"LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}"}
         began = time.perf_counter()
-        process = await start(checkout, environ)
+        process = await start_sidecar(checkout, environ)
         try:
             await wait_until_ready(door)
             found.ready_ms.append((time.perf_counter() - began) * 1e3)
             found.rss_mb.append(rss_mb(process.pid))
-            await load(port, 500)  # warm
+            await measure_request_rate(port, 500)  # warm
             before = cpu_s(process.pid)
-            await load(port, REQUESTS)
+            await measure_request_rate(port, REQUESTS)
             found.cpu_us.append((cpu_s(process.pid) - before) / REQUESTS * 1e6)
         finally:
             process.kill()
@@ -68,7 +68,7 @@
 
 
 async def main(other: Path) -> None:
-    kinds = {"other": (other, Found()), "this": (Path(__file__).parent.parent, Found())}
+    kinds = {"other": (other, Measurements()), "this": (Path(__file__).parent.parent, Measurements())}
     endpoint, registry = Endpoint(), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         for turn in range(TURNS):
--- a/benchmarks/whatif_cost.py
+++ b/benchmarks/whatif_cost.py
@@ -17,7 +17,7 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from benchmarks.metrics_cost import load
+from benchmarks.metrics_cost import measure_request_rate
 from tests.process import Process, free_port, sidecar_environ, start_sidecar, wait_until_ready
 from tests.sockets import Endpoint, FakeDiscovery, run_sidecar
 from woadyard.interface import OK, Arrival, Outcome, Send
@@ -73,9 +73,9 @@
             for kind, changes in parts.items():
                 process, port = await sidecar(Path(name) / kind, registry, endpoint, **changes)
                 memory[f"rss_kb_{kind}"] = _rss_kb(process.pid)
-                await load(port, REQUESTS)
+                await measure_request_rate(port, REQUESTS)
                 before = cpu_s(process.pid)
-                await load(port, 4 * REQUESTS)
+                await measure_request_rate(port, 4 * REQUESTS)
                 took = (cpu_s(process.pid) - before) / (4 * REQUESTS) * 1e6
                 memory[f"rss_kb_{kind}_after"] = _rss_kb(process.pid)
                 process.terminate()
@@ -87,13 +87,13 @@
     """What recording adds to a request, CPU µs, in each pair of turns of one process."""
     recorder, added = Recorder(RecordSettings(), "s", 1, 0), []
     async with run_sidecar(Endpoint()) as one:
-        await load(one.port, REQUESTS)
+        await measure_request_rate(one.port, REQUESTS)
         for turn in range(TURNS):
             took: dict[bool, float] = {}
             for on in random.Random(turn).sample((False, True), 2):
                 one.driver.observer = recorder if on else None
                 before = time.process_time()
-                await load(one.port, REQUESTS)
+                await measure_request_rate(one.port, REQUESTS)
                 took[on] = (time.process_time() - before) / REQUESTS * 1e6
             added.append(took[True] - took[False])
     return added
--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -48,11 +48,11 @@
         """
         for link in self.links[kind]:
             if deaf:
-                link.fault(DROP, way=HERE)
+                link.set_fault(DROP, direction=HERE)
             elif delay_s:
-                link.fault(DELAY, delay_s=(delay_s, delay_s))
+                link.set_fault(DELAY, delay_s=(delay_s, delay_s))
             else:
-                link.fault(mode)
+                link.set_fault(mode)
             if deaf or mode == DROP:
                 for writer in list(link.writers):
                     writer.transport.abort()
@@ -118,7 +118,7 @@
                 await self.kill(process)
 
     async def _start_proxy(self, port: int) -> FaultProxy:
-        link = FaultProxy(target=port)
+        link = FaultProxy(target_port=port)
         self.stack.callback((await link.start()).close)
         return link
 
@@ -142,7 +142,7 @@
         )
         for sidecar in self.sidecars:
             for links in sidecar.links.values():
-                links[which].target = self.ports[which]
+                links[which].target_port = self.ports[which]
 
     async def start_sidecar(self, sidecar: FleetSidecar) -> None:
         """Start the sidecar's process and wait until it is ready."""
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -24,7 +24,7 @@
 import aiohttp
 
 from tests.sockets import SETTINGS, Endpoint, Handler, Message, http_request, read_message, serve_ok
-from woadyard.standins import FaultProxy, StandIn, manner
+from woadyard.standins import FaultProxy, StandIn, endpoint_profile
 
 POLL_INTERVAL_S = 0.02
 
@@ -249,7 +249,7 @@
         self, name: str = "s-0", kind: str = "small", seed: int = 0, **changes: Any
     ) -> StandIn:
         """An endpoint to the protocol inside the test, with drawn times; it counts what it is sent."""
-        one = StandIn(name, manner(kind, **changes), seed)
+        one = StandIn(name, endpoint_profile(kind, **changes), seed)
         await one.start()
         return one
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -24,7 +24,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.ports = folder, [free_port() for _ in range(3)]
-        self.proxies = [FaultProxy(target=port) for port in self.ports]
+        self.proxies = [FaultProxy(target_port=port) for port in self.ports]
         self.processes: dict[int, Process] = {}
         self.lists_by_version: dict[tuple[Any, int], list[Any]] = {}  # by (term, generation)
         self.acknowledged: set[str] = set()
@@ -59,7 +59,7 @@
             if n % 4 == 0:
                 proxy = self.rng.choice(self.proxies)
                 delay = Fault(DELAY, (0.0, 0.1))
-                proxy.fault(self.rng.choice([Fault(), delay, Fault(DROP), Fault(CUT)]))
+                proxy.set_fault(self.rng.choice([Fault(), delay, Fault(DROP), Fault(CUT)]))
             name = f"{tag}-{n}"
             if (await register_endpoint(self.ports[member], name))[0] == 200:
                 self.acknowledged.add(name)
@@ -69,8 +69,8 @@
 
     def clear_faults(self) -> None:
         for proxy in self.proxies:
-            proxy.fault(CUT)  # aborts what hangs in the proxy
-            proxy.fault(PASS)
+            proxy.set_fault(CUT)  # aborts what hangs in the proxy
+            proxy.set_fault(PASS)
 
     async def member_with_longest_log(self, members: tuple[int, ...]) -> int:
         applied = {
@@ -109,7 +109,7 @@
             await cluster.write(new_leader, 6, "b")
             # The old leader restarts with its log and reaches no other member: no write is acknowledged.
             for proxy in cluster.proxies:
-                proxy.fault(CUT)
+                proxy.set_fault(CUT)
             old_leader = await cluster.start(0)
             assert (await register_endpoint(cluster.ports[0], "lost"))[0] == 503
             await cluster.check_lists()
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -85,7 +85,7 @@
         at = self.all.index(one)
         for pair, link in self.links.items():
             if at in pair:
-                link.fault(mode)
+                link.set_fault(mode)
 
 
 class Told(Watcher):
--- a/tests/test_experiment_end_to_end.py
+++ b/tests/test_experiment_end_to_end.py
@@ -93,10 +93,10 @@
         await scene.more(scene.new, 200)
         assert before == [scene.got(scene.old, name) for name in ("s0", "s1")]
 
-        scene.link.fault(DROP)  # of the first sidecar's reports
+        scene.link.set_fault(DROP)  # of the first sidecar's reports
         await scene.more(scene.old, 20, "s0")
         assert scene.got(scene.old, "s1") == before[1]
-        scene.link.fault(PASS)
+        scene.link.set_fault(PASS)
         await scene.write("/close")
         await scene.more(scene.old, 20, "s1")  # both types serve all again
         await scene.more(scene.new, 20, "s0")
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -80,7 +80,7 @@
     await wait_for_lowered(2, 1)  # bad1 by two sidecars, bad2 by the one that will be partitioned
     for fault, inside, at_partitioned in ((DROP, 1, 0), (PASS, 2, 1)):
         for proxy in proxies:
-            proxy.fault(fault)
+            proxy.set_fault(fault)
         await wait_for_lowered(inside, at_partitioned)
     for load in loads:
         load.cancel()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,20 @@
 from tests.lab import Lab
 from tests.sockets import Endpoint
 from woadyard.errors import ConfigError
-from woadyard.standins import BOTH, CUT, DELAY, DROP, HERE, PASS, RESET, THERE, Fault, FaultProxy, drawn, play
+from woadyard.standins import (
+    BOTH,
+    CUT,
+    DELAY,
+    DROP,
+    HERE,
+    PASS,
+    RESET,
+    THERE,
+    Fault,
+    FaultProxy,
+    play_schedule,
+    random_schedule,
+)
 
 ROOT = Path(__file__).parent.parent
 SAMPLE = """
@@ -58,11 +71,12 @@
     endpoint = await lab.endpoint()
     proxy = await lab.proxy(endpoint)
     faults: list[tuple[str, dict[str, Any], int]] = [  # and what the endpoint gets of a request
-        (DROP, {}, 0), (DROP, {"way": THERE}, 0), (DROP, {"way": HERE}, 1), (RESET, {}, 0), (CUT, {}, 0),
+        (DROP, {}, 0), (DROP, {"direction": THERE}, 0), (DROP, {"direction": HERE}, 1),
+        (RESET, {}, 0), (CUT, {}, 0),
     ]  # fmt: skip
     for mode, changes, arrive in faults:
         before = len(endpoint.received)
-        proxy.fault(mode, **changes)
+        proxy.set_fault(mode, **changes)
         if arrive:
             asked = asyncio.ensure_future(passes(proxy))
             await endpoint.request_arrived.acquire()
@@ -70,12 +84,12 @@
         else:
             assert not await passes(proxy, 0.2 if mode == DROP else 60.0)
         assert len(endpoint.received) == before + arrive, (mode, changes)
-        proxy.fault(PASS)
+        proxy.set_fault(PASS)
         assert await passes(proxy)
         await endpoint.request_arrived.acquire()
     loop = asyncio.get_running_loop()
-    for fault in (Fault(DELAY, (0.1, 0.2)), Fault(rate=200.0)):
-        proxy.fault(fault)
+    for fault in (Fault(DELAY, (0.1, 0.2)), Fault(rate_bytes_per_s=200.0)):
+        proxy.set_fault(fault)
         began = loop.time()
         assert await passes(proxy) and loop.time() - began >= 0.1
 
@@ -84,24 +98,28 @@
     endpoint: Endpoint = await lab.endpoint()
     proxy = await lab.proxy(endpoint)
     _, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
-    proxy.fault(DROP)
+    proxy.set_fault(DROP)
     writer.write(b"GET /lost HTTP/1.1\r\n")
-    while not proxy.lost:
+    while not proxy.dropped_chunks:
         await asyncio.sleep(0.01)
-    proxy.fault(PASS)
+    proxy.set_fault(PASS)
     writer.write(b"\r\nGET /after HTTP/1.1\r\n\r\n")
     assert await passes(proxy) and [one.start_line.split()[1] for one in endpoint.received] == ["/page"]
 
 
 async def test_a_drawn_schedule_is_its_seeds_and_ends_healed() -> None:
     links = [f"l{n}" for n in range(3)]
-    assert drawn(7, links, 20.0) == drawn(7, links, 20.0) != drawn(8, links, 20.0)
+    assert (
+        random_schedule(7, links, 20.0) == random_schedule(7, links, 20.0) != random_schedule(8, links, 20.0)
+    )
     proxies = {link: FaultProxy() for link in links}
-    await play(drawn(7, links, 0.05, 0.01), proxies)
-    assert {proxy.now for proxy in proxies.values()} == {Fault()}
+    await play_schedule(random_schedule(7, links, 0.05, 0.01), proxies)
+    assert {proxy.current_fault for proxy in proxies.values()} == {Fault()}
 
 
-@pytest.mark.parametrize("bad", [{"mode": "melt"}, {"way": "up"}, {"delay_s": (2.0, 1.0)}, {"rate": -1.0}])
+@pytest.mark.parametrize(
+    "bad", [{"mode": "melt"}, {"direction": "up"}, {"delay_s": (2.0, 1.0)}, {"rate_bytes_per_s": -1.0}]
+)
 def test_a_fault_that_is_none_is_refused(bad: dict[str, Any]) -> None:
     with pytest.raises(ConfigError):
-        Fault(**{"mode": PASS, "way": BOTH, **bad})
+        Fault(**{"mode": PASS, "direction": BOTH, **bad})
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -59,12 +59,12 @@
     await lab.register(leader, "s-0", ENTRY)
     await wait_for_list(follower.port, has_version(1))
     assert (await lab.register(follower, "s-1", ENTRY)).status == 307, "a follower redirects writes"
-    proxy.fault(DROP)
+    proxy.set_fault(DROP)
     await lab.register(leader, "s-1", ENTRY)
     cut_off = await wait_for_list(follower.port, lambda listing: listing.get("following") is False)
     assert cut_off["generation"] == 1, "it serves its list and reports that it may be out of date"
     await lab.kill(follower)
-    proxy.fault(PASS)
+    proxy.set_fault(PASS)
     follower = await start_lab_follower(lab, "r", proxy, follower.port)
     assert (await wait_for_list(follower.port, has_version(2)))["instances"][1]["instanceId"] == "s-1"
     await lab.kill(leader, follower)
@@ -86,13 +86,13 @@
         await wait_for_list(follower.port, has_version(1))
     sidecar = await lab.sidecar("n1", discovery=follower_proxies)
     await sidecar.wait_metric("woadyard_list_version 1.0")
-    leader_proxy.fault(DROP)  # the first follower lags from here on
+    leader_proxy.set_fault(DROP)  # the first follower lags from here on
     assert (await lab.register(leader, "s-1", new_endpoint)).status == 200
     assert (await lab.call(leader.port, "DELETE", f"{INSTANCES_PATH}/s-0")).status == 200
     await sidecar.wait_metric("woadyard_list_version 3.0")
-    follower_proxies[1].fault(CUT)  # only the lagging follower is left
-    connections = follower_proxies[0].taken
-    while follower_proxies[0].taken < connections + 2:
+    follower_proxies[1].set_fault(CUT)  # only the lagging follower is left
+    connections = follower_proxies[0].accepted_connections
+    while follower_proxies[0].accepted_connections < connections + 2:
         await asyncio.sleep(0.02)
     await sidecar.wait_metric("woadyard_list_version 3.0")
     for n in range(5):
@@ -123,7 +123,7 @@
     watcher = Watcher(follower.port, 1, 1)
     watcher.discovery.replicas = [f"127.0.0.1:{process.port}" for process in (follower, leader)]
     await watcher.version_received.wait()
-    proxy.fault(CUT)
+    proxy.set_fault(CUT)
     await lab.register(leader, "s-1", ENTRY)
     watcher.expected_version, watcher.version_received = 2, asyncio.Event()
     await watcher.version_received.wait()
--- a/tests/test_whatif_door.py
+++ b/tests/test_whatif_door.py
@@ -59,13 +59,13 @@
             for number in range(ASKED):
                 writer.write(http_request(rid=f"r{number}"))
                 await read_message(reader)
-            proxy = FaultProxy(target=door)
+            proxy = FaultProxy(target_port=door)
             await proxy.start()
             fetched, chance, ended = Door(f"127.0.0.1:{proxy.port}"), random.Random(3), asyncio.Event()
 
             async def trouble() -> None:
                 while not ended.is_set():
-                    proxy.fault(chance.choice((PASS, CUT, RESET)))
+                    proxy.set_fault(chance.choice((PASS, CUT, RESET)))
                     await asyncio.sleep(0.03)
 
             troubled = asyncio.create_task(trouble())
--- a/tests/test_whatif_rollout.py
+++ b/tests/test_whatif_rollout.py
@@ -159,19 +159,19 @@
         assert verdict["state"] in ("better", "harmless"), verdict
         trouble.cancel()
         for proxy in fleet.doors.values():
-            proxy.fault(PASS)
+            proxy.set_fault(PASS)
         # Whom the first stage chose is cut off from the audit: it holds the old plan, the stage waits.
         for link in fleet.links.values():
-            link.fault(DROP)
-            link.abort()
+            link.set_fault(DROP)
+            link.abort_connections()
         assert (await fleet.post(f"/{good}/go")).status == 200
         await fleet.stage(0)
         await lab.kill(fleet.service)
         assert (await fleet_restarted(fleet))["active"]["stage"] == 0
         assert (await fleet.post("", {"weights": GOOD})).status == 400  # one at a time
         for link in fleet.links.values():
-            link.fault(PASS)
-            link.abort()
+            link.set_fault(PASS)
+            link.abort_connections()
         await fleet.stage(1)
         await lab.kill(fleet.service)  # between stages: it goes on at the second
         told = await fleet_restarted(fleet)
@@ -191,7 +191,7 @@
     """The links to the doors are cut and reset over and over."""
     while True:
         for proxy in fleet.doors.values():
-            proxy.fault(fleet.rng.choice((PASS, PASS, CUT, RESET)))
+            proxy.set_fault(fleet.rng.choice((PASS, PASS, CUT, RESET)))
         await asyncio.sleep(0.05)
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -142,7 +142,7 @@
     """Each zone has a loopback address, and the sidecar's own zone is behind fault proxies."""
     near = [await lab.endpoint(host="127.0.0.2") for _ in range(2)]
     far = [await lab.endpoint(host="127.0.0.3") for _ in range(2)]
-    proxies = [await lab.proxy(one, host="127.0.0.2", towards="127.0.0.2") for one in near]
+    proxies = [await lab.proxy(one, host="127.0.0.2", target_host="127.0.0.2") for one in near]
     where = [("a", 2, proxy.port) for proxy in proxies] + [("b", 3, one.port) for one in far]
     entries = [
         {**near[0].entry(f"{zone}-{port}"), "hostPort": f"127.0.0.{host}:{port}", "zone": zone}
@@ -168,14 +168,14 @@
 
     await only(near, far)
     for proxy in proxies:
-        proxy.fault(fault)
+        proxy.set_fault(fault)
         if fault == CUT:  # nothing listens any more
             proxy.close()
     await only(far, near)
     if fault == CUT:  # dropped requests may end late, refused connections may not
         assert set(sidecar.statuses) == {200}, "the other zone had capacity"
     for proxy in proxies:
-        proxy.fault(PASS)
+        proxy.set_fault(PASS)
         if fault == CUT:
             await proxy.start(proxy.port)
     await only(near, far)
--- a/woadyard/standins/__init__.py
+++ b/woadyard/standins/__init__.py
@@ -3,13 +3,30 @@
 For tests, benchmarks and a first look; nothing that runs in service imports them.
 """
 
-from woadyard.standins.behaviour import KINDS, Behaviour, Manner, manner
+from woadyard.standins.behaviour import KINDS, Behaviour, EndpointProfile, endpoint_profile
 from woadyard.standins.endpoint import StandIn
 from woadyard.standins.lease import Lease
 from woadyard.standins.proxy import BOTH, CUT, DELAY, DROP, HERE, PASS, RESET, THERE, Fault, FaultProxy
-from woadyard.standins.schedule import Schedule, drawn, play
+from woadyard.standins.schedule import Schedule, play_schedule, random_schedule
 
 __all__ = [
-    "BOTH", "CUT", "DELAY", "DROP", "HERE", "KINDS", "PASS", "RESET", "THERE", "Behaviour", "Fault",
-    "FaultProxy", "Lease", "Manner", "Schedule", "StandIn", "drawn", "manner", "play",
+    "BOTH",
+    "CUT",
+    "DELAY",
+    "DROP",
+    "HERE",
+    "KINDS",
+    "PASS",
+    "RESET",
+    "THERE",
+    "Behaviour",
+    "EndpointProfile",
+    "Fault",
+    "FaultProxy",
+    "Lease",
+    "Schedule",
+    "StandIn",
+    "endpoint_profile",
+    "play_schedule",
+    "random_schedule",
 ]  # fmt: skip
--- a/woadyard/standins/__main__.py
+++ b/woadyard/standins/__main__.py
@@ -17,18 +17,18 @@
 from woadyard.net import config
 from woadyard.ops import logs
 from woadyard.standins import fleet
-from woadyard.standins.behaviour import KINDS, Manner, manner
+from woadyard.standins.behaviour import KINDS, EndpointProfile, endpoint_profile
 from woadyard.standins.endpoint import StandIn
 from woadyard.standins.lease import Lease
 from woadyard.standins.proxy import DELAY, FaultProxy
-from woadyard.standins.schedule import drawn, play
+from woadyard.standins.schedule import play_schedule, random_schedule
 
 LOG = logging.getLogger("woadyard.standins")
-DRAIN_S = 2.0
-LINK = "link"
+DRAIN_TIMEOUT_S = 2.0
+PROXY_NAME = "link"
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     made = argparse.ArgumentParser(prog="woadyard.standins", description=__doc__)
     commands = made.add_subparsers(dest="command", required=True, metavar="COMMAND")
     one = commands.add_parser("endpoint", help="an endpoint to the protocol, with a lease")
@@ -46,28 +46,30 @@
     link.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     link.add_argument("--target", required=True, metavar="HOST:PORT")
     link.add_argument("--seed", type=int, default=0)
-    link.add_argument("--delay-ms", type=span, metavar="LOW,HIGH", help="each way, while no fault is drawn")
+    link.add_argument(
+        "--delay-ms", type=parse_delay_range, metavar="LOW,HIGH", help="each way, while no fault is drawn"
+    )
     link.add_argument("--faults-s", type=float, default=0.0, help="for so long; then it passes")
     whole = commands.add_parser("fleet", help="the list service, three endpoints and a sidecar")
     whole.add_argument("--config", default="deploy/example.json")
     return made
 
 
-def span(text: str) -> tuple[float, float]:
+def parse_delay_range(text: str) -> tuple[float, float]:
     """Two times in ms, as s."""
     low, high = (float(one) / 1000 for one in text.split(","))
     return low, high
 
 
-def asked(options: argparse.Namespace) -> Manner:
+def profile_from_options(options: argparse.Namespace) -> EndpointProfile:
     changes: dict[str, Any] = {}
     for word in options.set:
         key, _, value = word.partition("=")
         changes[key] = int(value) if key in ("at_once", "queue") else float(value)
-    return manner(options.kind, **changes)
+    return endpoint_profile(options.kind, **changes)
 
 
-async def ended() -> None:
+async def wait_for_stop_signal() -> None:
     """Returns at SIGTERM or SIGINT."""
     loop, over = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -75,51 +77,53 @@
     await over.wait()
 
 
-async def endpoint(options: argparse.Namespace) -> None:
+async def run_endpoint(options: argparse.Namespace) -> None:
     fields = tuple(filter(None, options.load.split(",")))
-    one = StandIn(options.name, asked(options), options.seed, fields)
+    one = StandIn(options.name, profile_from_options(options), options.seed, fields)
     await one.start(*config.parse_address(options.listen))
     LOG.info("listening", extra={"port": one.port, "as": one.name, "kind": options.kind})
     if options.discovery is None:
-        await ended()
+        await wait_for_stop_signal()
         return
     place = {"zone": options.zone, "machineType": options.machine_type}
     lease = Lease(options.discovery, lambda: one.entry(**place), options.ttl_ms)
-    keeping = asyncio.ensure_future(lease.keep())
-    await ended()
+    keeping = asyncio.ensure_future(lease.keep_registered())
+    await wait_for_stop_signal()
     keeping.cancel()
-    one.draining = True
-    await lease.put()
+    one.is_draining = True
+    await lease.register()
     with suppress(TimeoutError):
-        async with asyncio.timeout(DRAIN_S):  # sidecars hear of it, and what runs ends
-            while one.busy or one.waiting:
+        async with asyncio.timeout(DRAIN_TIMEOUT_S):  # sidecars hear of it, and what runs ends
+            while one.in_flight or one.queued:
                 await asyncio.sleep(0.05)
-    await lease.leave()
+    await lease.unregister()
 
 
-async def proxy(options: argparse.Namespace) -> None:
+async def run_proxy(options: argparse.Namespace) -> None:
     host, port = config.parse_address(options.target)
     relay = FaultProxy(port, host, seed=options.seed)
     relay.host, at = config.parse_address(options.listen)
     await relay.start(at)
     if options.delay_ms is not None:
-        relay.fault(DELAY, delay_s=options.delay_ms)
+        relay.set_fault(DELAY, delay_s=options.delay_ms)
     LOG.info("listening", extra={"port": relay.port, "target": options.target})
     if options.faults_s:
-        await play(drawn(options.seed, [LINK], options.faults_s), {LINK: relay})
-        LOG.info("healed", extra={"taken": relay.taken, "lost": relay.lost})
-    await ended()
+        await play_schedule(
+            random_schedule(options.seed, [PROXY_NAME], options.faults_s), {PROXY_NAME: relay}
+        )
+        LOG.info("healed", extra={"taken": relay.accepted_connections, "lost": relay.dropped_chunks})
+    await wait_for_stop_signal()
     relay.close()
 
 
 def main() -> int:
-    options = parser().parse_args()
+    options = build_parser().parse_args()
     logs.setup()
     try:
         if options.command == "fleet":
             uvloop.run(fleet.run(options.config))
         else:
-            uvloop.run(endpoint(options) if options.command == "endpoint" else proxy(options))
+            uvloop.run(run_endpoint(options) if options.command == "endpoint" else run_proxy(options))
     except WoadyardError as error:
         LOG.error("can't go on", extra=error.fields())
         return 2
--- a/woadyard/standins/behaviour.py
+++ b/woadyard/standins/behaviour.py
@@ -9,11 +9,11 @@
 
 from woadyard.errors import ConfigError
 
-SERVED, ERROR, TURNED_AWAY, HANGS, RESETS = "served", "error", "turned away", "hangs", "resets"
+SERVED, ERROR, REJECTED, HANGS, RESETS = "served", "error", "turned away", "hangs", "resets"
 
 
 @dataclass(frozen=True, slots=True)
-class Manner:
+class EndpointProfile:
     """What an endpoint of one kind does. Times in ms; shares from 0 to 1."""
 
     service_ms: float = 5.0  # mean, of a log-normal draw
@@ -39,42 +39,42 @@
 
 
 KINDS = {
-    "small": Manner(),
-    "large": Manner(service_ms=3.0, at_once=32, queue=64),
-    "slow": Manner(service_ms=15.0, spread=0.5, at_once=8, queue=16),
-    "bad": Manner(fails=0.3, turns_away=0.1, hangs=0.01, resets=0.05),
+    "small": EndpointProfile(),
+    "large": EndpointProfile(service_ms=3.0, at_once=32, queue=64),
+    "slow": EndpointProfile(service_ms=15.0, spread=0.5, at_once=8, queue=16),
+    "bad": EndpointProfile(fails=0.3, turns_away=0.1, hangs=0.01, resets=0.05),
 }
 
 
-def manner(kind: str, **changes: Any) -> Manner:
+def endpoint_profile(kind: str, **changes: Any) -> EndpointProfile:
     """That of a kind, with some of it changed."""
     if kind not in KINDS:
         raise ConfigError(f"no kind of endpoint is called {kind!r}", f"kinds are {', '.join(KINDS)}")
     try:
         return replace(KINDS[kind], **changes)
     except TypeError:
-        known = ", ".join(Manner.__dataclass_fields__)
+        known = ", ".join(EndpointProfile.__dataclass_fields__)
         raise ConfigError(f"an endpoint has none of {sorted(changes)}", f"it has {known}") from None
 
 
 class Behaviour:
     """Draws what becomes of each request. One seed, one sequence."""
 
-    def __init__(self, manner: Manner, seed: int, started_s: float) -> None:
-        self.manner, self.started_s, self.rng = manner, started_s, random.Random(seed)
+    def __init__(self, manner: EndpointProfile, seed: int, started_s: float) -> None:
+        self.profile, self.started_s, self.rng = manner, started_s, random.Random(seed)
 
-    def fate(self) -> str:
+    def draw_outcome(self) -> str:
         left = self.rng.random()
-        kinds = ((ERROR, "fails"), (TURNED_AWAY, "turns_away"), (HANGS, "hangs"), (RESETS, "resets"))
+        kinds = ((ERROR, "fails"), (REJECTED, "turns_away"), (HANGS, "hangs"), (RESETS, "resets"))
         for fate, key in kinds:
-            left -= getattr(self.manner, key)
+            left -= getattr(self.profile, key)
             if left < 0:
                 return fate
         return SERVED
 
-    def service_s(self, now_s: float, cls: str, busy: int) -> float:
+    def draw_service_time_s(self, now_s: float, cls: str, busy: int) -> float:
         """How long a request takes that starts now, beside `busy` others."""
-        m = self.manner
+        m = self.profile
         drawn = self.rng.lognormvariate(-(m.spread**2) / 2, m.spread) if m.spread else 1.0
         crowd = 1 + m.crowding * busy / m.at_once
         warmth = min(1.0, (now_s - self.started_s) * 1000 / m.cold_ms) if m.cold_ms else 1.0
--- a/woadyard/standins/fleet.py
+++ b/woadyard/standins/fleet.py
@@ -16,8 +16,8 @@
 from woadyard.errors import StateError
 from woadyard.net.config import read_config
 
-ENDPOINTS = ("small", "large", "slow")
-LOOK_S, GRACE_S = 0.1, 5.0
+ENDPOINT_KINDS = ("small", "large", "slow")
+POLL_INTERVAL_S, TERMINATE_TIMEOUT_S = 0.1, 5.0
 
 
 class Fleet:
@@ -28,23 +28,23 @@
         self.environ = {**os.environ, "LB_CONFIG": path}
         self.config = read_config(self.environ)
         self.folder = folder
-        self.running: list[subprocess.Popen[bytes]] = []
+        self.processes: list[subprocess.Popen[bytes]] = []
 
-    def _start(self, *words: str) -> None:
-        self.running.append(subprocess.Popen([sys.executable, "-m", *words], env=self.environ))
+    def _start_module(self, *words: str) -> None:
+        self.processes.append(subprocess.Popen([sys.executable, "-m", *words], env=self.environ))
 
-    async def _until(self, url: str, found: str, **headers: str) -> None:
+    async def _wait_for_response(self, url: str, found: str, **headers: str) -> None:
         """Returns once a GET is answered 200 with `found` in it; StateError where a process ended."""
         while True:
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 async with aiohttp.request("GET", url, headers=headers) as back:
                     if back.status == 200 and found in await back.text():
                         return
-            self.check()
-            await asyncio.sleep(LOOK_S)
+            self.check_processes()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def check(self) -> None:
-        for one in self.running:
+    def check_processes(self) -> None:
+        for one in self.processes:
             if one.poll() is not None:
                 command = " ".join(map(str, one.args[2:])) if isinstance(one.args, list) else "a process"
                 raise StateError(f"ended early: {command}", "see its last log line; its port may be taken")
@@ -52,34 +52,34 @@
     async def start(self) -> str:
         """Each part once the one before is there; returns a command that gets an answer."""
         service = self.config.discovery
-        self._start("woadyard.registry", "--listen", service, "--data", str(self.folder))
-        await self._until(f"http://{service}/registry/instances", "generation")
-        for n, kind in enumerate(ENDPOINTS):
+        self._start_module("woadyard.registry", "--listen", service, "--data", str(self.folder))
+        await self._wait_for_response(f"http://{service}/registry/instances", "generation")
+        for n, kind in enumerate(ENDPOINT_KINDS):
             options = ("--name", f"s-{n}", "--kind", kind, "--seed", str(n), "--discovery", service)
-            self._start("woadyard.standins", "endpoint", *options)
-        for n in range(len(ENDPOINTS)):
-            await self._until(f"http://{service}/registry/instances", f'"s-{n}"')
-        self._start("woadyard")
+            self._start_module("woadyard.standins", "endpoint", *options)
+        for n in range(len(ENDPOINT_KINDS)):
+            await self._wait_for_response(f"http://{service}/registry/instances", f'"s-{n}"')
+        self._start_module("woadyard")
         host, port = self.config.listen
         cls = self.config.raw["settings"]["classes"][0]["name"]
         url, headers = f"http://{host}:{port}/{cls}", {"X-Class": cls, "X-Deadline-Ms": "2000"}
-        await self._until(url, "served", **headers, **{"X-Request-Id": "first"})
+        await self._wait_for_response(url, "served", **headers, **{"X-Request-Id": "first"})
         told = " ".join(f"-H '{name}: {value}'" for name, value in headers.items())
         return f"curl {told} -H 'X-Request-Id: 1' {url}"
 
-    async def watch(self) -> None:
+    async def watch_processes(self) -> None:
         while True:
-            self.check()
-            await asyncio.sleep(LOOK_S)
+            self.check_processes()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """The sidecar first, the list service last."""
-        for one in reversed(self.running):
+        for one in reversed(self.processes):
             if one.poll() is None:
                 one.terminate()
-        for one in self.running:
+        for one in self.processes:
             try:
-                one.wait(GRACE_S)
+                one.wait(TERMINATE_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 one.kill()
                 one.wait()
@@ -95,8 +95,8 @@
         fleet = Fleet(path, Path(folder))
         try:
             print("ready, try:", await fleet.start(), flush=True)
-            await fleet.watch()
+            await fleet.watch_processes()
         except asyncio.CancelledError:
             print("ended", flush=True)
         finally:
-            fleet.end()
+            fleet.stop()
--- a/woadyard/standins/lease.py
+++ b/woadyard/standins/lease.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-PATH = "/registry/instances"
+INSTANCES_PATH = "/registry/instances"
 LOG = logging.getLogger("woadyard.standins")
 
 
@@ -19,22 +19,22 @@
     def __init__(self, service: str, entry: Callable[[], dict[str, Any]], ttl_ms: int = 3_000) -> None:
         self.service, self.entry, self.ttl_ms = service, entry, ttl_ms
 
-    async def keep(self) -> None:
+    async def keep_registered(self) -> None:
         """Registers, then renews three times a lease, until cancelled; anew where the lease ran out."""
         listed = False
         while True:
             if not (listed and await self._call("POST", "/renew")):
-                listed = await self.put()
+                listed = await self.register()
             await asyncio.sleep(self.ttl_ms / 3000)
 
-    async def put(self) -> bool:
+    async def register(self) -> bool:
         return await self._call("PUT", f"?ttl_ms={self.ttl_ms}", self.entry())
 
-    async def leave(self) -> bool:
+    async def unregister(self) -> bool:
         return await self._call("DELETE", "")
 
     async def _call(self, method: str, tail: str, body: Any = None) -> bool:
-        url = f"http://{self.service}{PATH}/{self.entry()['instanceId']}{tail}"
+        url = f"http://{self.service}{INSTANCES_PATH}/{self.entry()['instanceId']}{tail}"
         most = aiohttp.ClientTimeout(total=max(0.2, self.ttl_ms / 3000))
         try:
             async with aiohttp.request(method, url, json=body, timeout=most) as back:
--- a/woadyard/standins/schedule.py
+++ b/woadyard/standins/schedule.py
@@ -10,18 +10,18 @@
 
 # Seconds from the start, a link's name, its fault from then on.
 Schedule = Sequence[tuple[float, str, Fault]]
-LIKELY = (
+DEFAULT_FAULTS = (
     Fault(DROP), Fault(DELAY, (0.1, 3.0)), Fault(CUT), Fault(RESET),
-    Fault(DROP, way=THERE), Fault(DROP, way=HERE),
+    Fault(DROP, direction=THERE), Fault(DROP, direction=HERE),
 )  # fmt: skip
 
 
-def drawn(
+def random_schedule(
     seed: int,
     links: Sequence[str],
     span_s: float,
     every_s: float = 1.0,
-    faults: Sequence[Fault] = LIKELY,
+    faults: Sequence[Fault] = DEFAULT_FAULTS,
 ) -> Schedule:
     """Each `every_s` a link drawn at random gets a fault or is healed; at `span_s` all are healed."""
     rng = random.Random(seed)
@@ -30,10 +30,10 @@
     return [*steps, *((span_s, link, Fault(PASS)) for link in links)]
 
 
-async def play(schedule: Schedule, proxies: Mapping[str, FaultProxy]) -> None:
+async def play_schedule(schedule: Schedule, proxies: Mapping[str, FaultProxy]) -> None:
     """Puts the faults on the links at their times; returns after the last."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     for at_s, link, fault in schedule:
         await asyncio.sleep(max(0.0, began + at_s - loop.time()))
-        proxies[link].fault(fault)
+        proxies[link].set_fault(fault)
