--- a/woadyard/standins/__init__.py
+++ b/woadyard/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins of what surrounds a sidecar: endpoints to the protocol, and a network with faults.
+"""Stand-ins for what surrounds a sidecar: simulated endpoints and a fault-injecting network proxy.
 
-For tests, benchmarks and a first look; nothing that runs in service imports them.
+For tests, benchmarks and a first look; production code does not import them.
 """
 
 from woadyard.standins.behaviour import KINDS, Behaviour, EndpointProfile, endpoint_profile
--- a/woadyard/standins/behaviour.py
+++ b/woadyard/standins/behaviour.py
@@ -1,4 +1,4 @@
-"""How a stand-in endpoint behaves: pure, with drawn times and a clock that is passed in."""
+"""Simulated behaviour of a stand-in endpoint: no I/O, random draws from a seed, the clock passed in."""
 
 from __future__ import annotations
 
@@ -14,28 +14,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointProfile:
-    """What an endpoint of one kind does. Times in ms; shares from 0 to 1."""
-
-    service_ms: float = 5.0  # mean, of a log-normal draw
-    spread: float = 0.3  # sigma of its logarithm
-    at_once: int = 16  # requests served at the same time
-    queue: int = 32  # and waiting; more are turned away
-    crowding: float = 0.5  # a full endpoint takes 1 + this times as long
-    cold_ms: float = 0.0  # after a start
-    cold_factor: float = 3.0  # as long as this, at first; falls to 1 over `cold_ms`
-    fails: float = 0.0  # shares of the requests
-    turns_away: float = 0.0
-    hangs: float = 0.0
-    resets: float = 0.0
-    classes: dict[str, float] = field(default_factory=dict)  # factor on the service time by class
+    """Service times, capacity and failure rates of an endpoint.
+
+    Times are in milliseconds; shares are fractions of the requests, from 0 to 1.
+    Raises ConfigError where a value is out of range.
+    """
+
+    service_ms: float = 5.0  # mean of the log-normal service time
+    spread: float = 0.3  # standard deviation of the logarithm of the service time
+    at_once: int = 16  # requests served concurrently
+    queue: int = 32  # requests queued beyond those; more are rejected
+    crowding: float = 0.5  # service time grows linearly with load, to 1 + this when full
+    cold_ms: float = 0.0  # length of the cold phase after a start
+    cold_factor: float = 3.0  # slowdown right after the start; decays to 1 over `cold_ms`
+    fails: float = 0.0  # share of requests answered with an error
+    turns_away: float = 0.0  # share rejected without being processed
+    hangs: float = 0.0  # share never answered
+    resets: float = 0.0  # share whose connection is reset
+    classes: dict[str, float] = field(default_factory=dict)  # service time factor by request class
 
     def __post_init__(self) -> None:
         shares = (self.fails, self.turns_away, self.hangs, self.resets)
         times = (self.service_ms, self.spread, self.crowding, self.cold_ms)
-        fine = min(shares) >= 0 and sum(shares) <= 1 and min(times) >= 0 and self.cold_factor >= 1
-        if not (fine and self.at_once >= 1 and self.queue >= 0):
-            remedy = "shares add up to 1 at most, times are 0 or more"
-            raise ConfigError(f"no endpoint behaves so: {self}", remedy)
+        in_range = min(shares) >= 0 and sum(shares) <= 1 and min(times) >= 0 and self.cold_factor >= 1
+        if not (in_range and self.at_once >= 1 and self.queue >= 0):
+            remedy = "shares add up to 1 at most; all values are 0 or more; at_once, cold_factor 1 or more"
+            raise ConfigError(f"invalid endpoint profile: {self}", remedy)
 
 
 KINDS = {
@@ -47,36 +51,41 @@
 
 
 def endpoint_profile(kind: str, **changes: Any) -> EndpointProfile:
-    """That of a kind, with some of it changed."""
+    """Return the profile of `kind` with some fields changed.
+
+    Raises ConfigError for an unknown kind or field, or a value out of range.
+    """
     if kind not in KINDS:
-        raise ConfigError(f"no kind of endpoint is called {kind!r}", f"kinds are {', '.join(KINDS)}")
+        raise ConfigError(f"unknown kind of endpoint: {kind!r}", f"known kinds: {', '.join(KINDS)}")
     try:
         return replace(KINDS[kind], **changes)
     except TypeError:
         known = ", ".join(EndpointProfile.__dataclass_fields__)
-        raise ConfigError(f"an endpoint has none of {sorted(changes)}", f"it has {known}") from None
+        raise ConfigError(
+            f"unknown field of an endpoint profile among {sorted(changes)}", f"known fields: {known}"
+        ) from None
 
 
 class Behaviour:
-    """Draws what becomes of each request. One seed, one sequence."""
+    """Draws the outcome and the service time of each request; the same seed gives the same sequence."""
 
-    def __init__(self, manner: EndpointProfile, seed: int, started_s: float) -> None:
-        self.profile, self.started_s, self.rng = manner, started_s, random.Random(seed)
+    def __init__(self, profile: EndpointProfile, seed: int, started_s: float) -> None:
+        self.profile, self.started_s, self.rng = profile, started_s, random.Random(seed)
 
     def draw_outcome(self) -> str:
-        left = self.rng.random()
-        kinds = ((ERROR, "fails"), (REJECTED, "turns_away"), (HANGS, "hangs"), (RESETS, "resets"))
-        for fate, key in kinds:
-            left -= getattr(self.profile, key)
-            if left < 0:
-                return fate
+        remaining = self.rng.random()
+        outcome_fields = ((ERROR, "fails"), (REJECTED, "turns_away"), (HANGS, "hangs"), (RESETS, "resets"))
+        for outcome, field_name in outcome_fields:
+            remaining -= getattr(self.profile, field_name)
+            if remaining < 0:
+                return outcome
         return SERVED
 
-    def draw_service_time_s(self, now_s: float, cls: str, busy: int) -> float:
-        """How long a request takes that starts now, beside `busy` others."""
-        m = self.profile
-        drawn = self.rng.lognormvariate(-(m.spread**2) / 2, m.spread) if m.spread else 1.0
-        crowd = 1 + m.crowding * busy / m.at_once
-        warmth = min(1.0, (now_s - self.started_s) * 1000 / m.cold_ms) if m.cold_ms else 1.0
-        cold = math.exp((1 - warmth) * math.log(m.cold_factor))
-        return m.service_ms / 1000 * m.classes.get(cls, 1.0) * drawn * crowd * cold
+    def draw_service_time_s(self, now_s: float, cls: str, in_flight: int) -> float:
+        """Return the service time of a request that starts now, with `in_flight` others being served."""
+        p = self.profile
+        jitter_factor = self.rng.lognormvariate(-(p.spread**2) / 2, p.spread) if p.spread else 1.0
+        load_factor = 1 + p.crowding * in_flight / p.at_once
+        warmth = min(1.0, (now_s - self.started_s) * 1000 / p.cold_ms) if p.cold_ms else 1.0
+        cold_slowdown = math.exp((1 - warmth) * math.log(p.cold_factor))
+        return p.service_ms / 1000 * p.classes.get(cls, 1.0) * jitter_factor * load_factor * cold_slowdown
--- a/woadyard/standins/fleet.py
+++ b/woadyard/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on this machine: the list service, three stand-in endpoints with leases, a sidecar."""
+"""A small local fleet: the list service, three registered stand-in endpoints and a sidecar."""
 
 from __future__ import annotations
 
@@ -21,8 +21,11 @@
 
 
 class Fleet:
-    """Processes of one group, by the configuration at `path`; the environment's `LB_LISTEN`,
-    `LB_DISCOVERY` and `LB_CONSOLE` override it as they do for a sidecar."""
+    """The processes of a fleet, started from the configuration at `path`.
+
+    The environment variables `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONSOLE` override
+    the configuration, as they do for a sidecar.
+    """
 
     def __init__(self, path: str, folder: Path) -> None:
         self.environ = {**os.environ, "LB_CONFIG": path}
@@ -30,27 +33,35 @@
         self.folder = folder
         self.processes: list[subprocess.Popen[bytes]] = []
 
-    def _start_module(self, *words: str) -> None:
-        self.processes.append(subprocess.Popen([sys.executable, "-m", *words], env=self.environ))
+    def _start_module(self, *arguments: str) -> None:
+        self.processes.append(subprocess.Popen([sys.executable, "-m", *arguments], env=self.environ))
+
+    async def _wait_for_response(self, url: str, expected: str, **headers: str) -> None:
+        """Wait until a GET returns 200 with `expected` in the body.
 
-    async def _wait_for_response(self, url: str, found: str, **headers: str) -> None:
-        """Returns once a GET is answered 200 with `found` in it; StateError where a process ended."""
+        Raises StateError if a process of the fleet exits before that.
+        """
         while True:
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-                async with aiohttp.request("GET", url, headers=headers) as back:
-                    if back.status == 200 and found in await back.text():
+                async with aiohttp.request("GET", url, headers=headers) as response:
+                    if response.status == 200 and expected in await response.text():
                         return
             self.check_processes()
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def check_processes(self) -> None:
-        for one in self.processes:
-            if one.poll() is not None:
-                command = " ".join(map(str, one.args[2:])) if isinstance(one.args, list) else "a process"
-                raise StateError(f"ended early: {command}", "see its last log line; its port may be taken")
+        """Raise StateError if a process has exited."""
+        for process in self.processes:
+            if process.poll() is not None:
+                command = (
+                    " ".join(map(str, process.args[2:])) if isinstance(process.args, list) else "a process"
+                )
+                raise StateError(
+                    f"process exited early: {command}", "see its last log line; its port may be in use"
+                )
 
     async def start(self) -> str:
-        """Each part once the one before is there; returns a command that gets an answer."""
+        """Start each process once the one before is ready; return a curl command that gets a response."""
         service = self.config.discovery
         self._start_module("woadyard.registry", "--listen", service, "--data", str(self.folder))
         await self._wait_for_response(f"http://{service}/registry/instances", "generation")
@@ -64,33 +75,34 @@
         cls = self.config.raw["settings"]["classes"][0]["name"]
         url, headers = f"http://{host}:{port}/{cls}", {"X-Class": cls, "X-Deadline-Ms": "2000"}
         await self._wait_for_response(url, "served", **headers, **{"X-Request-Id": "first"})
-        told = " ".join(f"-H '{name}: {value}'" for name, value in headers.items())
-        return f"curl {told} -H 'X-Request-Id: 1' {url}"
+        header_options = " ".join(f"-H '{name}: {value}'" for name, value in headers.items())
+        return f"curl {header_options} -H 'X-Request-Id: 1' {url}"
 
     async def watch_processes(self) -> None:
+        """Run until cancelled; raises StateError once a process has exited."""
         while True:
             self.check_processes()
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """The sidecar first, the list service last."""
-        for one in reversed(self.processes):
-            if one.poll() is None:
-                one.terminate()
-        for one in self.processes:
+        """Terminate the processes in reverse order of their start; kill those that do not exit in time."""
+        for process in reversed(self.processes):
+            if process.poll() is None:
+                process.terminate()
+        for process in self.processes:
             try:
-                one.wait(TERMINATE_TIMEOUT_S)
+                process.wait(TERMINATE_TIMEOUT_S)
             except subprocess.TimeoutExpired:
-                one.kill()
-                one.wait()
+                process.kill()
+                process.wait()
 
 
 async def run(path: str) -> None:
-    """Until SIGINT or SIGTERM, or until one of the processes ends."""
+    """Run a fleet until SIGINT or SIGTERM; raises StateError if one of its processes exits first."""
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, task.cancel)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, task.cancel)
     with TemporaryDirectory(prefix="woadyard-fleet-") as folder:
         fleet = Fleet(path, Path(folder))
         try:
--- a/woadyard/standins/schedule.py
+++ b/woadyard/standins/schedule.py
@@ -1,4 +1,4 @@
-"""Faults over time: what each link does and when, drawn from a seed."""
+"""Fault schedules: which proxy gets which fault and when, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from woadyard.standins.proxy import CUT, DELAY, DROP, HERE, PASS, RESET, THERE, Fault, FaultProxy
 
-# Seconds from the start, a link's name, its fault from then on.
+# Entries of (seconds from the start, name of the proxy, its fault from then on).
 Schedule = Sequence[tuple[float, str, Fault]]
 DEFAULT_FAULTS = (
     Fault(DROP), Fault(DELAY, (0.1, 3.0)), Fault(CUT), Fault(RESET),
@@ -18,22 +18,22 @@
 
 def random_schedule(
     seed: int,
-    links: Sequence[str],
-    span_s: float,
-    every_s: float = 1.0,
+    proxy_names: Sequence[str],
+    duration_s: float,
+    interval_s: float = 1.0,
     faults: Sequence[Fault] = DEFAULT_FAULTS,
 ) -> Schedule:
-    """Each `every_s` a link drawn at random gets a fault or is healed; at `span_s` all are healed."""
+    """Every `interval_s`, give a random proxy a random fault or none; at `duration_s` remove all faults."""
     rng = random.Random(seed)
-    moments = [n * every_s for n in range(max(1, int(span_s / every_s)))]
-    steps = [(at, rng.choice(links), rng.choice((Fault(PASS), *faults))) for at in moments]
-    return [*steps, *((span_s, link, Fault(PASS)) for link in links)]
+    times_s = [n * interval_s for n in range(max(1, int(duration_s / interval_s)))]
+    steps = [(at_s, rng.choice(proxy_names), rng.choice((Fault(PASS), *faults))) for at_s in times_s]
+    return [*steps, *((duration_s, proxy_name, Fault(PASS)) for proxy_name in proxy_names)]
 
 
 async def play_schedule(schedule: Schedule, proxies: Mapping[str, FaultProxy]) -> None:
-    """Puts the faults on the links at their times; returns after the last."""
+    """Set the faults on the proxies at their times; return after the last."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    for at_s, link, fault in schedule:
-        await asyncio.sleep(max(0.0, began + at_s - loop.time()))
-        proxies[link].set_fault(fault)
+    start_s = loop.time()
+    for at_s, proxy_name, fault in schedule:
+        await asyncio.sleep(max(0.0, start_s + at_s - loop.time()))
+        proxies[proxy_name].set_fault(fault)
