--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -1,11 +1,14 @@
-"""What the audit costs: on the wire and at the service, in the ledger, and on the hot path.
+"""The cost of the audit: on the network and at the service, in the audit state, and on the hot path.
 
 Run from the project's root with the dev tools: `.venv-dev/bin/python -m benchmarks.audit
-[reports] [ledger] [path]`, all parts where none is named. `reports`: a list service as a
-process and `REPORTERS` reporters here, a change of the list each second, `RATE` attempts a
-second each; bytes are those of HTTP heads and bodies, both ways. `ledger`: a day of reports with
-a change a minute, and the questions over it. `path`: two sidecar processes of one build, one
-with `audit`, the same load in turns; the median of the CPU time's ratios.
+[reports] [ledger] [path]`; without arguments, all parts run.
+
+- `reports`: a list service as a process and `REPORTERS` reporters in this process, with a change
+  of the list every second and `ATTEMPTS_PER_S` attempts per second each. The bytes are those of
+  HTTP heads and bodies, in both directions.
+- `ledger`: a day of reports with a change every minute, and the queries over it.
+- `path`: two sidecar processes of one build, one of them with `audit`, under the same load in
+  alternating turns; reports the median ratio of their CPU times.
 """
 
 from __future__ import annotations
@@ -41,152 +44,164 @@
 
 
 class CallMeter:
-    """Bytes of each call and the time it took, by a client that counts."""
+    """Counts the bytes and measures the latency of the HTTP calls made through `woadyard.net.fetch`."""
 
     def __init__(self) -> None:
         self.wire_bytes, self.latency_us = 0, HdrHistogram(1, 60_000_000, 3)
         self.original_fetch, self.failed_calls = fetch.fetch, 0
 
-    async def fetch(self, at: tuple[str, int], method: str, target: str, body: bytes, **more: Any) -> Any:
-        began = time.perf_counter()
+    async def fetch(
+        self, address: tuple[str, int], method: str, target: str, body: bytes, **options: Any
+    ) -> Any:
+        start_s = time.perf_counter()
         try:
-            return await self.original_fetch(at, method, target, body, **more)
+            return await self.original_fetch(address, method, target, body, **options)
         except fetch.FetchError:
             self.failed_calls += 1
             raise
         finally:
-            self.latency_us.record_value(int((time.perf_counter() - began) * 1e6))
+            self.latency_us.record_value(int((time.perf_counter() - start_s) * 1e6))
 
     def install(self) -> None:
-        """Bytes at the transport, of all exchanges from now on."""
-        made, got = fetch._Exchange.__init__, fetch._Exchange.data_received
+        """Patch the HTTP client so that all later calls are counted, at the transport."""
+        original_init, original_data_received = fetch._Exchange.__init__, fetch._Exchange.data_received
 
-        def sent(exchange: fetch._Exchange, request: bytes, most: int) -> None:
+        def count_sent(exchange: fetch._Exchange, request: bytes, max_bytes: int) -> None:
             self.wire_bytes += len(request)
-            made(exchange, request, most)
+            original_init(exchange, request, max_bytes)
 
-        def received(exchange: fetch._Exchange, data: bytes) -> None:
+        def count_received(exchange: fetch._Exchange, data: bytes) -> None:
             self.wire_bytes += len(data)
-            got(exchange, data)
+            original_data_received(exchange, data)
 
-        vars_ = {"__init__": sent, "data_received": received}
-        for name, method in vars_.items():
+        methods = {"__init__": count_sent, "data_received": count_received}
+        for name, method in methods.items():
             setattr(fetch._Exchange, name, method)
-        setattr(reporter, "fetch", self.fetch)  # noqa: B010 - the module's name, not an attribute
+        setattr(reporter, "fetch", self.fetch)  # noqa: B010 - replaces the function that the module imported
 
 
 async def measure_reports() -> dict[str, Any]:
     with TemporaryDirectory() as folder:
         port = free_port()
         process = await start_registry(Path(folder), port)
-        told = (await register_endpoint(port, "s-0"))[1]
-        wire = CallMeter()
-        wire.install()
-        orders = AuditHandlers(lambda raw: True, lambda: None, lambda out: None, lambda names: None)
+        registration = (await register_endpoint(port, "s-0"))[1]
+        meter = CallMeter()
+        meter.install()
+        handlers = AuditHandlers(lambda raw: True, lambda: None, lambda is_out: None, lambda names: None)
         settings = AuditSettings(f"127.0.0.1:{port}")
-        named = told["lineage"], told["term"]
-        fleet = [
-            Reporter(settings, f"n{n}", "0-1-0", lambda: named, orders, random.Random(n))
+        lineage_and_term = registration["lineage"], registration["term"]
+        reporters = [
+            Reporter(settings, f"n{n}", "0-1-0", lambda: lineage_and_term, handlers, random.Random(n))
             for n in range(REPORTERS)
         ]
-        for one in fleet:
-            one.list_applied(now_us(), LIST_DELTA, told["generation"], [])
-            one.open()
+        for each_reporter in reporters:
+            each_reporter.list_applied(now_us(), LIST_DELTA, registration["generation"], [])
+            each_reporter.open()
         for second in range(WARMUP_S + MEASURED_S):
             if second == WARMUP_S:
-                wire.wire_bytes, wire.failed_calls, cpu = 0, 0, cpu_s(process.pid)
-                wire.latency_us.reset()
-                began = time.perf_counter()
-            told = (await register_endpoint(port, f"s-{second + 1}"))[1]
-            for one in fleet:
-                one.list_applied(now_us(), LIST_DELTA, told["generation"], [])
+                meter.wire_bytes, meter.failed_calls, cpu_before_s = 0, 0, cpu_s(process.pid)
+                meter.latency_us.reset()
+                start_s = time.perf_counter()
+            registration = (await register_endpoint(port, f"s-{second + 1}"))[1]
+            for each_reporter in reporters:
+                each_reporter.list_applied(now_us(), LIST_DELTA, registration["generation"], [])
             for tick in range(ATTEMPTS_PER_S):
                 await asyncio.sleep(1.0 / ATTEMPTS_PER_S)
-                for one in fleet:
-                    one.attempt_started(now_us(), Send(second * ATTEMPTS_PER_S + tick, 1, 0))
-                    one.spans.record_attempt_end(second * ATTEMPTS_PER_S + tick, 1, True)
-        took = time.perf_counter() - began
-        used = cpu_s(process.pid) - cpu
-        for one in fleet:
-            assert one.task is not None
-            one.task.cancel()
+                for each_reporter in reporters:
+                    each_reporter.attempt_started(now_us(), Send(second * ATTEMPTS_PER_S + tick, 1, 0))
+                    each_reporter.spans.record_attempt_end(second * ATTEMPTS_PER_S + tick, 1, True)
+        duration_s = time.perf_counter() - start_s
+        service_cpu_s = cpu_s(process.pid) - cpu_before_s
+        for each_reporter in reporters:
+            assert each_reporter.task is not None
+            each_reporter.task.cancel()
         process.kill()
         await process.wait()
     return {
-        "reporters": REPORTERS, "seconds": round(took, 1), "reports": wire.latency_us.get_total_count(),
-        "failed": wire.failed_calls, "bytes_a_second_and_sidecar": round(wire.wire_bytes / took / REPORTERS),
-        "service_cpu_share": round(used / took, 3),
-        **{f"p{p}_ms": wire.latency_us.get_value_at_percentile(p) / 1e3 for p in (50, 99, 100)},
+        "reporters": REPORTERS, "seconds": round(duration_s, 1),
+        "reports": meter.latency_us.get_total_count(),
+        "failed": meter.failed_calls,
+        "bytes_a_second_and_sidecar": round(meter.wire_bytes / duration_s / REPORTERS),
+        "service_cpu_share": round(service_cpu_s / duration_s, 3),
+        **{f"p{p}_ms": meter.latency_us.get_value_at_percentile(p) / 1e3 for p in (50, 99, 100)},
     }  # fmt: skip
 
 
 def measure_ledger() -> dict[str, Any]:
-    book, at = AuditState(), 0
-    fleet = [SpanRecorder(f"n{n}", "run", 0, Position("log", 1, 0, "s", build="b")) for n in range(SIDECARS)]
-    began = time.perf_counter()
+    state, time_us = AuditState(), 0
+    recorders = [
+        SpanRecorder(f"n{n}", "run", 0, Position("log", 1, 0, "s", build="b")) for n in range(SIDECARS)
+    ]
+    start_s = time.perf_counter()
     for minute in range(MINUTES):
-        at = minute * 60_000_000
+        time_us = minute * 60_000_000
         batch = []
-        for n, spans in enumerate(fleet):
-            spans.set_position(at, Position("log", 1, minute + 1, "s", build="b"))
+        for n, recorder in enumerate(recorders):
+            recorder.set_position(time_us, Position("log", 1, minute + 1, "s", build="b"))
             for request in range(3):
-                spans.record_attempt(at + request, request, 1)
-                spans.record_attempt_end(request, 1, True)
-            batch.append(spans.build_report(at + n))
-        book.apply({"op": "reports", "reports": msgspec.to_builtins(batch), "at": at})
-        for spans in fleet:
-            spans.acknowledge(book.runs[f"{spans.name}@run"].received_numbers)
-    applied = time.perf_counter() - began
-    times: dict[str, float] = {}
-    asked: dict[str, Callable[[], object]] = {
-        "who_acted_ms": lambda: spans_acted_on(book, parse_version_filter({"generation": str(MINUTES - 9)})),
-        "out_of_use_ms": lambda: check_out_of_use(book, Position("log", 1, MINUTES - 9)),
-        "dump_ms": lambda: json.dumps(book.dump()),  # as a snapshot does
+                recorder.record_attempt(time_us + request, request, 1)
+                recorder.record_attempt_end(request, 1, True)
+            batch.append(recorder.build_report(time_us + n))
+        state.apply({"op": "reports", "reports": msgspec.to_builtins(batch), "at": time_us})
+        for recorder in recorders:
+            recorder.acknowledge(state.runs[f"{recorder.name}@run"].received_numbers)
+    apply_s = time.perf_counter() - start_s
+    query_times_ms: dict[str, float] = {}
+    queries: dict[str, Callable[[], object]] = {
+        "who_acted_ms": lambda: spans_acted_on(state, parse_version_filter({"generation": str(MINUTES - 9)})),
+        "out_of_use_ms": lambda: check_out_of_use(state, Position("log", 1, MINUTES - 9)),
+        "dump_ms": lambda: json.dumps(state.dump()),  # as for a snapshot
     }
-    for name, ask in asked.items():
-        turns = []
+    for name, query in queries.items():
+        turn_times_ms = []
         for _ in range(5):
-            began = time.perf_counter()
-            ask()
-            turns.append((time.perf_counter() - began) * 1e3)
-        times[name] = round(statistics.median(turns), 1)
-    found = spans_acted_on(book, parse_version_filter({"generation": str(MINUTES - 9)}))
+            start_s = time.perf_counter()
+            query()
+            turn_times_ms.append((time.perf_counter() - start_s) * 1e3)
+        query_times_ms[name] = round(statistics.median(turn_times_ms), 1)
+    answer = spans_acted_on(state, parse_version_filter({"generation": str(MINUTES - 9)}))
     return {
-        "sidecars": SIDECARS, "minutes": MINUTES, "rows": sum(run.row_count for run in book.runs.values()),
-        "compacted": book.compacted_rows, "dump_mb": round(len(msgspec.json.encode(book.dump())) / 1e6, 2),
-        "us_a_report": round(applied / SIDECARS / MINUTES * 1e6, 1), "sidecars_found": len(found["sidecars"]),
-        **times,
+        "sidecars": SIDECARS, "minutes": MINUTES, "rows": sum(run.row_count for run in state.runs.values()),
+        "compacted": state.compacted_rows, "dump_mb": round(len(msgspec.json.encode(state.dump())) / 1e6, 2),
+        "us_a_report": round(apply_s / SIDECARS / MINUTES * 1e6, 1),
+        "sidecars_found": len(answer["sidecars"]),
+        **query_times_ms,
     }  # fmt: skip
 
 
 async def measure_hot_path() -> dict[str, Any]:
     endpoint, registry = Endpoint(), FakeDiscovery()
-    found: dict[str, list[float]] = {"off": [], "on": []}
+    cpu_us_per_request: dict[str, list[float]] = {"off": [], "on": []}
     with TemporaryDirectory() as name:
         async with await endpoint.start(), await registry.start():
             port = free_port()
-            lists = await start_registry(Path(name) / "data", port)
-            audit = {"audit": {"service": f"127.0.0.1:{port}"}}
-            running = {
+            list_service = await start_registry(Path(name) / "data", port)
+            audit_config = {"audit": {"service": f"127.0.0.1:{port}"}}
+            sidecars = {
                 kind: await sidecar(Path(name) / kind, registry, endpoint, **changes)
-                for kind, changes in {"off": {}, "on": audit}.items()
+                for kind, changes in {"off": {}, "on": audit_config}.items()
             }
             for turn in range(TURNS + 1):
-                for kind in random.Random(turn).sample(list(found), len(found)):
-                    process, port = running[kind]
+                for kind in random.Random(turn).sample(list(cpu_us_per_request), len(cpu_us_per_request)):
+                    process, sidecar_port = sidecars[kind]
                     endpoint.received.clear()
-                    before = cpu_s(process.pid)
-                    await measure_request_rate(port, REQUESTS)
-                    if turn:  # the first warms up
-                        found[kind].append((cpu_s(process.pid) - before) / REQUESTS * 1e6)
-            for process in [lists, *(process for process, _ in running.values())]:
+                    cpu_before = cpu_s(process.pid)
+                    await measure_request_rate(sidecar_port, REQUESTS)
+                    if turn:  # the first turn is a warm-up
+                        cpu_us_per_request[kind].append((cpu_s(process.pid) - cpu_before) / REQUESTS * 1e6)
+            for process in [list_service, *(process for process, _ in sidecars.values())]:
                 process.terminate()
                 await process.wait()
-    ratios = [on / off - 1 for on, off in zip(found["on"], found["off"], strict=True)]
+    ratios = [
+        with_audit / without_audit - 1
+        for with_audit, without_audit in zip(cpu_us_per_request["on"], cpu_us_per_request["off"], strict=True)
+    ]
     return {
-        "cpu_us_a_request": {kind: round(statistics.median(each), 1) for kind, each in found.items()},
+        "cpu_us_a_request": {
+            kind: round(statistics.median(costs), 1) for kind, costs in cpu_us_per_request.items()
+        },
         "over_off_median": round(statistics.median(ratios), 4),
-        "quartiles": [round(one, 3) for one in statistics.quantiles(ratios, n=4)],
+        "quartiles": [round(quartile, 3) for quartile in statistics.quantiles(ratios, n=4)],
     }
 
 
@@ -195,12 +210,12 @@
 
     parts = sys.argv[1:] or ["reports", "ledger", "path"]
     for part in parts:
-        told = (
+        result = (
             measure_ledger()
             if part == "ledger"
             else uvloop.run({"reports": measure_reports, "path": measure_hot_path}[part]())
         )
-        print(json.dumps({"part": part, **told}), flush=True)
+        print(json.dumps({"part": part, **result}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/discovery_watch.py
+++ b/benchmarks/discovery_watch.py
@@ -1,12 +1,12 @@
-"""Discovery at scale: watch latency, calls on a quiet list, and the herd after an outage.
+"""Discovery at scale: watch latency, calls while the list is quiet, and reconnection after an outage.
 
 Run from the project's root with the dev tools: `.venv-dev/bin/python -m
-benchmarks.discovery_watch`. One list service (and one replica) as processes,
-`WATCHERS` discovery clients in this one. It prints the time from a write sent
-to each watcher's hearing of it (p50, p99, largest), the calls per client and
-minute on a quiet list, and the calls that reach the service after all watches
-broke at once, with full jitter and with the same backoff without it.
-Numbers vary with the machine: compare within a run.
+benchmarks.discovery_watch`. It runs one list service (and one follower) as processes and
+`WATCHERS` discovery clients in this process. It prints the time from sending a write
+until each watcher receives the change (p50, p99, largest), the calls per client and
+minute while the list is quiet, and the calls that reach the service after all watches
+break at once, with full jitter and with the same backoff without jitter.
+Results depend on the machine: compare only within one run.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class NoJitter(random.Random):
-    """The same backoff, each wait at its full length."""
+    """Removes the jitter of the backoff: each wait has its full length."""
 
     def uniform(self, a: float, b: float) -> float:
         return b
@@ -43,22 +43,22 @@
 
 @dataclass
 class CountingProxy(FaultProxy):
-    """Notes when each connection came."""
+    """Records the time at which each connection is accepted."""
 
     connection_times_s: list[float] = field(default_factory=list)
 
-    async def _handle_connection(self, reader: Reader, writer: Writer) -> None:
+    async def _handle_connection(self, client_reader: Reader, client_writer: Writer) -> None:
         self.connection_times_s.append(time.perf_counter())
-        await super()._handle_connection(reader, writer)
+        await super()._handle_connection(client_reader, client_writer)
 
 
 class WatcherFleet:
-    """Discovery clients of one address, and when each heard of which version."""
+    """Discovery clients of one address, with the list version that each has received."""
 
     def __init__(self, port: int, jitter: bool = True) -> None:
         loop = asyncio.get_running_loop()
         self.versions, self.changed = [0] * WATCHERS, asyncio.Condition()
-        self.latency_us = HdrHistogram(1, 60_000_000, 3)  # µs
+        self.latency_us = HdrHistogram(1, 60_000_000, 3)  # from the last write to each watcher
         self.write_sent_s = 0.0
         self.clients = [
             Discovery(
@@ -67,16 +67,16 @@
             )
             for n in range(WATCHERS)
         ]  # fmt: skip
-        for one in self.clients:
-            one.set_watch(True)
+        for client in self.clients:
+            client.set_watch(True)
 
     def list_handler(self, n: int) -> Any:
-        def listen(version: int, whole: bool, entries: list[dict[str, Any]]) -> None:
+        def handle_list(version: int, is_full: bool, entries: list[dict[str, Any]]) -> None:
             self.versions[n] = version
             if self.write_sent_s:
                 self.latency_us.record_value(max(1, int((time.perf_counter() - self.write_sent_s) * 1e6)))
 
-        return listen
+        return handle_list
 
     async def wait_for_version(self, version: int) -> None:
         async with asyncio.timeout(30):
@@ -84,23 +84,23 @@
                 await asyncio.sleep(0.002)
 
     def close(self) -> None:
-        for one in self.clients:
-            one.close()
+        for client in self.clients:
+            client.close()
 
 
-async def measure_watch_latency(name: str, port: int, writer: int, version: int) -> int:
+async def measure_watch_latency(name: str, port: int, leader_port: int, version: int) -> int:
     fleet = WatcherFleet(port)
     await fleet.wait_for_version(version)
     for n in range(WRITES):
         fleet.write_sent_s = time.perf_counter()
-        await register_endpoint(writer, f"{name}-{n}")
+        await register_endpoint(leader_port, f"{name}-{n}")
         version += 1
         await fleet.wait_for_version(version)
     fleet.close()
     p50, p99 = (fleet.latency_us.get_value_at_percentile(p) / 1e3 for p in (50, 99))
-    most = fleet.latency_us.get_max_value() / 1e3
+    max_ms = fleet.latency_us.get_max_value() / 1e3
     count = fleet.latency_us.get_total_count()
-    print(f"{name}: {count} notices, p50 {p50:.1f} ms, p99 {p99:.1f} ms, largest {most:.1f} ms")
+    print(f"{name}: {count} notices, p50 {p50:.1f} ms, p99 {p99:.1f} ms, largest {max_ms:.1f} ms")
     return version
 
 
@@ -111,10 +111,10 @@
         await fleet.wait_for_version(1)
         proxy.connection_times_s.clear()
         await asyncio.sleep(QUIET_S)
-        rate = len(proxy.connection_times_s) / WATCHERS * 60.0 / QUIET_S
+        calls_per_minute = len(proxy.connection_times_s) / WATCHERS * 60.0 / QUIET_S
         print(
             f"quiet list for {QUIET_S:.0f} s: {len(proxy.connection_times_s)} calls, "
-            f"{rate:.2f} per client and minute"
+            f"{calls_per_minute:.2f} per client and minute"
         )
         fleet.close()
 
@@ -125,26 +125,27 @@
         fleet = WatcherFleet(proxy.port, jitter)
         await fleet.wait_for_version(1)
         proxy.connection_times_s.clear()
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         proxy.set_fault(CUT)
         await asyncio.sleep(OUTAGE_S)
         proxy.set_fault(PASS)
-        back = time.perf_counter()
+        restored_s = time.perf_counter()
         version = int((await register_endpoint(port, f"after-{jitter}"))[1]["generation"])
         await fleet.wait_for_version(version)
-        took = time.perf_counter() - back
+        recovery_s = time.perf_counter() - restored_s
         fleet.close()
-    bins = Counter(int((at - began) / BIN_S) for at in proxy.connection_times_s)
-    seconds = Counter(int(at - began) for at in proxy.connection_times_s)
+    calls_per_bin = Counter(int((time_s - start_s) / BIN_S) for time_s in proxy.connection_times_s)
+    calls_per_second = Counter(int(time_s - start_s) for time_s in proxy.connection_times_s)
     print(
         f"herd {'with' if jitter else 'without'} jitter: {len(proxy.connection_times_s)} calls in "
-        f"{OUTAGE_S + took:.1f} s, most in {BIN_S * 1e3:.0f} ms {max(bins.values())}, by second "
-        f"{[seconds[n] for n in range(max(seconds) + 1)]}; all at the new version {took:.2f} s after its end"
+        f"{OUTAGE_S + recovery_s:.1f} s, most in {BIN_S * 1e3:.0f} ms {max(calls_per_bin.values())}, "
+        f"by second {[calls_per_second[n] for n in range(max(calls_per_second) + 1)]}; "
+        f"all at the new version {recovery_s:.2f} s after its end"
     )
 
 
 async def main() -> None:
-    logging.getLogger("woadyard").setLevel(logging.ERROR)  # each client says its outage
+    logging.getLogger("woadyard").setLevel(logging.ERROR)  # each client would log the outage
     with TemporaryDirectory() as folder:
         ports = [free_port(), free_port()]
         processes = [await start_registry(Path(folder) / "w", ports[0])]
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,9 +1,10 @@
-"""What a sidecar costs at rest and for each request, against another checkout of the project.
+"""Start-up time, memory and CPU time per request of a sidecar, compared with another checkout.
 
-`.venv-dev/bin/python -m benchmarks.start OTHER` starts the sidecar of OTHER and of this
-checkout in turns, from one configuration with a door, and prints for each: time from the
-start to its first yes on `/_ready`, memory (RSS) then, and its processor time for each
-request of a load on loopback, with the ratio of the medians. Compare within a run.
+`.venv-dev/bin/python -m benchmarks.start OTHER` starts the sidecar of the checkout OTHER and of
+this one in alternating turns, from the same configuration with an admin listener. It prints for
+each: the time from the start until `/_ready` first succeeds, the memory (RSS) at that point, and
+the CPU time per request under load on loopback, with the ratio of the medians. Compare only
+within one run.
 """
 
 from __future__ import annotations
@@ -26,14 +27,16 @@
 
 @dataclass
 class Measurements:
+    """The results for one checkout, one value per turn."""
+
     ready_ms: list[float] = field(default_factory=list)
     rss_mb: list[float] = field(default_factory=list)
-    cpu_us: list[float] = field(default_factory=list)  # for one request
+    cpu_us: list[float] = field(default_factory=list)  # per request
 
 
 def cpu_s(pid: int) -> float:
-    parts = Path(f"/proc/{pid}/schedstat").read_text().split()
-    return int(parts[0]) / 1e9
+    fields = Path(f"/proc/{pid}/schedstat").read_text().split()
+    return int(fields[0]) / 1e9
 
 
 def rss_mb(pid: int) -> float:
@@ -47,40 +50,52 @@
     )
 
 
-async def measure(checkout: Path, found: Measurements, registry: FakeDiscovery, endpoint: Endpoint) -> None:
+async def measure(
+    checkout: Path, measurements: Measurements, registry: FakeDiscovery, endpoint: Endpoint
+) -> None:
     with TemporaryDirectory() as folder:
-        port, door = free_port(), free_port()
+        port, admin_port = free_port(), free_port()
         environ = sidecar_environ(Path(folder), registry, endpoint)
-        environ |= {"LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{door}"}
-        began = time.perf_counter()
+        environ |= {"LB_LISTEN": f"127.0.0.1:{port}", "LB_CONSOLE": f"127.0.0.1:{admin_port}"}
+        start_s = time.perf_counter()
         process = await start_sidecar(checkout, environ)
         try:
-            await wait_until_ready(door)
-            found.ready_ms.append((time.perf_counter() - began) * 1e3)
-            found.rss_mb.append(rss_mb(process.pid))
-            await measure_request_rate(port, 500)  # warm
-            before = cpu_s(process.pid)
+            await wait_until_ready(admin_port)
+            measurements.ready_ms.append((time.perf_counter() - start_s) * 1e3)
+            measurements.rss_mb.append(rss_mb(process.pid))
+            await measure_request_rate(port, 500)  # warm-up
+            cpu_before_s = cpu_s(process.pid)
             await measure_request_rate(port, REQUESTS)
-            found.cpu_us.append((cpu_s(process.pid) - before) / REQUESTS * 1e6)
+            measurements.cpu_us.append((cpu_s(process.pid) - cpu_before_s) / REQUESTS * 1e6)
         finally:
             process.kill()
             await process.wait()
 
 
-async def main(other: Path) -> None:
-    kinds = {"other": (other, Measurements()), "this": (Path(__file__).parent.parent, Measurements())}
+async def main(other_checkout: Path) -> None:
+    checkouts = {
+        "other": (other_checkout, Measurements()),
+        "this": (Path(__file__).parent.parent, Measurements()),
+    }
     endpoint, registry = Endpoint(), FakeDiscovery()
     async with await endpoint.start(), await registry.start():
         for turn in range(TURNS):
-            order = list(kinds.values())
-            for checkout, found in order if turn % 2 else reversed(order):
-                await measure(checkout, found, registry, endpoint)
-    for what in ("ready_ms", "rss_mb", "cpu_us"):
-        medians = [statistics.median(getattr(found, what)) for _, found in kinds.values()]
-        ratios = [b / a for a, b in zip(*(getattr(found, what) for _, found in kinds.values()), strict=True)]
-        shown = " ".join(f"{name} {one:.1f}" for name, one in zip(kinds, medians, strict=True))
+            order = list(checkouts.values())
+            for checkout, measurements in order if turn % 2 else reversed(order):
+                await measure(checkout, measurements, registry, endpoint)
+    for metric in ("ready_ms", "rss_mb", "cpu_us"):
+        medians = [statistics.median(getattr(measurements, metric)) for _, measurements in checkouts.values()]
+        ratios = [
+            this / other
+            for other, this in zip(
+                *(getattr(measurements, metric) for _, measurements in checkouts.values()), strict=True
+            )
+        ]
+        summary = " ".join(
+            f"{name} {median_value:.1f}" for name, median_value in zip(checkouts, medians, strict=True)
+        )
         low, high = min(ratios), max(ratios)
-        print(f"{what:8} {shown}, ratio {medians[1] / medians[0]:.3f}, in pairs {low:.3f} to {high:.3f}")
+        print(f"{metric:8} {summary}, ratio {medians[1] / medians[0]:.3f}, in pairs {low:.3f} to {high:.3f}")
 
 
 if __name__ == "__main__":
--- a/woadyard/standins/behaviour.py
+++ b/woadyard/standins/behaviour.py
@@ -83,9 +83,24 @@
 
     def draw_service_time_s(self, now_s: float, cls: str, in_flight: int) -> float:
         """Return the service time of a request that starts now, with `in_flight` others being served."""
-        p = self.profile
-        jitter_factor = self.rng.lognormvariate(-(p.spread**2) / 2, p.spread) if p.spread else 1.0
-        load_factor = 1 + p.crowding * in_flight / p.at_once
-        warmth = min(1.0, (now_s - self.started_s) * 1000 / p.cold_ms) if p.cold_ms else 1.0
-        cold_slowdown = math.exp((1 - warmth) * math.log(p.cold_factor))
-        return p.service_ms / 1000 * p.classes.get(cls, 1.0) * jitter_factor * load_factor * cold_slowdown
+        current_profile = self.profile
+        jitter_factor = (
+            self.rng.lognormvariate(-(current_profile.spread**2) / 2, current_profile.spread)
+            if current_profile.spread
+            else 1.0
+        )
+        load_factor = 1 + current_profile.crowding * in_flight / current_profile.at_once
+        warmth = (
+            min(1.0, (now_s - self.started_s) * 1000 / current_profile.cold_ms)
+            if current_profile.cold_ms
+            else 1.0
+        )
+        cold_slowdown = math.exp((1 - warmth) * math.log(current_profile.cold_factor))
+        return (
+            current_profile.service_ms
+            / 1000
+            * current_profile.classes.get(cls, 1.0)
+            * jitter_factor
+            * load_factor
+            * cold_slowdown
+        )
