--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -80,5 +80,5 @@
     await asyncio.sleep(1.5)  # longer than the lease
     assert (await listed_entries())[0]["lifecycle"] == "ready"
     await lab.restart(service)  # the registration survives a restart of the service
-    program.send_signal()
+    program.signal_process()
     assert await program.wait_exit() == 0 and not await listed_entries()
