--- a/tests/lab.py
+++ b/tests/lab.py
@@ -24,7 +24,7 @@
 import aiohttp
 
 from tests.sockets import SETTINGS, Endpoint, Handler, Message, http_request, read_message, serve_ok
-from woadyard.standins import FaultProxy, StandIn, endpoint_profile
+from woadyard.standins import FaultProxy, StandIn, manner
 
 POLL_INTERVAL_S = 0.02
 
@@ -265,7 +265,7 @@
         self, name: str = "s-0", kind: str = "small", seed: int = 0, **changes: Any
     ) -> StandIn:
         """Starts a simulated endpoint in this process, with random service times; it counts requests."""
-        endpoint = StandIn(name, endpoint_profile(kind, **changes), seed)
+        endpoint = StandIn(name, manner(kind, **changes), seed)
         await endpoint.start()
         return endpoint
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -10,12 +10,12 @@
 
 from tests.lab import Lab, Program
 from woadyard.errors import ConfigError
-from woadyard.standins import Behaviour, EndpointProfile, endpoint_profile
+from woadyard.standins import Behaviour, Manner, manner
 
 
-def test_draws_are_reproducible_and_follow_the_profile() -> None:
+def test_draws_are_reproducible_and_follow_the_manner() -> None:
     def draw(seed: int) -> list[Any]:
-        behaviour = Behaviour(endpoint_profile("bad"), seed, 0.0)
+        behaviour = Behaviour(manner("bad"), seed, 0.0)
         return [
             (behaviour.draw_outcome(), behaviour.draw_service_time_s(1.0, "page", 0)) for _ in range(2_000)
         ]
@@ -24,8 +24,8 @@
     shares = Counter(outcome for outcome, _ in draw(3))
     assert abs(shares["error"] / 2_000 - 0.3) < 0.03 and abs(shares["turned away"] / 2_000 - 0.1) < 0.03
     assert sum(service_s for _, service_s in draw(3)) / 2_000 == pytest.approx(0.005, rel=0.05)
-    profile = EndpointProfile(spread=0.0, cold_ms=1_000, classes={"put": 2.0})
-    behaviour = Behaviour(profile, 1, 0.0)
+    deterministic = Manner(spread=0.0, cold_ms=1_000, classes={"put": 2.0})
+    behaviour = Behaviour(deterministic, 1, 0.0)
     cold, warm, put, full = (
         behaviour.draw_service_time_s(*arguments)
         for arguments in ((0.0, "page", 0), (2.0, "page", 0), (2.0, "put", 0), (2.0, "page", 16))
@@ -34,9 +34,9 @@
 
 
 @pytest.mark.parametrize("bad", [{"fails": 0.6, "hangs": 0.6}, {"at_once": 0}, {"fails": -0.1}, {"speed": 1}])
-def test_an_invalid_profile_is_rejected(bad: dict[str, Any]) -> None:
+def test_an_invalid_manner_is_rejected(bad: dict[str, Any]) -> None:
     with pytest.raises(ConfigError):
-        endpoint_profile("small", **bad)
+        manner("small", **bad)
 
 
 async def test_responses_follow_the_protocol_and_the_counts_are_served(lab: Lab) -> None:
@@ -53,9 +53,9 @@
     response = await lab.call(endpoint.port, "GET", "/page", **{"X-Request-Id": "b", "X-Acted-On": "l.1"})
     assert response.status == 503 and response.headers["X-Not-Run"] == "1", "its queue is full"
     assert await first == 200 and (await lab.call(endpoint.port, "GET", "/page")).status == 404
-    endpoint.set_profile(endpoint_profile("small", fails=1.0))
+    endpoint.set_manner(manner("small", fails=1.0))
     assert await send("a", **{"X-Acted-On": "l.2"}) == 500
-    endpoint.set_profile(endpoint_profile("small", resets=1.0))
+    endpoint.set_manner(manner("small", resets=1.0))
     resetting = await lab.sidecar("n1", [endpoint.entry()])
     assert (await resetting.request(rid="c", cls="pay")).start_line.split()[1] == "502"
     counts = (await lab.call(endpoint.port, "GET", "/_counts")).json
--- a/woadyard/standins/__init__.py
+++ b/woadyard/standins/__init__.py
@@ -3,7 +3,7 @@
 For tests, benchmarks and a first look; production code does not import them.
 """
 
-from woadyard.standins.behaviour import KINDS, Behaviour, EndpointProfile, endpoint_profile
+from woadyard.standins.behaviour import KINDS, Behaviour, Manner, manner
 from woadyard.standins.endpoint import StandIn
 from woadyard.standins.lease import Lease
 from woadyard.standins.proxy import BOTH, CUT, DELAY, DROP, HERE, PASS, RESET, THERE, Fault, FaultProxy
@@ -20,13 +20,13 @@
     "RESET",
     "THERE",
     "Behaviour",
-    "EndpointProfile",
     "Fault",
     "FaultProxy",
     "Lease",
+    "Manner",
     "Schedule",
     "StandIn",
-    "endpoint_profile",
+    "manner",
     "play_schedule",
     "random_schedule",
 ]  # fmt: skip
--- a/woadyard/standins/__main__.py
+++ b/woadyard/standins/__main__.py
@@ -17,7 +17,7 @@
 from woadyard.net import config
 from woadyard.ops import logs
 from woadyard.standins import fleet
-from woadyard.standins.behaviour import KINDS, EndpointProfile, endpoint_profile
+from woadyard.standins.behaviour import KINDS, Manner, manner
 from woadyard.standins.endpoint import StandIn
 from woadyard.standins.lease import Lease
 from woadyard.standins.proxy import DELAY, FaultProxy
@@ -42,7 +42,11 @@
     endpoint_parser.add_argument("--ttl-ms", type=int, default=3_000)
     endpoint_parser.add_argument("--load", default="", metavar="FIELD,...", help="fields of its load reports")
     endpoint_parser.add_argument(
-        "--set", action="append", default=[], metavar="KEY=NUMBER", help="a profile field, as in fails=0.1"
+        "--set",
+        action="append",
+        default=[],
+        metavar="KEY=NUMBER",
+        help="a parameter of its behaviour, as in fails=0.1",
     )
     proxy_parser = commands.add_parser("proxy", help="a TCP relay with faults drawn from a seed")
     proxy_parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
@@ -68,12 +72,12 @@
     return low_s, high_s
 
 
-def profile_from_options(options: argparse.Namespace) -> EndpointProfile:
+def manner_from_options(options: argparse.Namespace) -> Manner:
     changes: dict[str, Any] = {}
     for assignment in options.set:
         key, _, value = assignment.partition("=")
         changes[key] = int(value) if key in ("at_once", "queue") else float(value)
-    return endpoint_profile(options.kind, **changes)
+    return manner(options.kind, **changes)
 
 
 async def wait_for_stop_signal() -> None:
@@ -87,7 +91,7 @@
 async def run_endpoint(options: argparse.Namespace) -> None:
     """Serve until a stop signal; where registered, drain before unregistering."""
     load_fields = tuple(filter(None, options.load.split(",")))
-    endpoint = StandIn(options.name, profile_from_options(options), options.seed, load_fields)
+    endpoint = StandIn(options.name, manner_from_options(options), options.seed, load_fields)
     await endpoint.start(*config.parse_address(options.listen))
     LOG.info("listening", extra={"port": endpoint.port, "as": endpoint.name, "kind": options.kind})
     if options.discovery is None:
--- a/woadyard/standins/endpoint.py
+++ b/woadyard/standins/endpoint.py
@@ -14,7 +14,7 @@
 
 from aiohttp import web
 
-from woadyard.standins.behaviour import HANGS, REJECTED, RESETS, SERVED, Behaviour, EndpointProfile
+from woadyard.standins.behaviour import HANGS, REJECTED, RESETS, SERVED, Behaviour, Manner
 
 COUNTED_HEADERS = ("X-Acted-On", "X-Class", "X-Retry")
 NOT_RUN_HEADERS = {"X-Not-Run": "1"}
@@ -23,13 +23,11 @@
 class StandIn:
     """An endpoint with simulated behaviour; its load reports carry `load_fields` (no report if empty)."""
 
-    def __init__(
-        self, name: str, profile: EndpointProfile, seed: int = 0, load_fields: tuple[str, ...] = ()
-    ) -> None:
+    def __init__(self, name: str, manner: Manner, seed: int = 0, load_fields: tuple[str, ...] = ()) -> None:
         self.name, self.load_fields = name, load_fields
-        self.behaviour = Behaviour(profile, seed, time.monotonic())
+        self.behaviour = Behaviour(manner, seed, time.monotonic())
         self.started_ms = time.time_ns() // 1_000_000
-        self.slots = asyncio.Semaphore(profile.at_once)
+        self.slots = asyncio.Semaphore(manner.at_once)
         self.in_flight = self.queued = self.port = 0
         self.is_draining = False
         self.attempts_by_request_id = Counter[str]()
@@ -52,9 +50,9 @@
     async def close(self) -> None:
         await self.runner.cleanup()
 
-    def set_profile(self, profile: EndpointProfile) -> None:
-        """Use another profile from now on; the number of concurrent requests stays as it was."""
-        self.behaviour.profile = profile
+    def set_manner(self, manner: Manner) -> None:
+        """Change the behaviour from now on; the number of concurrent requests stays as it was."""
+        self.behaviour.manner = manner
 
     def entry(self, name: str | None = None, **changes: Any) -> dict[str, Any]:
         """Return the entry under which this endpoint is listed."""
@@ -72,9 +70,9 @@
         }  # fmt: skip
 
     def load_headers(self) -> dict[str, str]:
-        current_profile = self.behaviour.profile
+        current_manner = self.behaviour.manner
         known = {"inflight": self.in_flight, "queue": self.queued, "waiting": self.queued,
-                 "util": round(self.in_flight / current_profile.at_once, 3)}  # fmt: skip
+                 "util": round(self.in_flight / current_manner.at_once, 3)}  # fmt: skip
         report = ",".join(f"{field}={known[field]}" for field in self.load_fields if field in known)
         return {"X-Load": report} if report else {}
 
@@ -108,7 +106,7 @@
         if outcome == HANGS:
             self.outcomes[HANGS] += 1
             await asyncio.Event().wait()  # until the client disconnects, which cancels this handler
-        is_full = self.slots.locked() and self.queued >= self.behaviour.profile.queue
+        is_full = self.slots.locked() and self.queued >= self.behaviour.manner.queue
         if is_full or self.is_draining or outcome == REJECTED:
             return REJECTED
         self.queued += 1
