--- a/tests/test_whatif_rollout.py
+++ b/tests/test_whatif_rollout.py
@@ -173,19 +173,19 @@
         assert verdict["state"] in ("better", "harmless"), verdict
         faults.cancel()
         for admin_proxy in fleet.admin_proxies.values():
-            admin_proxy.fault(PASS)
+            admin_proxy.set_fault(PASS)
         # The sidecars are cut off from the audit: they have the old weights and the first stage waits.
         for audit_proxy in fleet.audit_proxies.values():
-            audit_proxy.fault(DROP)
-            audit_proxy.abort()
+            audit_proxy.set_fault(DROP)
+            audit_proxy.abort_connections()
         assert (await fleet.post(f"/{good}/go")).status == 200
         await fleet.wait_stage(0)
         await lab.kill(fleet.service)
         assert (await restart_service(fleet))["active"]["stage"] == 0
         assert (await fleet.post("", {"weights": GOOD_WEIGHTS})).status == 400  # one plan at a time
         for audit_proxy in fleet.audit_proxies.values():
-            audit_proxy.fault(PASS)
-            audit_proxy.abort()
+            audit_proxy.set_fault(PASS)
+            audit_proxy.abort_connections()
         await fleet.wait_stage(1)
         await lab.kill(fleet.service)  # the rollout goes on at the second stage
         plans = await restart_service(fleet)
@@ -205,7 +205,7 @@
     """Cut and reset the connections to the admin listeners at random, until cancelled."""
     while True:
         for proxy in fleet.admin_proxies.values():
-            proxy.fault(fleet.rng.choice((PASS, PASS, CUT, RESET)))
+            proxy.set_fault(fleet.rng.choice((PASS, PASS, CUT, RESET)))
         await asyncio.sleep(0.05)
 
 
--- a/tests/test_whatif_trace_fetcher.py
+++ b/tests/test_whatif_trace_fetcher.py
@@ -59,7 +59,7 @@
             for number in range(REQUESTS):
                 writer.write(http_request(rid=f"r{number}"))
                 await read_message(reader)
-            proxy = FaultProxy(target=admin_port)
+            proxy = FaultProxy(target_port=admin_port)
             await proxy.start()
             fetcher, rng, stop = (
                 TraceFetcher(f"127.0.0.1:{proxy.port}"),
@@ -69,7 +69,7 @@
 
             async def inject_faults() -> None:
                 while not stop.is_set():
-                    proxy.fault(rng.choice((PASS, CUT, RESET)))
+                    proxy.set_fault(rng.choice((PASS, CUT, RESET)))
                     await asyncio.sleep(0.03)
 
             faults = asyncio.create_task(inject_faults())
