--- a/benchmarks/scale/points.py
+++ b/benchmarks/scale/points.py
@@ -35,7 +35,7 @@
 
     @property
     def series(self) -> tuple[str, str, str]:
-        """Role, phase and metric: the points to which one line is fitted."""
+        """Role, phase and metric, which identify the series that one line is fitted to."""
         return self.role, self.phase, self.metric
 
 
--- a/benchmarks/scale/usage.py
+++ b/benchmarks/scale/usage.py
@@ -37,7 +37,7 @@
 
 
 def run_name() -> str:
-    """Name a run after its start time, the current one, in UTC."""
+    """Return the name of a run that starts now: the time in UTC."""
     return datetime.now(UTC).strftime("%Y%m%dT%H%M%S")
 
 
