--- a/benchmarks/scale/exchange.py
+++ b/benchmarks/scale/exchange.py
@@ -66,9 +66,9 @@
     """Measures gossip. No driver can be late, because the stores run on a simulated clock."""
     sidecar_names, no_lag = endpoint_lists.instance_ids(size), (0.0, 0.0)
     for phase, accusers in (("quiet", 0), ("accusing", max(1, size // SIDECARS_PER_ACCUSER))):
-        rate = gossip.wire(size, accusers, turn, sidecar_names)
+        rate = gossip.simulate_bytes_per_s(size, accusers, turn, sidecar_names)
         write_points(out, run, "gossip", phase, size, turn, no_lag, bytes_per_sidecar_and_second=rate)
-    times = gossip.pure(size, NEWS_RUNS, sidecar_names)
+    times = gossip.simulate_convergence(size, NEWS_RUNS, sidecar_names)
     rounds = {
         f"{name}_rounds": times.get_value_at_percentile(percent) / 1e3 / gossip.INTERVAL_MS
         for name, percent in (("p50", 50), ("p99", 99), ("last", 100))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -127,14 +127,14 @@
     def start_lease(self, delay_s: float) -> None:
         async def start_lease() -> None:
             await asyncio.sleep(delay_s)
-            await self.lease.keep()
+            await self.lease.keep_registered()
 
         self.lease_task = asyncio.get_running_loop().create_task(start_lease())
 
     async def deregister(self) -> bool:
         if self.lease_task is not None:
             self.lease_task.cancel()
-        return await self.lease.leave()
+        return await self.lease.unregister()
 
     async def run_reports(self) -> None:
         """Sends reports, and records one attempt per second to report on."""
--- a/tests/test_election_processes.py
+++ b/tests/test_election_processes.py
@@ -85,7 +85,7 @@
         member_index = self.all.index(member)
         for pair, link in self.links.items():
             if member_index in pair:
-                link.fault(mode)
+                link.set_fault(mode)
 
 
 class MemberWatcher(Watcher):
--- a/tests/test_experiment_end_to_end.py
+++ b/tests/test_experiment_end_to_end.py
@@ -105,10 +105,10 @@
         await scenario.wait_for_requests(scenario.new_endpoints, 200)
         assert before == [scenario.received_count(scenario.old_endpoints, name) for name in ("s0", "s1")]
 
-        scenario.report_proxy.fault(DROP)  # the reports of the first sidecar
+        scenario.report_proxy.set_fault(DROP)  # the reports of the first sidecar
         await scenario.wait_for_requests(scenario.old_endpoints, 20, "s0")
         assert scenario.received_count(scenario.old_endpoints, "s1") == before[1]
-        scenario.report_proxy.fault(PASS)
+        scenario.report_proxy.set_fault(PASS)
         await scenario.post("/close")
         # Both types serve both sidecars again.
         await scenario.wait_for_requests(scenario.old_endpoints, 20, "s1")
