--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -36,9 +36,9 @@
     """Start a sidecar that shares state; return it, its origin and its gossip port."""
     shared = {"listen": "127.0.0.1:0", "peers": f"127.0.0.1:{peers.port}", "interval-ms": 50,
               "verdict-bound-ms": BOUND_MS, "eject-share": 0.7, **more}  # fmt: skip
-    sidecar = await lab.sidecar(name, endpoints, discovery, shared=shared, settings=settings)
-    line = await sidecar.wait_logged("sharing state")
-    return sidecar, line["as"], line["port"]
+    program = await lab.sidecar(name, endpoints, discovery, shared=shared, settings=settings)
+    line = await program.wait_logged("sharing state")
+    return program, line["as"], line["port"]
 
 
 async def register_peer(lab: Lab, registry: Program, origin: str, port: int) -> None:
@@ -51,7 +51,7 @@
         "good": await lab.endpoint(respond_slowly),
         **{name: await lab.endpoint(respond_500) for name in failing},
     }
-    return {name: endpoint.entry(name) for name, endpoint in endpoints.items()}
+    return {name: instance.entry(name) for name, instance in endpoints.items()}
 
 
 async def test_partitioned_sidecar_drops_expired_verdicts_and_converges_after_healing(lab: Lab) -> None:
@@ -79,8 +79,8 @@
 
     await wait_for_lowered(2, 1)  # bad1 by two sidecars, bad2 by the one that will be partitioned
     for fault, inside, at_partitioned in ((DROP, 1, 0), (PASS, 2, 1)):
-        for proxy in proxies:
-            proxy.fault(fault)
+        for tcp_proxy in proxies:
+            tcp_proxy.fault(fault)
         await wait_for_lowered(inside, at_partitioned)
     for load in loads:
         load.cancel()
@@ -187,8 +187,8 @@
 async def test_session_has_the_same_endpoint_at_each_sidecar_and_moves_when_it_is_removed(lab: Lab) -> None:
     registry, peers = await lab.service(), await lab.service("peers")
     endpoints = {f"s-{n}": await lab.endpoint() for n in range(4)}
-    for name, endpoint in endpoints.items():
-        await lab.register(registry, name, endpoint.entry(name))
+    for name, instance in endpoints.items():
+        await lab.register(registry, name, instance.entry(name))
     more = {"discovery": registry, "affinity-header": "X-Session"}
     sidecars = [(await start_sharing_sidecar(lab, f"n{n}", peers, **more))[0] for n in (0, 1)]
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -40,7 +40,7 @@
     }  # fmt: skip
 
 
-def apply_settings(
+def change_settings(
     proxy: Sidecar, *classes: dict[str, Any], ceilings: dict[str, Any] | None = None, **more: Any
 ) -> None:
     """Change the settings, as SIGHUP does once the file was checked."""
@@ -91,7 +91,7 @@
     async with run_sidecar(first := Endpoint(move_and_close)) as proxy:
         listener = await second.start()
         window = 1_000_000 if past_window else 60_000_000
-        apply_settings(proxy, request_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window}))
+        change_settings(proxy, request_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window}))
         pending_response = asyncio.create_task(proxy.send(http_request("put")))
         await first.request_arrived.acquire()
         ((_, call),) = proxy.driver.calls.items()
@@ -123,7 +123,7 @@
 
     async with run_sidecar(first := Endpoint(move_and_close)) as proxy:
         listener = await second.start()
-        apply_settings(proxy, request_class(effect, **{"dedup-scope": scope}), zones=zones)
+        change_settings(proxy, request_class(effect, **{"dedup-scope": scope}), zones=zones)
         response = await proxy.send(http_request(NAMES[effect]))
         in_scope = {"all": True, "zone": zone == 0, "cell": cell == 1}[scope]
         may_repeat = effect == "retryable" or (effect == "dedup" and in_scope)
@@ -147,7 +147,7 @@
 
     endpoints = [Endpoint(close_late) for _ in range(3)]
     async with run_sidecar(*endpoints) as proxy:
-        apply_settings(
+        change_settings(
             proxy, request_class("dedup", **{"dedup-scope": scope, "repeat-window-us": window_ms * 1000})
         )
         await proxy.send(http_request("put"))
@@ -161,7 +161,7 @@
     endpoints = [Endpoint(close_without_response) for _ in range(3)]
     async with run_sidecar(*endpoints) as proxy:
         for n, effect in enumerate((before, after)):
-            apply_settings(proxy, request_class(effect, name="page"))
+            change_settings(proxy, request_class(effect, name="page"))
             method = b"GET" if effect == "retryable" else b"POST"
             length = b"" if effect == "retryable" else b"Content-Length: 0\r\n"
             key = b"Idempotency-Key: k\r\n" if effect == "dedup" else b""
@@ -232,7 +232,7 @@
     ]
     endpoints = [Endpoint(handler) for handler in handlers]
     async with run_sidecar(*endpoints) as proxy:
-        apply_settings(proxy, *classes, **more)
+        change_settings(proxy, *classes, **more)
         pending_responses, effects = [], {}
         for n, entry in enumerate(itertools.islice(itertools.cycle(classes), 60)):
             rid, effect = f"r{n}", entry["repeat"]
@@ -266,7 +266,7 @@
     monkeypatch.setattr(server, "REQUEST_ID_RETENTION_S", 0.05)
     endpoint = Endpoint(never_respond)
     async with run_sidecar(endpoint) as proxy:
-        apply_settings(proxy, request_class("fragile", **{"deadline-us": 60_000_000}))
+        change_settings(proxy, request_class("fragile", **{"deadline-us": 60_000_000}))
         _, writer = await proxy.connect()
         writer.write(http_request("pay", deadline_ms=60_000, rid="r1"))
         await endpoint.request_arrived.acquire()
--- a/woadyard/net/experiment_counts.py
+++ b/woadyard/net/experiment_counts.py
@@ -72,11 +72,11 @@
     # --- Events from the driver -------------------------------------------------------
 
     def request_accepted(self, now: int, event: Arrival) -> None:
-        directive = self.directive
-        if directive is None or (arm := self.assign_arm(event)) is None:
+        in_force = self.directive
+        if in_force is None or (arm := self.assign_arm(event)) is None:
             return
-        key = directive.revision, now // (directive.slot_ms * 1000), arm, event.cls
-        counts = self._find_or_add_slot(key, directive)
+        key = in_force.revision, now // (in_force.slot_ms * 1000), arm, event.cls
+        counts = self._find_or_add_slot(key, in_force)
         if counts is None:
             self.dropped += 1
             return
--- a/woadyard/net/experiment_participant.py
+++ b/woadyard/net/experiment_participant.py
@@ -34,11 +34,11 @@
 
         Raises PeerError, with nothing changed, if it is invalid.
         """
-        directive = read_directive(raw)
+        received = read_directive(raw)
         self.last_response_us = now
-        self.directive = directive if directive.arms else None
+        self.directive = received if received.arms else None
         self._apply(self.directive)
-        self.revision = directive.revision
+        self.revision = received.revision
         return self.revision
 
     def service_responded(self, now: int) -> None:
--- a/woadyard/net/registry_client.py
+++ b/woadyard/net/registry_client.py
@@ -77,9 +77,9 @@
             return 0, b""
 
     def _follow_redirect(self, response: bytes) -> bool:
-        leader = read_error_body(response).writer
+        leader_address = read_error_body(response).writer
         try:
-            self.leader = parse_address(leader) if leader else None
+            self.leader = parse_address(leader_address) if leader_address else None
         except ConfigError:
             self.leader = None
         return self.leader is not None
--- a/woadyard/net/reporter_setup.py
+++ b/woadyard/net/reporter_setup.py
@@ -37,8 +37,8 @@
             raise PeerError(f"invalid list: {error}") from None
         return discovery.receive(message)
 
-    def set_shut_out(is_shut_out: bool) -> None:
-        server.is_shut_out = is_shut_out
+    def set_shut_out(shut_out: bool) -> None:
+        server.is_shut_out = shut_out
 
     handlers = AuditHandlers(apply_list, discovery.restart_watch, set_shut_out, driver.ignore_verdicts)
     participant = create_experiment_participant(driver, handlers)
