--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -187,7 +187,7 @@
         (connection,) = await client_connections(proxy)
         for n in range(400):
             writer.write(http_request(rid=f"r{n}"))
-        await wait_until(lambda: connection.reading_paused and not proxy.driver.calls)
+        await wait_until(lambda: connection.is_reading_paused and not proxy.driver.calls)
         assert connection.transport is not None
         served_count, unwritten_bytes = len(endpoint.received), connection.transport.get_write_buffer_size()
         assert served_count < 400 and unwritten_bytes <= MAX_BUFFERED_BODY_BYTES + 4 * READ_SIZE
@@ -221,7 +221,7 @@
         await wait_until(lambda: any(link.upload for link in proxy.upstream.endpoint_connections))
         (connection,), (link,) = proxy.server.connections, proxy.upstream.endpoint_connections
         assert link.transport is not None
-        await wait_until(lambda: connection.reading_paused)
+        await wait_until(lambda: connection.is_reading_paused)
         assert link.transport.get_write_buffer_size() <= 4 * READ_SIZE
         release.set()
         assert (await pending_response).body == b"ok" and endpoint.received[0].body == LARGE_BODY * 16
--- a/tests/test_audit_faults.py
+++ b/tests/test_audit_faults.py
@@ -183,7 +183,7 @@
 
             await fleet.wait_for(is_current)
             log = fleet.folder / sidecar.name / "log"
-            while "let in again" not in log.read_text():
+            while "shut-out ended" not in log.read_text():
                 await asyncio.sleep(0.05)
             assert sidecar.response_counts[503] > 0, "once informed, it rejected requests until readmitted"
             assert await fleet.health(sidecar) == 200 and (await hold("n0@x", 4000))[0] == 200
--- a/tests/test_bad_bytes.py
+++ b/tests/test_bad_bytes.py
@@ -199,7 +199,7 @@
         server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         large = http_request("pay", LARGE_BODY, rid="r3")
         await loop.sock_sendall(client_socket, http_request(rid="r1") + http_request(rid="r2") + large[:2000])
-        await wait_until(lambda: connection.writing_paused and connection.call is None)
+        await wait_until(lambda: connection.is_writing_paused and connection.call is None)
         for _ in range(5):
             await asyncio.sleep(0)  # it would be served now if it were the next
         assert connection.upload is None and len(connection.pipelined) == 1
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -197,7 +197,7 @@
     """More than is read ahead of a response."""
     state.client.send(b"".join(request(rid=f"r{n}") for n in range(400)))
     await state.endpoint.request_arrived.acquire()
-    await wait_until(lambda: bool(state.connection().reading_paused))
+    await wait_until(lambda: bool(state.connection().is_reading_paused))
     return lambda: state.receive_response(http_response())
 
 
@@ -323,7 +323,7 @@
         state.client.send(request("pay", LARGE_BODY * 40)[:70_000])
         await wait_until(lambda: bool(state.sent))
         if never_reads:
-            await state.client.fill(lambda: bool(state.connection().reading_paused))
+            await state.client.fill(lambda: bool(state.connection().is_reading_paused))
         state.client.disconnect(how)
         await state.wait_until_settled()
 
@@ -337,7 +337,7 @@
     async with scenario(monkeypatch, cancel, endpoint=Endpoint(stream)) as state:
         state.proxy.server.timeouts.stall_s = 1000.0
         state.client.send(request())
-        await wait_until(lambda: state.connection().writing_paused)
+        await wait_until(lambda: state.connection().is_writing_paused)
         state.client.disconnect(how)
         await state.wait_until_settled()
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -15,7 +15,7 @@
 FLOOD = 1_000
 
 
-def record_at(created_s: float, message: str = "request refused") -> logging.LogRecord:
+def record_at(created_s: float, message: str = "request rejected") -> logging.LogRecord:
     log_record = logging.LogRecord("woadyard.net.server", logging.INFO, __file__, 1, message, None, None)
     log_record.created = created_s
     return log_record
@@ -63,7 +63,7 @@
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
         lines = [json.loads(line) for line in errors.splitlines()]
-        refused = [line for line in lines if line["event"] == "request refused"]
+        refused = [line for line in lines if line["event"] == "request rejected"]
         summaries = [line["count"] for line in lines if line["event"] == "log lines suppressed"]
         assert len(refused) == BURST and len(lines) == BURST + len(summaries)
         assert sum(summaries) + sum(line.get("suppressed", 0) for line in refused) == FLOOD - BURST
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -132,7 +132,7 @@
             await wait_for_metric(f"woadyard_list_version {listing['generation']}.0")
             assert await status("r1") == "200"
             response = await http_call(admin_port, "POST", "/_list/accept")
-            assert response.start_line.split()[1] == "200" and b"let go" in response.body
+            assert response.start_line.split()[1] == "200" and b"no longer held back: " in response.body
             await wait_for_metric("woadyard_list_held 0.0")
             assert await status("r2") != "200", "the operator accepted the empty list"
             assert (await http_call(admin_port, "POST", "/_list/accept")).start_line.split()[1] == "409"
--- a/woadyard/__main__.py
+++ b/woadyard/__main__.py
@@ -110,7 +110,7 @@
         if view is None or not view.held:
             raise HttpError(HTTPStatus.CONFLICT, "no list is held back", "nothing needs to be done")
         server.driver.loop.call_soon_threadsafe(guard.accept_losses)
-        return f"done, let go: {' '.join(sorted(view.held))}"
+        return f"done, no longer held back: {' '.join(sorted(view.held))}"
 
     return {
         b"/_ready": Route(b"GET", ready),
@@ -175,9 +175,9 @@
             driver.longest_deadline_us,
             driver.apply_limits,
         )
-        budget = LimitShares(loop, config.shared, gossip.store.own_origin, hooks, rng)
-        shared_state.announce_limits = budget.announce_caps
-        budget.open()
+        limit_shares = LimitShares(loop, config.shared, gossip.store.own_origin, hooks, rng)
+        shared_state.announce_limits = limit_shares.announce_caps
+        limit_shares.open()
     LOG.info(
         "sharing state", extra={"as": gossip.store.own_origin, "port": port, "peers": config.shared.peers}
     )
--- a/woadyard/adapter.py
+++ b/woadyard/adapter.py
@@ -97,7 +97,7 @@
             return -1, []
         if code == wire.EV_INIT:
             instance, seed, offset, size = wire.INIT.unpack_from(body, position)
-            settings = wire.read_settings(wire.tail_bytes(tail, offset, size))
+            settings = wire.read_settings(wire.read_tail(tail, offset, size))
             created = self.instances[instance] = Balancer(seed, settings)
             return instance, created.start(now)
         (instance,) = wire.KILL.unpack_from(body, position)
@@ -134,12 +134,12 @@
                 raise wire.WireError(f"unknown outcome {value}")
         else:
             _, _, offset, size = wire.MAIL.unpack_from(body, position)
-            wire.tail_bytes(tail, offset, size)
+            wire.read_tail(tail, offset, size)
         return []
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches from the source until its end.
+    """Reply to batches from the source until its end.
 
     Raises:
         WireError: the input is malformed.
--- a/woadyard/errors.py
+++ b/woadyard/errors.py
@@ -44,16 +44,16 @@
 class StateError(WoadyardError):
     """Files of persisted state can't be read or written."""
 
-    remedy = "check the folder's free space and permissions; a damaged file may be moved away"
+    remedy = "check the directory's free space and permissions; a damaged file may be moved away"
 
 
 class PlanError(WoadyardError):
     """A plan, an experiment or a release violates its own rules."""
 
-    remedy = "draw up the plan again within the rules that the message names"
+    remedy = "create the plan again within the limits that the message names"
 
 
 class TraceError(WoadyardError):
-    """A recorded trace can't be read or does not fit the question asked of it."""
+    """A recorded trace can't be read, or can't be used for the requested analysis."""
 
-    remedy = "record the trace again, or leave the damaged part out"
+    remedy = "record the trace again, or remove its damaged part"
--- a/woadyard/interface.py
+++ b/woadyard/interface.py
@@ -15,11 +15,11 @@
     retune(now, Settings)     new settings; classes keep their numbers, more may be added
     detach(now, endpoint)     an operator takes an endpoint out of use, whatever lists say
     attach(now, endpoint)     an operator puts an endpoint back into use
-    request(now, Arrival)     a request, which gets exactly one final answer
+    request(now, Arrival)     a request, which gets exactly one final response
     whole(now, request, expires)  the last byte of a request body has arrived
     outcome(now, Outcome)     how one attempt ended; each `Send` gets one
     head(now, Outcome)        a response that is streamed to the client has started
-    gone(now, request)        the client disconnected; no answer is needed any more
+    gone(now, request)        the client disconnected; no response is needed any more
     timer(now, token)         a requested `Timer` has fired
     trust(now, factors)       factors on the endpoints' weights by other sidecars' verdicts
     limit(now, caps, others)  attempts that may be in flight from here, by endpoint
@@ -73,8 +73,8 @@
             raise ValueError(f"unknown effect: {self.effect}")
         if self.scope not in (SCOPE_ALL, SCOPE_ZONE, SCOPE_CELL):
             raise ValueError(f"unknown scope: {self.scope}")
-        _positive(self, ("aim_us", "deadline_us"))
-        _not_negative(self, ("window_us", "aim_stretch", "worth", "late_worth"))
+        _require_positive(self, ("aim_us", "deadline_us"))
+        _require_not_negative(self, ("window_us", "aim_stretch", "worth", "late_worth"))
 
 
 @dataclass(slots=True, frozen=True)
@@ -100,8 +100,8 @@
     panic: float = 0.3
 
     def __post_init__(self) -> None:
-        _positive(self, ("leave", "window_us", "away_us", "ramp_us"))
-        _not_negative(self, ("panic",))
+        _require_positive(self, ("leave", "window_us", "away_us", "ramp_us"))
+        _require_not_negative(self, ("panic",))
         if self.leave > 1.0 or self.panic > 1.0:
             raise ValueError(f"leave and panic must be at most 1: {self.leave}, {self.panic}")
 
@@ -148,7 +148,7 @@
     cpu_us_per_s: float = 0.0  # CPU time this sidecar may use; 0 = unknown
     cpu_us_per_request: float = 0.0
     resolution_us: int = 1000  # least time between batches of events
-    answer_slack_us: int = 0  # how late after the deadline a final answer may come
+    answer_slack_us: int = 0  # how late after the deadline a final response may come
     ask_within_us: int = 10_000_000  # the longest time that discovery may go without a call
     key_rest_us: int = 0  # pause of a key after an attempt that may still be running
     shares_verdicts: bool = False  # `Verdict`s are reported to the other sidecars
@@ -170,23 +170,23 @@
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("classes is empty")
-        _positive(self, ("instances", "max_attempts", "resolution_us", "ask_within_us", "tip_for_us"))
-        _not_negative(self, ("me", "idle_us", "connect_timeout_us", "answer_slack_us", "key_rest_us"))
-        _not_negative(self, ("cold_share", "cold_us", "tip_multiple", "max_retry_after_us"))
+        _require_positive(self, ("instances", "max_attempts", "resolution_us", "ask_within_us", "tip_for_us"))
+        _require_not_negative(self, ("me", "idle_us", "connect_timeout_us", "answer_slack_us", "key_rest_us"))
+        _require_not_negative(self, ("cold_share", "cold_us", "tip_multiple", "max_retry_after_us"))
         if any(not 0.0 <= share < inf for share in self.tenants):
             raise ValueError(f"tenants has a share that is negative or not finite: {self.tenants}")
 
 
-def _positive(of: object, names: tuple[str, ...]) -> None:
+def _require_positive(checked: object, names: tuple[str, ...]) -> None:
     for name in names:
-        if not 0 < getattr(of, name) < inf:
-            raise ValueError(f"{name} must be positive: {getattr(of, name)}")
+        if not 0 < getattr(checked, name) < inf:
+            raise ValueError(f"{name} must be positive: {getattr(checked, name)}")
 
 
-def _not_negative(of: object, names: tuple[str, ...]) -> None:
+def _require_not_negative(checked: object, names: tuple[str, ...]) -> None:
     for name in names:
-        if not 0 <= getattr(of, name) < inf:
-            raise ValueError(f"{name} must not be negative: {getattr(of, name)}")
+        if not 0 <= getattr(checked, name) < inf:
+            raise ValueError(f"{name} must not be negative: {getattr(checked, name)}")
 
 
 @dataclass(slots=True, frozen=True)
@@ -250,7 +250,7 @@
     endpoint: int
     outcome: int
     delay_us: int  # since it was sent
-    over: bool = False  # the request has its final answer
+    over: bool = False  # the request has its final response
     report: Sequence[float] | None = None
     spent: bool = False  # part of the request body was consumed: it cannot be sent again
 
@@ -286,7 +286,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: the request was rejected, and a retry by the client is harmless."""
+    """Final response: the request was rejected, and a retry by the client is harmless."""
 
     request: int
     retry_after_us: int
@@ -294,7 +294,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: the request failed, and may or may not have run."""
+    """Final response: the request failed, and may or may not have run."""
 
     request: int
 
--- a/woadyard/net/attempts.py
+++ b/woadyard/net/attempts.py
@@ -69,10 +69,10 @@
             attempt.timer = self.dispatcher.call_at(attempt.timeout_at_us, self.stop, attempt, TIMEOUT)
         self.upstream.send(attempt)
 
-    def cancel(self, request: int, copy: int) -> None:
+    def cancel(self, request: int, attempt_index: int) -> None:
         """Cancel one attempt of a request, given by its attempt index."""
         if (call := self.requests.calls.get(request)) is not None:
-            self.stop(call.attempts[copy], CANCELLED)
+            self.stop(call.attempts[attempt_index], CANCELLED)
 
     def stop(self, attempt: Attempt, outcome: int) -> None:
         """Stop waiting for an attempt and record this outcome."""
@@ -80,8 +80,8 @@
             never_left = self.upstream.cancel(attempt)
             # A timeout while connecting, or while the connection accepts no more bytes, proves that
             # the endpoint never ran the request.
-            proven = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
-            self.record_outcome(attempt, proven, None, b"")
+            proven_outcome = NO_CONNECT if outcome == TIMEOUT and never_left else outcome
+            self.record_outcome(attempt, proven_outcome, None, b"")
 
     def begin_relay(self, attempt: Attempt, response: Response, length: int | None) -> bool:
         """Start streaming a response that is too large to buffer; false if nobody waits for it.
@@ -119,14 +119,14 @@
         if call.streaming_attempt is attempt and call.is_open:
             self.requests.close(call)
             call.client.end_response(outcome == OK)
-        now, over = now_us(), not call.is_open
+        now, is_request_closed = now_us(), not call.is_open
         event = Outcome(
             call.id,
             attempt.index,
             attempt.endpoint,
             outcome,
             attempt.head_us or now - attempt.sent_us,
-            over,
+            is_request_closed,
             self.active_settings.name_index.parse_report(load_report),
             call.upload is not None and call.upload.partly_sent,
         )
--- a/woadyard/net/client_connection.py
+++ b/woadyard/net/client_connection.py
@@ -40,8 +40,8 @@
         self.is_rejected = False  # nothing more is read; requests before it are still served
         self.is_closed = False  # nothing more is read or written
         self.parser = RequestParser(self)
-        self.upload_paused = self.reading_paused = False  # by the endpoint, and for any reason
-        self.writing_paused = False  # the client does not read its responses
+        self.is_upload_paused = self.is_reading_paused = False  # by the endpoint, and for any reason
+        self.is_writing_paused = False  # the client does not read its responses
         self.stall_timer: asyncio.TimerHandle | None = None  # runs meanwhile
         self.discards_body = False  # after an early response
         self.request_timer: asyncio.TimerHandle | None = None  # runs while a request is awaited
@@ -67,7 +67,7 @@
 
     def eof_received(self) -> None:
         """A half-close counts as a disconnect: a sidecar cancels requests to the next tier
-        that way, and it cannot be told from a full close."""
+        that way, and it cannot be distinguished from a full close."""
         self.client_disconnected()
 
     def check_connected(self) -> bool:
@@ -127,21 +127,25 @@
     def _update_request_timer(self) -> None:
         """Run the timer while a request is awaited. Further bytes of a head do not extend it:
         a client that sends them one by one would never time out."""
-        owed = bool(self.upload) or not (self.call or self.pipelined)
-        awaited = owed and not (self.is_closed or self.streamed_response or self in self.server.idle_since)
-        if awaited and self.request_timer is None:
+        expects_input = bool(self.upload) or not (self.call or self.pipelined)
+        is_awaiting = expects_input and not (
+            self.is_closed or self.streamed_response or self in self.server.idle_since
+        )
+        if is_awaiting and self.request_timer is None:
             self.last_checked_size, self.awaiting_since_s = 0, self.loop.time()
             self.request_timer = self.loop.call_later(self.server.timeouts.request_s, self._request_timed_out)
-        elif not awaited and self.request_timer is not None:
+        elif not is_awaiting and self.request_timer is not None:
             self.request_timer.cancel()
             self.request_timer = None
 
     def _request_timed_out(self) -> None:
         self.request_timer = None
         progress_bytes = self.parser.body_size - self.last_checked_size
-        if self.parser.in_body and (self.reading_paused or progress_bytes >= MIN_BODY_PROGRESS_BYTES):
+        if self.parser.in_body and (self.is_reading_paused or progress_bytes >= MIN_BODY_PROGRESS_BYTES):
             # While reading is paused, the endpoint holds up the body, which is its own failure.
-            self.stalled_checks = self.stalled_checks + 1 if self.reading_paused and not progress_bytes else 0
+            self.stalled_checks = (
+                self.stalled_checks + 1 if self.is_reading_paused and not progress_bytes else 0
+            )
             self.last_checked_size = self.parser.body_size
             self.request_timer = self.loop.call_later(self.server.timeouts.body_s, self._request_timed_out)
             if self.stalled_checks >= MAX_STALLED_CHECKS and self.call is not None:
@@ -201,7 +205,7 @@
         self.requests.accept(accepted)
 
     def set_upload_paused(self, paused: bool) -> None:
-        self.upload_paused = paused
+        self.is_upload_paused = paused
         self._update_reading()
 
     def _update_reading(self) -> None:
@@ -209,14 +213,16 @@
         if self.transport is None or self.transport.is_closing():
             return
         # Also bounds the pipeline of a client that never waits for responses. A little is
-        # read ahead all the same, to notice the half-close of a client that sends much and leaves.
+        # read ahead all the same, to notice the half-close of a client that sends much and disconnects.
         self.bytes_ahead = self.bytes_ahead if self.pipelined else 0
-        large = self.call is not None and self.upload is None and self.parser.has_large_body
-        too_far_ahead = large or self.bytes_ahead >= READ_SIZE
-        pause = not self.is_closed and (too_far_ahead or (self.upload_paused and self.upload is not None))
-        if pause != self.reading_paused:
-            self.reading_paused = pause
-            if pause:
+        is_next_large = self.call is not None and self.upload is None and self.parser.has_large_body
+        is_too_far_ahead = is_next_large or self.bytes_ahead >= READ_SIZE
+        should_pause = not self.is_closed and (
+            is_too_far_ahead or (self.is_upload_paused and self.upload is not None)
+        )
+        if should_pause != self.is_reading_paused:
+            self.is_reading_paused = should_pause
+            if should_pause:
                 self.transport.pause_reading()
                 self.server.paused_clients.add(self)
             else:
@@ -225,15 +231,17 @@
 
     def serve_next(self) -> None:
         """Serve the oldest pipelined request, unless one is being served."""
-        while self.pipelined and self.call is None and not (self.is_closed or self.writing_paused):
+        while self.pipelined and self.call is None and not (self.is_closed or self.is_writing_paused):
             accepted, self.keep_alive = self.pipelined.popleft()
             if isinstance(accepted, Response):
                 self._write_response(accepted)
             else:
                 self.call = accepted
                 self.requests.accept(accepted)
-        due = not (self.pipelined or self.is_closed or self.is_rejected or self.discards_body or self.upload)
-        if due and self.parser.has_large_body and self.call is None:
+        may_start_upload = not (
+            self.pipelined or self.is_closed or self.is_rejected or self.discards_body or self.upload
+        )
+        if may_start_upload and self.parser.has_large_body and self.call is None:
             self._start_upload()
         self._update_reading()
 
@@ -270,15 +278,15 @@
         """Write the head and the first part of a streamed response."""
         if self.transport is None or self.transport.is_closing():
             return
-        chunked = length is None and not self.parser.is_http_10
-        self.keep_alive &= length is not None or chunked
-        framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
+        is_chunked = length is None and not self.parser.is_http_10
+        self.keep_alive &= length is not None or is_chunked
+        framing = b"Transfer-Encoding: chunked\r\n" if is_chunked else b""
         if length is not None:
             framing = b"Content-Length: %d\r\n" % length
         close = b"" if self._stays_open() else b"Connection: close\r\n"
         self.transport.write(b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (framing, response.header_lines, close))
         stall_s = self.server.timeouts.stall_s
-        self.streamed_response = StreamedResponse(self.loop, self.transport, source, chunked, stall_s)
+        self.streamed_response = StreamedResponse(self.loop, self.transport, source, is_chunked, stall_s)
         if response.body:
             self.streamed_response.send_part(response.body)
         self._update_request_timer()
@@ -300,14 +308,14 @@
             self.is_closed = True
             reset_connection(self.transport)
             return
-        if self.writing_paused:  # the unwritten rest is still subject to the timeout
+        if self.is_writing_paused:  # the unwritten rest is still subject to the timeout
             self.pause_writing()
         self._response_written(self._stays_open() and self.upload is None)
         self._schedule_next()
 
     def pause_writing(self) -> None:
         """Bounds memory: a client that does not read is not served, and is aborted after a while."""
-        self.writing_paused = True
+        self.is_writing_paused = True
         if self.streamed_response is not None:
             self.streamed_response.source.set_reading_paused(True)
         elif self.transport is not None and self.stall_timer is None:
@@ -316,7 +324,7 @@
             )
 
     def resume_writing(self) -> None:
-        self.writing_paused = False
+        self.is_writing_paused = False
         if self.stall_timer is not None:
             self.stall_timer.cancel()
             self.stall_timer = None
@@ -348,7 +356,7 @@
 
     def reject(self, error: BadRequestError) -> None:
         """Respond with a plain 4xx or 501, and close the connection."""
-        LOG.info("request refused", extra={"status": error.status, "why": str(error)})
+        LOG.info("request rejected", extra={"status": error.status, "why": str(error)})
         self.server.driver.metrics.request_malformed(error.status)
         if self.discards_body:  # there was a response already
             self._linger()
--- a/woadyard/net/config.py
+++ b/woadyard/net/config.py
@@ -94,9 +94,9 @@
 
 
 def state_file_path(environ: dict[str, str], raw: dict[str, Any]) -> Path | None:
-    """Return the path of the state file; it has the sidecar's name in it, as several may share the folder."""
-    folder, name = environ.get("TMPDIR"), str(environ.get("LB_NAME") or raw.get("name", ""))
-    return Path(folder) / f"woadyard-{quote(name, safe='')}.json" if folder else None
+    """Return the path of the state file, named after the sidecar, as several may share the directory."""
+    directory, name = environ.get("TMPDIR"), str(environ.get("LB_NAME") or raw.get("name", ""))
+    return Path(directory) / f"woadyard-{quote(name, safe='')}.json" if directory else None
 
 
 def read_config(environ: dict[str, str]) -> Config:
--- a/woadyard/net/discovery.py
+++ b/woadyard/net/discovery.py
@@ -114,7 +114,7 @@
         if uses_push != self.uses_push:
             self._apply_push_mode(uses_push)
             if uses_push and not self.is_watching:
-                self.set_watch(True)  # the policy, which would have asked again, no longer does
+                self.set_watch(True)  # the policy, which would have called again, no longer does
 
     def change_address(self, addresses: str) -> None:
         """Switch to other addresses.
@@ -252,7 +252,7 @@
             LOG.warning(LOST_MESSAGE, extra=fields)
         self.replica_index = (self.replica_index + 1) % len(self.replicas)
         if not self.uses_push and not self.is_moving:
-            self.on_failed()  # the policy decides when to ask again
+            self.on_failed()  # the policy decides when to call again
         elif stream is self.stream:
             # Full jitter: sidecars that lost their watches together come back spread over the whole
             # backoff interval, not in step at its middle.
--- a/woadyard/net/driver.py
+++ b/woadyard/net/driver.py
@@ -272,8 +272,8 @@
                 self.requests.reject(request, retry_after_us)
             case Fail(request):
                 self.requests.fail(request)
-            case Cancel(request, copy):
-                self.attempts.cancel(request, copy)
+            case Cancel(request, attempt_index):
+                self.attempts.cancel(request, attempt_index)
             case Close(endpoint):
                 self.upstream.close_idle(endpoint)
             case Watch(on):
@@ -287,6 +287,6 @@
                 if self.shared is not None:
                     self.shared.publish(endpoint, state)
             case Log(text):
-                LOG.info("module", extra={"text": text})
+                LOG.info("balancer message", extra={"text": text})
             case _:
                 raise TypeError(f"{action!r} is not supported by this deployment")
--- a/woadyard/net/endpoint_connection.py
+++ b/woadyard/net/endpoint_connection.py
@@ -175,8 +175,8 @@
     def end_body(self) -> None:
         """Finish a streamed body."""
         assert self.transport is not None and self.upload is not None
-        chunked, self.upload = self.upload.length is None, None
-        if chunked:
+        is_upload_chunked, self.upload = self.upload.length is None, None
+        if is_upload_chunked:
             self.transport.write(LAST_CHUNK)
         self.is_request_unwritten = self.transport.get_write_buffer_size() > 0
 
--- a/woadyard/net/experiment_counts.py
+++ b/woadyard/net/experiment_counts.py
@@ -16,7 +16,7 @@
 from woadyard.interface import Arrival, Outcome, Send, Settings
 
 FAILED_STATUS = 500  # this status and above count as failures
-# Returns the index of the arm that the policy module assigns to a request; None if there is none.
+# Returns the index of the arm that the balancer assigns to a request; None if there is none.
 AssignArm = Callable[[Arrival], int | None]
 ListCallback = Callable[[int, list[dict[str, Any]]], None]
 
--- a/woadyard/net/experiment_participant.py
+++ b/woadyard/net/experiment_participant.py
@@ -15,7 +15,7 @@
 from woadyard.experiment.messages import Directive, read_directive
 from woadyard.net.experiment_counts import ExperimentCounts
 
-# Puts a directive in force in the policy module; None ends the experiment.
+# Puts a directive in force in the balancer; None ends the experiment.
 ApplySplit = Callable[[Directive | None], None]
 
 
--- a/woadyard/net/gossip.py
+++ b/woadyard/net/gossip.py
@@ -42,8 +42,8 @@
 CALL_TIMEOUT_S = 2.0
 # Lease of this sidecar's entry at the list service, renewed three times within its duration.
 LEASE_S = 6.0
-# While the policy module holds a verdict, it is published again after this share of its
-# TTL, and for at most so many bounds after the module's last update: a failing endpoint is
+# While the balancer holds a verdict, it is published again after this share of its
+# TTL, and for at most this many bounds after the balancer's last update: a failing endpoint is
 # chosen too rarely to fail once within each bound, and an idle sidecar must not report an
 # endpoint as failing for ever.
 VERDICT_RENEW_SHARE, VERDICT_HOLD_BOUNDS = 0.25, 3.0
--- a/woadyard/net/limit_shares.py
+++ b/woadyard/net/limit_shares.py
@@ -1,4 +1,4 @@
-"""Leases this process's shares of the endpoint limits, renews them, and passes the caps to the policy module.
+"""Leases this process's shares of the endpoint limits, renews them, and passes the caps to the balancer.
 
 Without a lease (before the first grant, or when the service is down for longer than the
 lease lasts) this process may have `limit_floor` attempts in flight at each endpoint. With a
@@ -62,7 +62,7 @@
         )
 
     def announce_caps(self) -> None:
-        """Pass the current caps to the policy module; repeated after each list, which may add endpoints."""
+        """Pass the current caps to the balancer; repeated after each list, which may add endpoints."""
         caps = {int(key): cap for key, cap in self.lease.usable_caps(_now_us()).items()}
         floor = self.settings.limit_floor
         self.hooks.apply_limits({number: max(floor, cap) for number, cap in caps.items()}, floor)
--- a/woadyard/net/reporter.py
+++ b/woadyard/net/reporter.py
@@ -202,7 +202,7 @@
     def _set_shut_out(self, is_shut_out: bool) -> None:
         if is_shut_out != self.is_shut_out:
             self.is_shut_out = is_shut_out
-            LOG.warning("shut out by the audit" if is_shut_out else "let in again")
+            LOG.warning("shut out by the audit" if is_shut_out else "shut-out ended")
             self.handlers.set_shut_out(is_shut_out)
 
     def _expire_shut_out(self) -> None:
--- a/woadyard/net/requests.py
+++ b/woadyard/net/requests.py
@@ -15,31 +15,31 @@
 class Requests:
     """The calls that are open or have attempts in flight, by request number."""
 
-    def __init__(self, turns: EventDispatcher, shared: SharedState | None) -> None:
-        self.turns, self.shared = turns, shared
+    def __init__(self, dispatcher: EventDispatcher, shared: SharedState | None) -> None:
+        self.dispatcher, self.shared = dispatcher, shared
         self.calls: dict[int, Call] = {}
         self.next_id = 0
         # Ends an attempt with this outcome.
         self.stop_attempt: Callable[[Attempt, int], None] = lambda attempt, outcome: None
 
     def accept(self, call: Call) -> None:
-        """Number the request, start its deadline and pass it to the decision module."""
+        """Number the request, start its deadline and pass it to the balancer."""
         self.next_id += 1
         call.id, call.received_us = self.next_id, now_us()
-        self.turns.metrics.request_received()
+        self.dispatcher.metrics.request_received()
         self.calls[call.id] = call
         is_uploading = call.upload is not None and not call.upload.is_complete
         if not is_uploading:
-            call.timer = self.turns.call_at(call.expires_us, self._expire, call)
+            call.timer = self.dispatcher.call_at(call.expires_us, self._expire, call)
         home = self.shared.affinity.home(call.affinity) if self.shared and call.affinity else None
         affinity = xxh3_64_intdigest(call.affinity) if call.affinity else 0
         event = Arrival(
             call.id, call.cls, call.expires_us, call.tenant, call.key, call.work_us, call.is_retry, home,
             is_uploading, affinity,
         )  # fmt: skip
-        if (observer := self.turns.observer) is not None:
+        if (observer := self.dispatcher.observer) is not None:
             observer.request_accepted(call.received_us, event)
-        self.turns.dispatch(self.turns.balancer.request, event, call=call)
+        self.dispatcher.dispatch(self.dispatcher.balancer.request, event, call=call)
 
     def body_complete(self, call: Call, expires_us: int) -> None:
         """The last byte of a streamed body was received: the request's deadline runs from now."""
@@ -47,24 +47,24 @@
             return
         call.expires_us = expires_us
         if call.streaming_attempt is None:
-            call.timer = self.turns.call_at(expires_us, self._expire, call)
+            call.timer = self.dispatcher.call_at(expires_us, self._expire, call)
         for attempt in call.attempts:
             attempt.timeout_at_us = min(attempt.timeout_at_us, expires_us)
-        self.turns.dispatch(self.turns.balancer.whole, call.id, expires_us, call=call)
+        self.dispatcher.dispatch(self.dispatcher.balancer.whole, call.id, expires_us, call=call)
 
     def upload_stalled(self, call: Call) -> None:
         """The endpoint accepts no more of a body: it cannot have run a request that it does not have."""
-        # A copy of the list: the module may start the next attempt upon the end of this one.
+        # A copy of the list: the balancer may start the next attempt upon the end of this one.
         for attempt in [*call.attempts]:
             self.stop_attempt(attempt, NO_CONNECT)
 
     def client_disconnected(self, call: Call) -> None:
         if not call.is_open:
             return
-        if (observer := self.turns.observer) is not None and call.streaming_attempt is None:
+        if (observer := self.dispatcher.observer) is not None and call.streaming_attempt is None:
             observer.request_answered(now_us(), call.id, 0)
         self.close(call)
-        self.turns.dispatch(self.turns.balancer.gone, call.id)
+        self.dispatcher.dispatch(self.dispatcher.balancer.gone, call.id)
         if call.streaming_attempt is not None:
             self.stop_attempt(call.streaming_attempt, CANCELLED)
         elif call.upload is not None and not call.upload.is_complete:
@@ -76,28 +76,28 @@
         if call.is_open and call.streaming_attempt is None:
             may_have_run = any(attempt.was_written for attempt in call.attempts)
             self.send_response(call, Response(504 if may_have_run else 503))
-            self.turns.dispatch(self.turns.balancer.gone, call.id)
+            self.dispatcher.dispatch(self.dispatcher.balancer.gone, call.id)
 
     def _expire(self, call: Call) -> None:
-        """The client's deadline: attempts in flight time out, and the module decides on the response."""
+        """The client's deadline: attempts in flight time out, and the balancer decides on the response."""
         for attempt in call.attempts:
             self.stop_attempt(attempt, TIMEOUT)
-        if call.is_open:  # the module queued the request up to the end; the client still gets a response
+        if call.is_open:  # the balancer queued the request up to the end; the client still gets a response
             self.send_response(call, Response(504))
-            self.turns.dispatch(self.turns.balancer.gone, call.id)
+            self.dispatcher.dispatch(self.dispatcher.balancer.gone, call.id)
 
     def reject(self, request_id: int, after_us: int) -> None:
-        """Carry out the module's refusal; `after_us` above 0 is sent to the client as Retry-After."""
+        """Carry out the balancer's rejection; `after_us` above 0 is sent to the client as Retry-After."""
         if (call := self.open_call(request_id)) is None:
             return
-        self.turns.metrics.request_rejected()
-        if (observer := self.turns.observer) is not None:
+        self.dispatcher.metrics.request_rejected()
+        if (observer := self.dispatcher.observer) is not None:
             observer.request_refused(now_us(), request_id)
         retry_after = b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us > 0 else b""
         self.send_response(call, Response(503, retry_after))
 
     def fail(self, request_id: int) -> None:
-        """Carry out the module's decision to attempt no more."""
+        """Carry out the balancer's decision to attempt no more."""
         if (call := self.open_call(request_id)) is not None:
             self.send_response(call, Response(504 if now_us() >= call.expires_us else 502))
 
@@ -109,8 +109,8 @@
     def record_response(self, call: Call, status: int) -> None:
         """Report the status of the final response to the metrics and the observer."""
         now = now_us()
-        self.turns.metrics.response_sent(status, now - call.received_us)
-        if (observer := self.turns.observer) is not None:
+        self.dispatcher.metrics.response_sent(status, now - call.received_us)
+        if (observer := self.dispatcher.observer) is not None:
             observer.request_answered(now, call.id, status)
 
     def close(self, call: Call) -> None:
@@ -122,7 +122,9 @@
         for attempt in call.attempts:
             # An attempt that may not be cancelled relied on the call's timer; a streaming one has none.
             if attempt.in_flight and attempt.timer is None and attempt is not call.streaming_attempt:
-                attempt.timer = self.turns.call_at(attempt.timeout_at_us, self.stop_attempt, attempt, TIMEOUT)
+                attempt.timer = self.dispatcher.call_at(
+                    attempt.timeout_at_us, self.stop_attempt, attempt, TIMEOUT
+                )
         self.discard_if_finished(call)
 
     def discard_if_finished(self, call: Call) -> None:
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -23,7 +23,7 @@
 # long to send its request.
 KEEP_ACCEPTING_S, LAST_REQUEST_WAIT_S = 0.4, 0.15
 # SIGKILL follows SIGTERM no sooner than the longest deadline, counted as at most 3 s, plus
-# 0.7 s. What was accepted after SIGTERM is answered `RESPONSE_MARGIN_S` before that, and
+# 0.7 s. What was accepted after SIGTERM gets its response `RESPONSE_MARGIN_S` before that, and
 # client connections are kept until `RESPONSE_TIME_S` are left for those responses.
 MAX_DEADLINE_S, SIGKILL_DELAY_S = 3.0, 0.7
 RESPONSE_MARGIN_S, RESPONSE_TIME_S = 0.3, 1.0
@@ -102,7 +102,7 @@
         """Raise BadRequestError where the id is invalid, or was claimed by another request.
 
         Protects endpoints from duplicated requests: running one twice violates the rules on
-        repeats, and whichever endpoint answers the duplicate is blamed for it.
+        repeats, and whichever endpoint responds to the duplicate is blamed for it.
         """
         if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES:
             raise BadRequestError(400, "X-Request-Id is missing, duplicated or too long")
@@ -135,7 +135,7 @@
         self.has_shared_socket = True
         listening_socket = socket.socket(fileno=descriptor)
         if not listening_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            listening_socket.detach()  # it belongs to somebody else, and must not be closed
+            listening_socket.detach()  # it belongs to the platform, and must not be closed
             raise OSError(f"descriptor {descriptor} is not a listening socket")
         self.listener = await self.driver.loop.create_server(
             lambda: ClientConnection(self), sock=listening_socket, backlog=BACKLOG
@@ -206,15 +206,15 @@
         Those that became idle just now come last: the next request may be on its way, and would be lost.
         """
         now = self.driver.loop.time()
-        linger_limit, request_limit = (
+        linger_limit_s, request_limit_s = (
             now - self.timeouts.overload_linger_s,
             now - self.timeouts.overload_request_s,
         )
-        yield from (c for c, since in self.lingering_since.items() if since <= linger_limit)
+        yield from (c for c, since_s in self.lingering_since.items() if since_s <= linger_limit_s)
         awaited = (c for c in self.connections if c.request_timer is not None and c.call is None)
-        overdue = [c for c in awaited if c.awaiting_since_s <= request_limit]
+        overdue = [c for c in awaited if c.awaiting_since_s <= request_limit_s]
         yield from (c for c in overdue if not c.parser.is_reading)
-        yield from (c for c, since in self.idle_since.items() if since <= request_limit)
+        yield from (c for c, since_s in self.idle_since.items() if since_s <= request_limit_s)
         yield from overdue
         yield from self.idle_since
 
@@ -222,9 +222,9 @@
         """Close connections that were idle for too long; one timer serves all connections."""
         self.sweep_timer = None
         loop = self.driver.loop
-        for connection, since in list(self.idle_since.items()):
-            if since + self.timeouts.idle_s > loop.time():
-                self.sweep_timer = loop.call_at(since + self.timeouts.idle_s, self._close_expired)
+        for connection, since_s in list(self.idle_since.items()):
+            if since_s + self.timeouts.idle_s > loop.time():
+                self.sweep_timer = loop.call_at(since_s + self.timeouts.idle_s, self._close_expired)
                 break
             self.close_connection(connection)
 
@@ -275,7 +275,7 @@
         self.lingering_since[connection] = self.driver.loop.time()
 
     def _check_pending_response(self, connection: ClientConnection) -> None:
-        """Report an invariant violation if a connected client is still owed a response."""
+        """Report an invariant violation if a connected client still awaits a response."""
         if connection.detector is not None and not connection.detector.is_disconnected():
             self.driver.attempts.invariants.check_closed(connection.call)
 
--- a/woadyard/net/state.py
+++ b/woadyard/net/state.py
@@ -177,7 +177,7 @@
                 self._claim()
             is_alone = self.other_path is None or not self._is_locked(self.other_path)
         except OSError:
-            return  # no folder for the lock files
+            return  # no directory for the lock files
         if is_alone != self.is_alone:
             self.is_alone = is_alone
             self.on_change(is_alone)
--- a/woadyard/net/streamed_response.py
+++ b/woadyard/net/streamed_response.py
@@ -14,7 +14,7 @@
     """
 
     __slots__ = (
-        "chunked", "last_checked_bytes", "loop", "relayed", "source", "stall_s", "timer", "transport",
+        "is_chunked", "last_checked_bytes", "loop", "relayed", "source", "stall_s", "timer", "transport",
     )  # fmt: skip
 
     def __init__(
@@ -22,11 +22,11 @@
         loop: asyncio.AbstractEventLoop,
         transport: asyncio.Transport,
         source: EndpointStream,
-        chunked: bool,
+        is_chunked: bool,
         stall_s: float,
     ) -> None:
         self.loop, self.transport, self.source = loop, transport, source
-        self.chunked, self.stall_s = chunked, stall_s
+        self.is_chunked, self.stall_s = is_chunked, stall_s
         # Bytes received from the endpoint, and of them sent to the client by the last check.
         self.relayed, self.last_checked_bytes = 0, -1
         self.timer: asyncio.TimerHandle | None = None
@@ -34,7 +34,7 @@
     def send_part(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.relayed += len(data)
-            self.transport.write(encode_chunk(data) if self.chunked else data)
+            self.transport.write(encode_chunk(data) if self.is_chunked else data)
 
     def check_progress(self) -> None:
         """Check periodically that bytes reach the client; otherwise end the side that holds them up."""
@@ -51,5 +51,5 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if is_complete and self.chunked and not self.transport.is_closing():
+        if is_complete and self.is_chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
--- a/woadyard/net/timeouts.py
+++ b/woadyard/net/timeouts.py
@@ -18,7 +18,7 @@
     stall_s: float = 10.0
     # For an idle connection between requests: clients reuse theirs well within this time.
     idle_s: float = 5.0
-    # At the socket limit, connections that have owed a request for this long are closed
+    # At the socket limit, connections whose request has been awaited for this long are closed
     # first: no connection may be closed sooner.
     overload_request_s: float = 2.0
     # For a rejected connection to read its 4xx before it is aborted.
--- a/woadyard/ops/metrics.py
+++ b/woadyard/ops/metrics.py
@@ -41,7 +41,7 @@
         """Count a request that admission rejected without an attempt."""
 
     def request_malformed(self, status: int) -> None:
-        """Count a request answered with this 4xx status before it was accepted."""
+        """Count a request rejected with this 4xx status before it was accepted."""
 
     def ban_changed(self, is_banned: bool) -> None:
         """Count an endpoint that an operator detached (True) or attached again."""
--- a/woadyard/policy/admission.py
+++ b/woadyard/policy/admission.py
@@ -1,6 +1,6 @@
 """Admission control at the entry tier, from the results of this sidecar's own requests.
 
-A result is what became of one admitted request. Pending requests are the admitted ones without a result.
+A result is the outcome of one admitted request. Pending requests are the admitted ones without a result.
 """
 
 from math import exp, log, sqrt
@@ -12,22 +12,22 @@
 # there are always trials.
 TARGET_IN_TIME_SHARE, SHEDDING_TARGET_FACTOR, MIN_ADMIT_SHARE = 0.85, 0.5, 0.1
 # A window is this multiple of the current latency, because the result of a decision comes that late, and at
-# least so many results. A window of good results raises the admitted share by at most this factor.
+# least this many results. A window of good results raises the admitted share by at most this factor.
 WINDOW_LATENCIES, MIN_WINDOW_RESULTS, MAX_WINDOW_RISE = 2.0, 5, 2.0
 # Good results save up as much as one bad result takes, so that a single heavy request rejects nobody.
 MAX_ADMIT_SHARE = MAX_WINDOW_RISE ** (
     TARGET_IN_TIME_SHARE / (1.0 - TARGET_IN_TIME_SHARE) / MIN_WINDOW_RESULTS
 )
-# Bounds on pending requests: a multiple of what the same rate of results has pending without load (Little's
-# law), plus so many standard deviations. The first pair allows a burst. Once more than the second pair allows
-# was pending for a whole window, that is the bound, until no more was pending for two windows: a burst
-# passes, a standing queue does not.
+# Bounds on pending requests: a multiple of the number that the same rate of results keeps pending without
+# load (Little's law), plus a number of standard deviations. The first pair allows a burst. Once more than the
+# second pair allows was pending for a whole window, that is the bound, until no more was pending for two
+# windows: a burst passes, a standing queue does not.
 BURST_MULTIPLE, BURST_DEVIATIONS, STANDING_MULTIPLE, STANDING_DEVIATIONS = 2.0, 1.5, 1.3, 0.5
 # The base latency (without load): the results and the windows it is averaged over; its rise per window, slow
 # enough that a long queue is not soon taken for normal; and the largest part of the aim it may be, because a
 # sidecar that starts into an overload would learn the latency of that.
 BASE_SAMPLES, BASE_WINDOWS, BASE_RISE_PER_WINDOW, MAX_BASE_AIM_SHARE = 30, 2, 0.01, 0.5
-# The floor, the pending requests that are always allowed: so many for each endpoint that falls to this
+# The floor, the pending requests that are always allowed: a number for each endpoint that falls to this
 # sidecar, up to a maximum; the factors while the base latency is unknown and while a queue stands; the least
 # floor without a queue, and where latencies are high, since the floors of many sidecars add up.
 FLOOR_PER_ENDPOINT, MAX_FLOOR, UNKNOWN_BASE_FLOOR_FACTOR, STANDING_FLOOR_FACTOR, MIN_FLOOR, MIN_SLOW_FLOOR = (
@@ -41,13 +41,13 @@
 
 
 class Admission:
-    """Prevents congestion collapse, in which queues make every response late and clients' retries keep them.
+    """Prevents congestion collapse: queues make every response late, and clients' retries keep them full.
 
     Once the share of responses in time falls, fewer requests are admitted.
     """
 
     def __init__(self, aim_us: float) -> None:
-        # Latency by now, averaged over more windows, without load (the least of these), and the mean aim.
+        # Latency of late, averaged over more windows, and without load (the minimum of these); the mean aim.
         self.recent_latency_us = self.smoothed_latency_us = self.base_latency_us = self.mean_aim_us = aim_us
         # Results in all; results and admitted requests of late, with exponential decay.
         self.result_count, self.weighted_results, self.weighted_admitted = 0, 0.0, 0.0
--- a/woadyard/policy/balancer.py
+++ b/woadyard/policy/balancer.py
@@ -340,7 +340,7 @@
             self.admission.record_result(now, took_us, in_time, outcome == OK, request.cls.aim_us)
 
     def _refuse_or_fail(self, now: int, request: Request) -> None:
-        """Give the final answer of an unserved request; `Refuse` promises that a retry is harmless."""
+        """Give the final response of an unserved request; `Refuse` promises that a retry is harmless."""
         if request.response_started_us:
             return
         # The client may return when this sidecar would retry; longer delays made clients return together.
--- a/woadyard/policy/health.py
+++ b/woadyard/policy/health.py
@@ -15,12 +15,13 @@
 OTHER_FAILURE_POWER = 0.5  # power of that factor for the other classes and tenants
 # Mean latencies for which a full endpoint is skipped: the retries of all sidecars would keep it full.
 FULL_PAUSE = 1.0
-# A success restores the first share of the lost health. Time restores it with a memory of so many longest
-# aims, and of at least so many sends, as sidecars that send little would otherwise retry a failing endpoint
-# too often. Each consecutive failure doubles the memory, at most so many times.
+# A success restores the first share of the lost health. Time restores it with a memory of `RECOVERY_AIMS`
+# longest aims, and of at least `RECOVERY_SENDS` sends, as sidecars that send little would otherwise retry a
+# failing endpoint too often. Each consecutive failure doubles the memory, up to `MAX_RECOVERY_DOUBLINGS`
+# times.
 SUCCESS_RECOVERY, RECOVERY_AIMS, RECOVERY_SENDS, MAX_RECOVERY_DOUBLINGS = 0.2, 1.5, 3.0, 4
 MIN_HEALTH = 0.01  # keeps half-open trials coming, by which an endpoint returns
-STALL_DEVIATIONS = 4.0  # a response overdue by so many deviations over the mean marks an endpoint as stalled
+STALL_DEVIATIONS = 4.0  # a response overdue by this many deviations over the mean marks a stalled endpoint
 # Reported to the other sidecars: consecutive failures, and the multiple of its peers' latency.
 EJECT_FAILURES, DEGRADED_LATENCY_RATIO = 3.0, 3.0
 # Share of the cold budget that is used: the rest covers sidecars with more traffic, and heavier requests.
--- a/woadyard/policy/lease.py
+++ b/woadyard/policy/lease.py
@@ -10,7 +10,7 @@
 
 from math import inf
 
-# A change is binding so long after it was made, and so long after discovery's new address was published.
+# Time until a change binds: after it was made, and after discovery's new address was published.
 BINDING_US, ADDRESS_CHANGE_BINDING_US = 6_000_000, 4_000_000
 # Allowance for heartbeats that are read late, and for a process suspended between its clock and its write.
 LEASE_MARGIN_US = 500_000
--- a/woadyard/policy/membership.py
+++ b/woadyard/policy/membership.py
@@ -61,7 +61,9 @@
         if endpoint_id not in self.banned:
             return
         still_cold = {
-            other: at for other, at in self.attached_us.items() if now < at + self.ctx.settings.cold_us
+            other: attached_at_us
+            for other, attached_at_us in self.attached_us.items()
+            if now < attached_at_us + self.ctx.settings.cold_us
         }
         self.attached_us = still_cold | {endpoint_id: now}
         if (entry := self.banned.pop(endpoint_id)) and self._apply_entry(now, entry):
--- a/woadyard/policy/picker.py
+++ b/woadyard/policy/picker.py
@@ -82,10 +82,10 @@
         if now >= zone_router.refresh_us:
             capacity, healthy = [0.0] * len(groups_by_zone), [0.0] * len(groups_by_zone)
             for candidate in self.ring.ready_endpoints():
-                warm = candidate.rating * self.slow_start.capacity_share(now, candidate)
-                capacity[candidate.zone] += warm
+                current_capacity = candidate.rating * self.slow_start.capacity_share(now, candidate)
+                capacity[candidate.zone] += current_capacity
                 healthy[candidate.zone] += (
-                    warm
+                    current_capacity
                     * self.health.current(now, candidate, 0)
                     * (not self.health.is_stalled(now, candidate))
                 )
--- a/woadyard/policy/zones.py
+++ b/woadyard/policy/zones.py
@@ -78,6 +78,6 @@
                         and (region == self.settings.regions[self.own_zone]) == is_same_region
                     )
                 fraction = min(1.0, (1.0 - sum(shares)) / max(sum(spare), 1e-9))
-                shares = [share + fraction * room for share, room in zip(shares, spare, strict=True)]
+                shares = [share + fraction * surplus for share, surplus in zip(shares, spare, strict=True)]
         self.cumulative_shares = list(accumulate(shares))
         return shares
--- a/woadyard/shared/limit_lease.py
+++ b/woadyard/shared/limit_lease.py
@@ -15,7 +15,7 @@
     """Caps by resource that a holder may use, and when they expire by its own clock."""
 
     def __init__(self, margin_us: int) -> None:
-        self.margin_us = margin_us  # an attempt started just before the end runs for so long
+        self.margin_us = margin_us  # an attempt started just before the end may run this long
         self.caps: dict[str, int] = {}
         self.expires_us = 0
         self.seq = 0
--- a/woadyard/shared/verdicts.py
+++ b/woadyard/shared/verdicts.py
@@ -4,7 +4,7 @@
 it the weight of a half-open trial. At most a configured share of the listed endpoints is
 lowered, first those ejected by a quorum, then those with the most accusers, so that neither
 one faulty sidecar nor many together can take the whole fleet out of use. A sidecar's own
-observations count in its own policy module, and nothing here raises trust above that.
+observations count in its own balancer, and nothing here raises trust above that.
 """
 
 from __future__ import annotations
--- a/woadyard/wire.py
+++ b/woadyard/wire.py
@@ -134,7 +134,7 @@
     return now, count, body[start:]
 
 
-def tail_bytes(tail: memoryview, offset: int, length: int) -> bytes:
+def read_tail(tail: memoryview, offset: int, length: int) -> bytes:
     if offset + length > len(tail):
         raise WireError("a record refers to bytes past the end of the tail")
     return bytes(tail[offset : offset + length])
@@ -145,10 +145,10 @@
     end = offset + count * ENTRY.size
     if end > len(tail):
         raise WireError("a list extends past the end of the tail")
-    return tuple(_entries(tail[offset:end]))
+    return tuple(_decode_entries(tail[offset:end]))
 
 
-def _entries(raw: memoryview) -> Iterator[interface.Entry]:
+def _decode_entries(raw: memoryview) -> Iterator[interface.Entry]:
     for boot, rating, endpoint, cell, zone, phase, kind in ENTRY.iter_unpack(raw):
         if phase not in PHASES:
             raise WireError(f"unknown phase {phase}")
@@ -163,12 +163,12 @@
     """
     try:
         info = json.loads(raw)
-        return _settings(info)
+        return _build_settings(info)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise WireError(f"invalid settings: {type(error).__name__}: {error}") from None
 
 
-def _settings(info: dict[str, Any]) -> interface.Settings:
+def _build_settings(info: dict[str, Any]) -> interface.Settings:
     ceilings = info.get("ceilings", {})
     invariants = info.get("invariants", {})
     report = info.get("load-report", {})
@@ -182,7 +182,7 @@
         zones=max(1, len(info.get("zones", ()))),
         stage=int(info.get("stage", 0)),
         stages=max(1, len(info.get("layers", ()))),
-        classes=tuple(_request_class(entry) for entry in info["classes"]),
+        classes=tuple(_build_request_class(entry) for entry in info["classes"]),
         tenants=tuple(float(account.get("allowance-per-s", 0.0)) for account in info.get("accounts", ())),
         over_share_worth=float(info.get("over-share-worth", 1.0)),
         worth_by_work=info.get("worth-by", "request") == "work",
@@ -233,7 +233,7 @@
     )
 
 
-def _request_class(entry: dict[str, Any]) -> interface.RequestClass:
+def _build_request_class(entry: dict[str, Any]) -> interface.RequestClass:
     effect = EFFECTS[entry["repeat"]]
     scope = SCOPES[entry.get("dedup-scope") or "all"] if effect == interface.KEYED else interface.SCOPE_ALL
     return interface.RequestClass(
