--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -25,7 +25,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from benchmarks.metrics_cost import load
-from benchmarks.whatif_cost import REQUESTS, TURNS, cpu_s, sidecar
+from benchmarks.whatif_cost import REQUESTS, TURNS, cpu_s, launch_sidecar
 from tests.process import free_port
 from tests.sockets import Endpoint, FakeDiscovery
 from tests.test_registry import register, service
@@ -168,7 +168,7 @@
             lists = await service(Path(name) / "data", port)
             audit = {"audit": {"service": f"127.0.0.1:{port}"}}
             running = {
-                kind: await sidecar(Path(name) / kind, registry, endpoint, **changes)
+                kind: await launch_sidecar(Path(name) / kind, registry, endpoint, **changes)
                 for kind, changes in {"off": {}, "on": audit}.items()
             }
             for turn in range(TURNS + 1):
--- a/benchmarks/whatif_cost.py
+++ b/benchmarks/whatif_cost.py
@@ -36,7 +36,7 @@
         return (int(fields[11]) + int(fields[12])) / TICKS
 
 
-def alone(sample: float) -> float:
+def recorder_cpu_us(sample: float) -> float:
     """CPU µs of the recorder's calls for one request, without a sidecar around."""
     made = Recorder(RecordSettings(sample=sample), "s", 1, 0)
     told = [
@@ -52,7 +52,7 @@
     return (time.process_time() - began) / ALONE * 1e6
 
 
-async def sidecar(
+async def launch_sidecar(
     folder: Path, registry: FakeDiscovery, endpoint: Endpoint, **changes: Any
 ) -> tuple[Process, int]:
     folder.mkdir()
@@ -64,14 +64,14 @@
     return process, port
 
 
-async def one_sidecar() -> tuple[float, dict[str, Any]]:
+async def measure_sidecar_process() -> tuple[float, dict[str, Any]]:
     """CPU µs a request of a sidecar's process without `record`, and memory with and without."""
     endpoint, registry, memory = Endpoint(), FakeDiscovery(), {}
     with TemporaryDirectory() as name:
         async with await endpoint.start(), await registry.start():
             parts: dict[str, dict[str, Any]] = {"record": {"record": {}}, "off": {}}
             for kind, changes in parts.items():
-                process, port = await sidecar(Path(name) / kind, registry, endpoint, **changes)
+                process, port = await launch_sidecar(Path(name) / kind, registry, endpoint, **changes)
                 memory[f"rss_kb_{kind}"] = _rss_kb(process.pid)
                 await load(port, REQUESTS)
                 before = cpu_s(process.pid)
@@ -83,7 +83,7 @@
     return took, memory
 
 
-async def in_turns() -> list[float]:
+async def measure_recording_cost() -> list[float]:
     """What recording adds to a request, CPU µs, in each pair of turns of one process."""
     recorder, added = Recorder(RecordSettings(), "s", 1, 0), []
     async with run_sidecar(Endpoint()) as one:
@@ -100,14 +100,14 @@
 
 
 async def main() -> None:
-    base, memory = await one_sidecar()
-    added = await in_turns()
+    base, memory = await measure_sidecar_process()
+    added = await measure_recording_cost()
     low, middle, high = statistics.quantiles(added, n=4)
     told = {
         "sidecar_us_a_request": round(base, 1), "recording_adds_us": round(middle, 2),
         "quartiles_us": [round(low, 2), round(high, 2)], "ratio": round(middle / base, 4), **memory,
-        "recorder_alone_us": round(min(alone(1.0) for _ in range(3)), 2),
-        "recorder_alone_a_tenth_us": round(min(alone(0.1) for _ in range(3)), 2),
+        "recorder_alone_us": round(min(recorder_cpu_us(1.0) for _ in range(3)), 2),
+        "recorder_alone_a_tenth_us": round(min(recorder_cpu_us(0.1) for _ in range(3)), 2),
         "load_1min": os.getloadavg()[0],
     }  # fmt: skip
     print(json.dumps(told))
--- a/benchmarks/whatif_fidelity.py
+++ b/benchmarks/whatif_fidelity.py
@@ -27,15 +27,15 @@
 import numpy as np
 from scipy.stats import kendalltau
 
-from benchmarks.whatif_world import record, whole
+from benchmarks.whatif_world import fetch_recording, record_traces
 from tests.sockets import SETTINGS, read_message
 from woadyard.net.driver import Driver
 from woadyard.net.recorder import Recorder, RecordSettings
 from woadyard.net.server import Server
 from woadyard.net.upstream import Upstream
 from woadyard.whatif.settings import Rules
-from woadyard.whatif.study import Work
-from woadyard.whatif.tally import quantile
+from woadyard.whatif.study import PlanEvaluator
+from woadyard.whatif.tally import histogram_quantile
 from woadyard.whatif.weights import resolve
 from woadyard.wire import read_settings
 
@@ -174,7 +174,7 @@
     callers.start()
     while callers.is_alive():
         await asyncio.sleep(0.05)
-    return [whole(one) for one in recorders]
+    return [fetch_recording(one) for one in recorders]
 
 
 @contextlib.asynccontextmanager
@@ -211,14 +211,14 @@
 # --- The comparison -------------------------------------------------------------------
 
 
-def compare(work: Work, weights: dict[str, float], data: list[bytes]) -> dict[str, Any]:
-    study = work.study(weights)
-    told = Work(data, work.rules).told
+def compare(work: PlanEvaluator, weights: dict[str, float], data: list[bytes]) -> dict[str, Any]:
+    study = work.evaluate(weights)
+    told = PlanEvaluator(data, work.rules).recorded_tally
     figures = study.forecast.figures
     aim = float(told.good[0].sum() / told.count[0].sum())
-    p99 = float(quantile(told.latency[0].sum(0).astype(float), 0.99))
+    p99 = float(histogram_quantile(told.latency[0].sum(0).astype(float), 0.99))
     shares = told.sends.sum(1) / told.sends.sum()
-    names = [f"share:{name}" for name in work.scene.endpoints]
+    names = [f"share:{name}" for name in work.workload.endpoints]
     errors = [abs(figures[name].value - shares[at]) for at, name in enumerate(names)]
     covered = {
         "aim": figures["aim"].low <= aim <= figures["aim"].high,
@@ -241,17 +241,17 @@
     async with fleet(seed) as (sidecars, ports):
         baseline = await span(sidecars, ports, seed + 2, {})
         measured = [await span(sidecars, ports, seed + 10 + at, plan) for at, plan in enumerate(plans)]
-    work = Work(baseline, Rules(window_s=SPAN_S, warm_s=SETTLE_S, workers=4))
+    work = PlanEvaluator(baseline, Rules(window_s=SPAN_S, warm_s=SETTLE_S, workers=4))
     for plan, data in zip(plans, measured, strict=True):
         print(json.dumps({"seed": seed, **compare(work, plan, data)}), flush=True)
 
 
 def simulate(seed: int, plans: list[dict[str, float]]) -> None:
     span: dict[str, Any] = {"sidecars": SIDECARS, "seconds": float(SPAN_S + SETTLE_S), "rate": RATE}
-    baseline, _ = record(KINDS, seed=seed, **span)
-    work = Work(baseline, Rules(window_s=SPAN_S, warm_s=SETTLE_S, workers=4))
+    baseline, _ = record_traces(KINDS, seed=seed, **span)
+    work = PlanEvaluator(baseline, Rules(window_s=SPAN_S, warm_s=SETTLE_S, workers=4))
     for at, plan in enumerate(plans):
-        data, _ = record(KINDS, seed=seed + 1 + at, weights=plan, **span)
+        data, _ = record_traces(KINDS, seed=seed + 1 + at, weights=plan, **span)
         print(json.dumps({"seed": seed, "simulated": True, **compare(work, plan, data)}), flush=True)
 
 
--- a/benchmarks/whatif_speed.py
+++ b/benchmarks/whatif_speed.py
@@ -12,11 +12,11 @@
 import sys
 import time
 
-from benchmarks.whatif_world import record
-from woadyard.whatif.pool import play
+from benchmarks.whatif_world import record_traces
+from woadyard.whatif.pool import run_replays
 from woadyard.whatif.replay import Replay
 from woadyard.whatif.settings import Rules
-from woadyard.whatif.study import Work
+from woadyard.whatif.study import PlanEvaluator
 
 KINDS = ["small"] * 120 + ["large"] * 60 + ["old"] * 60
 PLAN = {"machineType=old": 0.3}
@@ -26,17 +26,17 @@
 def main() -> None:
     sidecars = 20 if "--small" in sys.argv else 200
     kinds = KINDS[:: 200 // sidecars]
-    data, facts = record(kinds, sidecars=sidecars, seconds=60, rate=30, seed=SEED)
+    data, facts = record_traces(kinds, sidecars=sidecars, seconds=60, rate=30, seed=SEED)
     requests = len(facts.requests.at)
     began = time.perf_counter()
-    work = Work(data, Rules(seeds=SEEDS, workers=WORKERS))
+    work = PlanEvaluator(data, Rules(seeds=SEEDS, workers=WORKERS))
     fitted = time.perf_counter() - began
     cpu, began = time.process_time(), time.perf_counter()
-    Replay(work.scene, work.model, 0, None).run()
+    Replay(work.workload, work.model, 0, None).run()
     one = time.process_time() - cpu
     began = time.perf_counter()
     jobs = [(seed, weights) for seed in range(SEEDS) for weights in (None, PLAN)]
-    play(work.data, work.model, work.frame, jobs, WORKERS)
+    run_replays(work.data, work.model, work.layout, jobs, WORKERS)
     whole = time.perf_counter() - began
     told = {
         "sidecars": sidecars, "requests": requests, "trace_bytes": sum(len(one) for one in data),
--- a/benchmarks/whatif_world.py
+++ b/benchmarks/whatif_world.py
@@ -14,15 +14,23 @@
 
 from woadyard.interface import LIST_FULL, OK, SAFE, Arrival, Outcome, RequestClass, Send, Settings
 from woadyard.net.recorder import Recorder, RecordSettings
-from woadyard.whatif.facts import Facts
-from woadyard.whatif.model import Burst, Endpoint, Model, Work, quantiles
-from woadyard.whatif.replay import Live, Replay, Sidecar
-from woadyard.whatif.ring import Piece
-from woadyard.whatif.scene import LEAD_US, Scene
-from woadyard.whatif.trace import ANSWERED, REFUSED, Asked, Listed, Retuned, Started, Trace
+from woadyard.whatif.model import EndpointModel, FailureBurst, FleetModel, WorkScaling, service_quantiles
+from woadyard.whatif.observations import Observations
+from woadyard.whatif.replay import Replay, SimulatedRequest, SimulatedSidecar
+from woadyard.whatif.ring import TracePiece
+from woadyard.whatif.trace import (
+    ANSWERED,
+    REFUSED,
+    ListApplied,
+    RecordedRequest,
+    RecordingStarted,
+    SettingsApplied,
+    Trace,
+)
+from woadyard.whatif.workload import CLOCK_START_US, Workload
 
 SECOND = 1_000_000
-KINDS = {"small": 30_000.0, "large": 12_000.0, "old": 60_000.0}  # mean service, µs
+SERVICE_MEAN_US = {"small": 30_000.0, "large": 12_000.0, "old": 60_000.0}  # mean service, µs
 SLOTS = {"small": 8, "large": 16, "old": 4}
 STATUS = {ANSWERED: 200, REFUSED: 503}
 
@@ -45,84 +53,97 @@
     ]  # fmt: skip
 
 
-def truth(kinds: list[str], slowed: dict[int, float] | None = None) -> Model:
+def true_model(kinds: list[str], slowed: dict[int, float] | None = None) -> FleetModel:
     """Gamma service (the second class twice as heavy), slots and a slight slowing by type."""
     spread = np.random.default_rng(1).gamma(4.0, 0.25, 20_000)
     made = []
     for at, kind in enumerate(kinds):
-        mean = KINDS[kind] * (slowed or {}).get(at, 1.0)
-        none = Burst(0, 0, OK, 0)
+        mean = SERVICE_MEAN_US[kind] * (slowed or {}).get(at, 1.0)
+        none = FailureBurst(0, 0, OK, 0)
         made.append(
-            Endpoint(
-                "a", SLOTS[kind], 0.02, [quantiles(spread * mean), quantiles(spread * mean * 2)],
+            EndpointModel(
+                "a", SLOTS[kind], 0.02,
+                [service_quantiles(spread * mean), service_quantiles(spread * mean * 2)],
                 [False, False], 0, 0.0, 1_000, 0.0, none, [], [], 0, 0,
             )
         )  # fmt: skip
-    return Model(made, [Work(), Work()], {})
+    return FleetModel(made, [WorkScaling(), WorkScaling()], {})
 
 
-class Watched(Replay):
+class RecordingReplay(Replay):
     """A replay whose sidecars record."""
 
     def recorders(self, sample: float) -> list[Recorder]:
         made = []
         for sidecar in self.sidecars:
-            started = sidecar.side.trace.started
+            started = sidecar.recording.trace.started
             one = Recorder(RecordSettings(65_536, sample), started.sidecar, started.seed, 0)
-            one.ring.kept.clear()
+            one.ring.frames.clear()
             one.ring.add([msgspec.structs.replace(started, sample=sample)])
-            for change in sidecar.side.trace.changes:
-                if isinstance(change, Retuned):
+            for change in sidecar.recording.trace.changes:
+                if isinstance(change, SettingsApplied):
                     one.ring.add([change], change)
-                elif isinstance(change, Listed):
+                elif isinstance(change, ListApplied):
                     one.list_applied(change.at, change.mode, change.version, change.entries)
             made.append(one)
-        self.watch = made
+        self.active_recorders = made
         return made
 
-    def arrive(self, now: int, sidecar: Sidecar, order: int, asked: Asked) -> None:
-        event = Arrival(sidecar.next + 1, asked.cls, now + asked.expires - asked.at)
-        self.watch[sidecar.number].request_accepted(now - LEAD_US, event)
-        super().arrive(now, sidecar, order, asked)
-
-    def send(self, now: int, sidecar: Sidecar, request: int, endpoint: int, timeout: int) -> None:
-        self.watch[sidecar.number].attempt_started(now - LEAD_US, Send(request, endpoint, timeout))
-        super().send(now, sidecar, request, endpoint, timeout)
-
-    def ended(self, now: int, sidecar: Sidecar, request: int, copy: int, outcome: int, sent: int) -> None:
-        live = sidecar.calls.get(request)
-        if live is not None and live.out[copy]:
-            event = Outcome(request, copy, live.to[copy], outcome, now - sent)
-            self.watch[sidecar.number].attempt_ended(now - LEAD_US, event)
-            if outcome == OK and live.open:
-                self.watch[sidecar.number].request_answered(now - LEAD_US, request, 200)
-        super().ended(now, sidecar, request, copy, outcome, sent)
-
-    def final(self, now: int, sidecar: Sidecar, request: int, end: int) -> None:
-        live: Live | None = sidecar.calls.get(request)
-        if live is not None and live.open:
-            self.watch[sidecar.number].request_answered(now - LEAD_US, request, STATUS.get(end, 502))
-        super().final(now, sidecar, request, end)
+    def on_arrival(self, now: int, sidecar: SimulatedSidecar, order: int, asked: RecordedRequest) -> None:
+        event = Arrival(sidecar.last_request_id + 1, asked.cls, now + asked.expires - asked.at)
+        self.active_recorders[sidecar.number].request_accepted(now - CLOCK_START_US, event)
+        super().on_arrival(now, sidecar, order, asked)
+
+    def start_attempt(
+        self, now: int, sidecar: SimulatedSidecar, request: int, endpoint: int, timeout: int
+    ) -> None:
+        self.active_recorders[sidecar.number].attempt_started(
+            now - CLOCK_START_US, Send(request, endpoint, timeout)
+        )
+        super().start_attempt(now, sidecar, request, endpoint, timeout)
+
+    def end_attempt(
+        self, now: int, sidecar: SimulatedSidecar, request: int, copy: int, outcome: int, sent: int
+    ) -> None:
+        live = sidecar.requests.get(request)
+        if live is not None and live.in_flight[copy]:
+            event = Outcome(request, copy, live.endpoints[copy], outcome, now - sent)
+            self.active_recorders[sidecar.number].attempt_ended(now - CLOCK_START_US, event)
+            if outcome == OK and live.is_open:
+                self.active_recorders[sidecar.number].request_answered(now - CLOCK_START_US, request, 200)
+        super().end_attempt(now, sidecar, request, copy, outcome, sent)
+
+    def end_request(self, now: int, sidecar: SimulatedSidecar, request: int, end: int) -> None:
+        live: SimulatedRequest | None = sidecar.requests.get(request)
+        if live is not None and live.is_open:
+            self.active_recorders[sidecar.number].request_answered(
+                now - CLOCK_START_US, request, STATUS.get(end, 502)
+            )
+        super().end_request(now, sidecar, request, end)
 
 
-def arrivals(sidecars: int, kinds: list[str], seconds: float, rate: float, seed: int) -> list[Trace]:
+def generate_traces(sidecars: int, kinds: list[str], seconds: float, rate: float, seed: int) -> list[Trace]:
     """Poisson requests at each sidecar, a fifth of the second class, before anything was sent."""
     made = []
     for number in range(sidecars):
         rng = random.Random(seed * 1_000 + number)
-        at, asked = 0.0, list[Asked]()
+        at, asked = 0.0, list[RecordedRequest]()
         while (at := at + rng.expovariate(rate / SECOND)) < seconds * SECOND:
             cls = int(rng.random() < 0.2)
             due = int(at) + (SECOND if cls == 0 else 2 * SECOND)
-            asked.append(Asked(int(at), len(asked) + 1, cls, due, 0, 0, 0, False, None, [], 200, int(at)))
-        tuned = Retuned(0, settings(sidecars), ["page", "batch"], [], ["a"], ["small", "large", "old"])
-        started = Started(f"s{number}", f"i{number}-{seed}", number, 0, 0, 1.0)
-        listed = Listed(0, LIST_FULL, 1, entries(kinds))
+            asked.append(
+                RecordedRequest(int(at), len(asked) + 1, cls, due, 0, 0, 0, False, None, [], 200, int(at))
+            )
+        tuned = SettingsApplied(
+            0, settings(sidecars), ["page", "batch"], [], ["a"], ["small", "large", "old"]
+        )
+        started = RecordingStarted(f"s{number}", f"i{number}-{seed}", number, 0, 0, 1.0)
+        listed = ListApplied(0, LIST_FULL, 1, entries(kinds))
         made.append(Trace(started, [tuned, listed], asked, 0, f"{number}-{seed}"))
     return made
 
 
-def record(
+def record_traces(
     kinds: list[str],
     *,
     sidecars: int = 3,
@@ -132,20 +153,20 @@
     weights: dict[str, float] | None = None,
     slowed: dict[int, float] | None = None,
     sample: float = 1.0,
-) -> tuple[list[bytes], Facts]:
+) -> tuple[list[bytes], Observations]:
     """The sidecars' traces, and what really happened."""
-    scene = Scene(arrivals(sidecars, kinds, seconds, rate, seed))
-    replay = Watched(scene, truth(kinds, slowed), seed + 77, weights or {})
+    scene = Workload(generate_traces(sidecars, kinds, seconds, rate, seed))
+    replay = RecordingReplay(scene, true_model(kinds, slowed), seed + 77, weights or {})
     recorders = replay.recorders(sample)
     facts = replay.run()
-    return [whole(one) for one in recorders], facts
+    return [fetch_recording(one) for one in recorders], facts
 
 
-def whole(recorder: Recorder) -> bytes:
+def fetch_recording(recorder: Recorder) -> bytes:
     data, start = b"", 0
     while True:
         raw = recorder.encode_piece(f"from={start}&incarnation={recorder.incarnation}")
-        piece: Piece = msgspec.msgpack.decode(raw, type=Piece)
+        piece: TracePiece = msgspec.msgpack.decode(raw, type=TracePiece)
         data, start = data + piece.data, piece.next
         if piece.next >= piece.end:
             return data
--- a/tests/test_whatif_door.py
+++ b/tests/test_whatif_door.py
@@ -26,7 +26,7 @@
 from woadyard.interface import OK
 from woadyard.whatif import doors
 from woadyard.whatif.doors import Door
-from woadyard.whatif.trace import read
+from woadyard.whatif.trace import read_trace
 
 ASKED = 400
 
@@ -70,7 +70,7 @@
 
             troubled = asyncio.create_task(trouble())
             async with aiohttp.ClientSession() as session:
-                trace = read(await fetched.pull(session, chance))
+                trace = read_trace(await fetched.pull(session, chance))
             ended.set()
             await troubled
             assert [one.request for one in trace.requests] == list(range(1, ASKED + 1))
@@ -78,7 +78,7 @@
             assert sum(len(one.tries) for one in trace.requests) == sum(
                 len(one.received) for one in endpoints
             )
-            assert trace.started.sidecar == "n1" and trace.dropped == 0
+            assert trace.started.sidecar == "n1" and trace.dropped_bytes == 0
         finally:
             process.kill()
             await process.wait()
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -13,11 +13,11 @@
 from woadyard.errors import LogEntryError, PeerError
 from woadyard.interface import LIST_DELTA, LIST_FULL
 from woadyard.net.planned_weights import PlannedWeights
-from woadyard.whatif.measure import measure
+from woadyard.whatif.measure import measure_stage
 from woadyard.whatif.plans import PlansState, plan_digest
 from woadyard.whatif.rollout import Measured, members, step
 from woadyard.whatif.settings import Rules
-from woadyard.whatif.trace import Weighed, read
+from woadyard.whatif.trace import WeightsApplied, read_trace
 
 SECOND = 1_000_000
 WEIGHTS = {"machineType=old": 0.2, "e1": 2.0}
@@ -176,11 +176,11 @@
 
 
 def test_a_stage_is_measured_from_where_each_sidecar_took_the_plan() -> None:
-    trace = read(whatif_world.record(["small", "old"], sidecars=1, seconds=10)[0][0])
+    trace = read_trace(whatif_world.record_traces(["small", "old"], sidecars=1, seconds=10)[0][0])
     began = trace.requests[len(trace.requests) // 2].at
-    assert measure([trace], 7, 0.9).requests == 0
-    trace.changes.append(Weighed(began, 7, {}))
-    found = measure([trace], 7, 0.9)
+    assert measure_stage([trace], 7, 0.9).requests == 0
+    trace.changes.append(WeightsApplied(began, 7, {}))
+    found = measure_stage([trace], 7, 0.9)
     later = [one for one in trace.requests if one.at >= began]
     assert found.requests == len(later) and found.span_us == later[-1].at - began
     share, low, high = found.figures["aim"]
--- a/tests/test_whatif_trace.py
+++ b/tests/test_whatif_trace.py
@@ -20,8 +20,8 @@
     Settings,
 )
 from woadyard.net.recorder import BYTES_PER_OPEN_REQUEST, Recorder, RecordSettings
-from woadyard.whatif.ring import Piece
-from woadyard.whatif.trace import Listed, Retuned, Trace, read
+from woadyard.whatif.ring import TracePiece
+from woadyard.whatif.trace import ListApplied, SettingsApplied, Trace, read_trace
 
 SETTINGS = Settings(classes=(RequestClass(),))
 
@@ -49,7 +49,7 @@
 def fetch(made: Recorder, data: bytes = b"", start: int = 0) -> tuple[bytes, int]:
     while True:
         raw = made.encode_piece(f"from={start}&incarnation={made.incarnation}")
-        piece: Piece = msgspec.msgpack.decode(raw, type=Piece)
+        piece: TracePiece = msgspec.msgpack.decode(raw, type=TracePiece)
         data, start = data + piece.data, piece.next
         if piece.next == piece.end:
             return data, start
@@ -63,11 +63,11 @@
     data, start = fetch(made)
     made.request_answered(9_100, 200, 503)
     data, _ = fetch(made, data, start)
-    trace = read(data)
+    trace = read_trace(data)
     assert [one.request for one in trace.requests] == [*range(100), 200]
     assert [(one.outcome, one.delay) for one in trace.requests[0].tries] == [(RESET, 9), (OK, 9)]
-    assert trace.started.sidecar == "n1" and len(trace.changes) == 2 and trace.dropped == 0
-    assert isinstance(trace.changes[0], Retuned) and trace.changes[0].settings == SETTINGS
+    assert trace.started.sidecar == "n1" and len(trace.changes) == 2 and trace.dropped_bytes == 0
+    assert isinstance(trace.changes[0], SettingsApplied) and trace.changes[0].settings == SETTINGS
 
 
 def test_the_bound_on_memory_holds_and_the_state_outlives_what_made_room() -> None:
@@ -76,11 +76,15 @@
         serve(made, rid, 2_000 + rid)
         if rid == 100:
             made.list_applied(3_000, LIST_DELTA, 2, [entry("a", "gone"), entry("c")])
-        used = made.ring.size + len(made.ring.base.data) + made.max_open_requests * BYTES_PER_OPEN_REQUEST
+        used = (
+            made.ring.size_bytes
+            + len(made.ring.base_state.data)
+            + made.max_open_requests * BYTES_PER_OPEN_REQUEST
+        )
         assert used <= 64 * 1024
-    trace = read(fetch(made)[0])
+    trace = read_trace(fetch(made)[0])
     assert 0 < len(trace.requests) < 5_000 and trace.requests[-1].request == 4_999
-    (listed,) = [one for one in trace.changes if isinstance(one, Listed)]
+    (listed,) = [one for one in trace.changes if isinstance(one, ListApplied)]
     assert listed.mode == LIST_FULL and {one["instanceId"] for one in listed.entries} == {"b", "c"}
 
 
@@ -97,7 +101,7 @@
     made = recorder(sample=0.25)
     for rid in range(4_000):
         serve(made, rid, 2_000 + rid)
-    kept = read(fetch(made)[0]).requests
+    kept = read_trace(fetch(made)[0]).requests
     assert 800 < len(kept) < 1_200 and all(len(one.tries) == 2 for one in kept)
 
 
@@ -121,10 +125,10 @@
         serve(made, rid, 2_000 + rid)
     whole, _ = fetch(made)
     for seed in range(20):
-        trace: Trace = read(harm(whole, random.Random(seed)))  # type: ignore[operator]
-        assert trace.dropped > 0 and trace.requests
+        trace: Trace = read_trace(harm(whole, random.Random(seed)))  # type: ignore[operator]
+        assert trace.dropped_bytes > 0 and trace.requests
         assert [one.request for one in trace.requests] == list(range(len(trace.requests)))
     for nothing in (b"", random.Random(1).randbytes(4_000), whole[:40]):
         with pytest.raises(TraceError) as failed:
-            read(nothing)
+            read_trace(nothing)
         assert failed.value.remedy
--- a/woadyard/net/recorder.py
+++ b/woadyard/net/recorder.py
@@ -17,8 +17,18 @@
 from woadyard.errors import ConfigError
 from woadyard.interface import Arrival, Outcome, Send, Settings
 from woadyard.policy import splitmix64
-from woadyard.whatif.ring import Ring
-from woadyard.whatif.trace import OUT, Asked, Listed, Record, Retuned, Started, State, Tried, Weighed
+from woadyard.whatif.ring import TraceRing
+from woadyard.whatif.trace import (
+    PENDING,
+    ListApplied,
+    Record,
+    RecordedAttempt,
+    RecordedRequest,
+    RecordingStarted,
+    SettingsApplied,
+    StateRecord,
+    WeightsApplied,
+)
 
 # Requests encoded together; what a request under way takes in memory, and its part of the bound.
 BATCH_SIZE = 32
@@ -44,9 +54,9 @@
         raise ConfigError(f"record: {error}") from None
 
 
-def has_no_attempt_in_flight(asked: Asked) -> bool:
+def has_no_attempt_in_flight(asked: RecordedRequest) -> bool:
     """Whether no attempt of it is out."""
-    return OUT not in [one.outcome for one in asked.tries]
+    return PENDING not in [one.outcome for one in asked.tries]
 
 
 class Recorder:
@@ -56,15 +66,17 @@
     def __init__(self, settings: RecordSettings, sidecar: str, seed: int, now: int) -> None:
         bound = settings.memory_kb * 1024
         self.max_open_requests = max(BATCH_SIZE, bound // OPEN_REQUESTS_DIVISOR // BYTES_PER_OPEN_REQUEST)
-        self.ring = Ring(bound - self.max_open_requests * BYTES_PER_OPEN_REQUEST)
+        self.ring = TraceRing(bound - self.max_open_requests * BYTES_PER_OPEN_REQUEST)
         self.sample_threshold = int(settings.sample * HASH_RANGE)
         self.incarnation = uuid.uuid4().hex
-        self.open_requests: dict[int, Asked] = {}
+        self.open_requests: dict[int, RecordedRequest] = {}
         self.batch: list[Record] = []
         self.lock = threading.Lock()
         self.skipped = 0  # requests that found no room while they were under way
         wall_us = time.time_ns() // 1000
-        self._add_state_record(Started(sidecar, self.incarnation, seed, now, wall_us, settings.sample))
+        self._add_state_record(
+            RecordingStarted(sidecar, self.incarnation, seed, now, wall_us, settings.sample)
+        )
 
     # --- What the driver tells ----------------------------------------------------
 
@@ -75,14 +87,14 @@
         if len(self.open_requests) >= self.max_open_requests:
             self.skipped += 1
             return
-        self.open_requests[rid] = Asked(
+        self.open_requests[rid] = RecordedRequest(
             now, rid, event.cls, event.expires, event.tenant, event.key, event.work_us, event.repeated,
             event.home, [],
         )  # fmt: skip
 
     def attempt_started(self, now: int, action: Send) -> bytes:
         if (asked := self.open_requests.get(action.request)) is not None:
-            asked.tries.append(Tried(now, action.endpoint))
+            asked.tries.append(RecordedAttempt(now, action.endpoint))
         return b""
 
     def attempt_ended(self, now: int, event: Outcome) -> None:
@@ -91,7 +103,7 @@
             return
         tried = asked.tries[event.copy]
         tried.outcome, tried.delay, tried.report = event.outcome, event.delay_us, event.report
-        if asked.status != OUT and has_no_attempt_in_flight(asked):
+        if asked.status != PENDING and has_no_attempt_in_flight(asked):
             self._complete_request(asked)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
@@ -104,28 +116,28 @@
         """`answered` follows, with the status."""
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        self._add_state_record(Listed(now, mode, version, raw))
+        self._add_state_record(ListApplied(now, mode, version, raw))
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         names = [str(one["name"]) for one in raw["classes"]]
         tenants = [str(one["name"]) for one in raw.get("accounts", ())]
         zones, kinds = ([str(one) for one in raw.get(part, ())] for part in ("zones", "kinds"))
-        self._add_state_record(Retuned(now, settings, names, tenants, zones, kinds))
+        self._add_state_record(SettingsApplied(now, settings, names, tenants, zones, kinds))
 
     def weights_applied(self, now: int, revision: int, factors: dict[str, float]) -> None:
         """A plan's weights are in use."""
-        self._add_state_record(Weighed(now, revision, factors))
+        self._add_state_record(WeightsApplied(now, revision, factors))
 
     # --- The ring -----------------------------------------------------------------
 
-    def _complete_request(self, asked: Asked) -> None:
+    def _complete_request(self, asked: RecordedRequest) -> None:
         del self.open_requests[asked.request]
         with self.lock:
             self.batch.append(asked)
             if len(self.batch) >= BATCH_SIZE:
                 self._flush_batch()
 
-    def _add_state_record(self, record: State) -> None:
+    def _add_state_record(self, record: StateRecord) -> None:
         with self.lock:
             self._flush_batch()  # what came before stands before
             self.ring.add([record], record)
@@ -144,4 +156,4 @@
         with self.lock:
             self._flush_batch()
             offset = int(start) if same and start.isdecimal() and len(start) < 20 else 0
-            return msgspec.msgpack.encode(self.ring.piece(self.incarnation, offset))
+            return msgspec.msgpack.encode(self.ring.read_piece(self.incarnation, offset))
--- a/woadyard/whatif/__init__.py
+++ b/woadyard/whatif/__init__.py
@@ -5,6 +5,6 @@
 import their modules, this face stays light.
 """
 
-from woadyard.whatif.trace import Trace, read
+from woadyard.whatif.trace import Trace, read_trace
 
-__all__ = ["Trace", "read"]
+__all__ = ["Trace", "read_trace"]
--- a/woadyard/whatif/__main__.py
+++ b/woadyard/whatif/__main__.py
@@ -14,7 +14,7 @@
 
 from woadyard.errors import PeerError, WoadyardError
 from woadyard.whatif.settings import read_rules
-from woadyard.whatif.study import Study, Work
+from woadyard.whatif.study import PlanEvaluator, Study
 
 
 class Ask(msgspec.Struct, forbid_unknown_fields=True):
@@ -28,7 +28,7 @@
     except msgspec.MsgspecError as error:
         raise PeerError(f"ask.json: {error}") from None
     data = [path.read_bytes() for path in sorted(folder.glob("*.trace"))]
-    return Work(data, read_rules(ask.rules)).study(ask.weights)
+    return PlanEvaluator(data, read_rules(ask.rules)).evaluate(ask.weights)
 
 
 def main() -> int:
--- a/woadyard/whatif/doors.py
+++ b/woadyard/whatif/doors.py
@@ -11,8 +11,8 @@
 
 from woadyard.errors import PeerError, TraceError
 from woadyard.net.backoff import Backoff
-from woadyard.whatif.ring import Piece
-from woadyard.whatif.trace import Trace, read
+from woadyard.whatif.ring import TracePiece
+from woadyard.whatif.trace import Trace, read_trace
 
 LOG = logging.getLogger(__name__)
 CALL_S = 5.0
@@ -53,7 +53,7 @@
             if piece.next >= piece.end:
                 return self.data
 
-    async def _piece(self, session: aiohttp.ClientSession) -> Piece:
+    async def _piece(self, session: aiohttp.ClientSession) -> TracePiece:
         query = {"from": str(self.next)}
         if self.incarnation:
             query["incarnation"] = self.incarnation
@@ -64,9 +64,9 @@
                     f"no trace from {self.address}: status {answer.status}",
                     "name `record` in the sidecar's configuration",
                 )
-            return msgspec.msgpack.decode(await answer.read(), type=Piece)
+            return msgspec.msgpack.decode(await answer.read(), type=TracePiece)
 
-    def _take(self, piece: Piece) -> None:
+    def _take(self, piece: TracePiece) -> None:
         if piece.incarnation != self.incarnation or piece.start != self.next:
             # Another process, or the ring lost what lies between: its state comes first again.
             self.forget()
@@ -86,7 +86,7 @@
         try:
             if isinstance(data, BaseException):
                 raise data
-            found[name] = await asyncio.to_thread(read, data)
+            found[name] = await asyncio.to_thread(read_trace, data)
         except (PeerError, TraceError) as error:
             LOG.warning("no trace", extra={"sidecar": name, **error.fields()})
     return found
--- a/woadyard/whatif/forecast.py
+++ b/woadyard/whatif/forecast.py
@@ -15,13 +15,13 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from woadyard.whatif.scene import Scene
 from woadyard.whatif.settings import Rules
-from woadyard.whatif.tally import Floats, Tally, quantile
+from woadyard.whatif.tally import Floats, Tally, histogram_quantile
+from woadyard.whatif.workload import Workload
 
-DRAWS = 400
+BOOTSTRAP_DRAWS = 400
 # What endpoints are counted by.
-Pick = Callable[[Tally], tuple[Floats, Floats]]
+ShareCounts = Callable[[Tally], tuple[Floats, Floats]]
 
 
 class Figure(msgspec.Struct, frozen=True):
@@ -55,53 +55,55 @@
     digest: str
 
 
-class Arms:
+class ArmTallies:
     """The tallies of one forecast: the recording, and both arms over the seeds."""
 
     def __init__(self, recorded: Tally, force: Sequence[Tally], proposed: Sequence[Tally]) -> None:
-        self.recorded, self.force, self.proposed = recorded, force, proposed
+        self.recorded, self.in_force, self.proposed = recorded, force, proposed
 
 
-class Draws:
+class BootstrapDraws:
     """Weights of blocks and seeds for each bootstrap draw."""
 
     def __init__(self, blocks: int, seeds: int, window: int, chance: np.random.Generator) -> None:
         even = np.full(blocks, 1.0 / blocks)
         # The recording and both arms are of one span: they share their blocks.
-        self.paired = chance.multinomial(blocks, even, DRAWS).astype(float)
-        self.later = chance.multinomial(max(1, min(window, blocks)), even, DRAWS).astype(float)
-        self.seeds = chance.multinomial(seeds, np.full(seeds, 1.0 / seeds), DRAWS).astype(float)
-        self.one = chance.multinomial(1, np.full(seeds, 1.0 / seeds), DRAWS).astype(float)
+        self.paired = chance.multinomial(blocks, even, BOOTSTRAP_DRAWS).astype(float)
+        self.later = chance.multinomial(max(1, min(window, blocks)), even, BOOTSTRAP_DRAWS).astype(float)
+        self.seeds = chance.multinomial(seeds, np.full(seeds, 1.0 / seeds), BOOTSTRAP_DRAWS).astype(float)
+        self.single_seed = chance.multinomial(1, np.full(seeds, 1.0 / seeds), BOOTSTRAP_DRAWS).astype(float)
 
 
-def _sum(parts: Floats, seeds: Floats, blocks: Floats) -> Floats:
+def _weighted_sums(parts: Floats, seeds: Floats, blocks: Floats) -> Floats:
     """Sums over [seed, block, ...] by each draw's weights: [draw, ...]."""
     return np.asarray(np.einsum("ds,db,sb...->d...", seeds, blocks, parts, optimize=True))
 
 
-def _share(top: Floats, bottom: Floats) -> Floats:
+def _safe_ratio(top: Floats, bottom: Floats) -> Floats:
     return np.asarray(np.divide(top, bottom, out=np.zeros_like(top), where=bottom > 0))
 
 
-def share_figure(arms: Arms, pick: Pick, draws: Draws, rules: Rules, floor: float) -> Figure:
+def share_figure(
+    arms: ArmTallies, pick: ShareCounts, draws: BootstrapDraws, rules: Rules, floor: float
+) -> Figure:
     """A share: `pick` gives what is counted and out of what, both by block."""
 
     def stack(tallies: Sequence[Tally]) -> tuple[Floats, Floats]:
         pairs = [pick(one) for one in tallies]
         return np.stack([top for top, _ in pairs]), np.stack([bottom for _, bottom in pairs])
 
-    told, force, proposed = stack([arms.recorded]), stack(arms.force), stack(arms.proposed)
-    ones = np.ones((DRAWS, 1))
+    told, force, proposed = stack([arms.recorded]), stack(arms.in_force), stack(arms.proposed)
+    ones = np.ones((BOOTSTRAP_DRAWS, 1))
 
     def point(of: tuple[Floats, Floats]) -> float:
         return float(of[0].sum() / max(1.0, of[1].sum()))
 
     def drawn(of: tuple[Floats, Floats], seeds: Floats, blocks: Floats) -> Floats:
-        return _share(_sum(of[0], seeds, blocks), _sum(of[1], seeds, blocks))
+        return _safe_ratio(_weighted_sums(of[0], seeds, blocks), _weighted_sums(of[1], seeds, blocks))
 
     base = drawn(told, ones, draws.paired)
     gain = drawn(proposed, draws.seeds, draws.paired) - drawn(force, draws.seeds, draws.paired)
-    noise = drawn(proposed, draws.one, draws.later) - point(proposed)
+    noise = drawn(proposed, draws.single_seed, draws.later) - point(proposed)
     values = (point(told), point(force), point(proposed))
     return _figure(values, values[2] - values[1], base, gain, noise, rules, floor)
 
@@ -129,30 +131,34 @@
     )  # fmt: skip
 
 
-def time_figure(arms: Arms, group: int, q: float, draws: Draws, rules: Rules) -> Figure:
+def latency_figure(arms: ArmTallies, group: int, q: float, draws: BootstrapDraws, rules: Rules) -> Figure:
     """A quantile of the latencies of a group (0: all, then by class), µs; gains are ratios less 1."""
 
     def stack(tallies: Sequence[Tally]) -> Floats:
         return np.stack([one.latency[group] for one in tallies]).astype(float)
 
     def drawn(of: Floats, seeds: Floats, blocks: Floats) -> Floats:
-        return quantile(_sum(of, seeds, blocks), q)
+        return histogram_quantile(_weighted_sums(of, seeds, blocks), q)
 
     def point(of: Floats) -> float:
-        return float(quantile(of.sum(axis=(0, 1)), q))
+        return float(histogram_quantile(of.sum(axis=(0, 1)), q))
 
-    told, force, proposed = stack([arms.recorded]), stack(arms.force), stack(arms.proposed)
+    told, force, proposed = stack([arms.recorded]), stack(arms.in_force), stack(arms.proposed)
     values = point(told), point(force), point(proposed)
     usual = max(values[1], 1.0)
-    base = drawn(told, np.ones((DRAWS, 1)), draws.paired)
+    base = drawn(told, np.ones((BOOTSTRAP_DRAWS, 1)), draws.paired)
     ratio = drawn(proposed, draws.seeds, draws.paired) / np.maximum(
         1.0, drawn(force, draws.seeds, draws.paired)
     )
-    noise = drawn(proposed, draws.one, draws.later) / max(values[2], 1.0)
+    noise = drawn(proposed, draws.single_seed, draws.later) / max(values[2], 1.0)
     tail = (1.0 - rules.confidence) / 2.0
     low, high = np.quantile(base * ratio * noise, [tail, 1.0 - tail])
     gain_low, gain_high = np.quantile(ratio - 1.0, [tail, 1.0 - tail])
-    value, floor, more = values[0] * values[2] / usual, rules.floor_time + allowance(arms, rules), rules.widen
+    value, floor, more = (
+        values[0] * values[2] / usual,
+        rules.floor_time + thin_allowance(arms, rules),
+        rules.widen,
+    )
     return Figure(
         value,
         max(0.0, value - more * (max(0.0, value - float(low)) + floor * value)),
@@ -161,21 +167,21 @@
     )  # fmt: skip
 
 
-def thin(arms: Arms) -> float:
+def thin_share(arms: ArmTallies) -> float:
     """The share of the proposed arm's attempts that rest on what the trace can't tell."""
     sends = sum(int(one.sends.sum()) for one in arms.proposed)
     return sum(int(one.thin.sum()) for one in arms.proposed) / max(1, sends)
 
 
-def allowance(arms: Arms, rules: Rules) -> float:
-    return rules.floor_thin * thin(arms)
+def thin_allowance(arms: ArmTallies, rules: Rules) -> float:
+    return rules.floor_thin * thin_share(arms)
 
 
-def in_group(what: str, group: int) -> Pick:
+def share_of_requests(what: str, group: int) -> ShareCounts:
     return lambda one: (getattr(one, what)[group].astype(float), one.count[group].astype(float))
 
 
-def of_sends(what: str, place: int | None = None) -> Pick:
+def share_of_sends(what: str, place: int | None = None) -> ShareCounts:
     def pick(one: Tally) -> tuple[Floats, Floats]:
         found = getattr(one, what) if place is None else getattr(one, what)[place]
         return found.astype(float), one.sends.sum(axis=0).astype(float)
@@ -183,35 +189,37 @@
     return pick
 
 
-def forecast(scene: Scene, arms: Arms, rules: Rules, cold_bound: NDArray[np.float64]) -> Forecast:
+def build_forecast(
+    scene: Workload, arms: ArmTallies, rules: Rules, cold_bound: NDArray[np.float64]
+) -> Forecast:
     """All figures. `cold_bound`: what each endpoint bears in a tipping span while it is starting."""
     told = arms.recorded
-    blocks, seeds = told.count.shape[1], len(arms.force)
-    draws = Draws(blocks, seeds, rules.window_s * 1000 // rules.block_ms, np.random.default_rng(7))
+    blocks, seeds = told.count.shape[1], len(arms.in_force)
+    draws = BootstrapDraws(blocks, seeds, rules.window_s * 1000 // rules.block_ms, np.random.default_rng(7))
     figures: dict[str, Figure] = {}
 
-    def share(name: str, pick: Pick, floor: float) -> None:
-        figures[name] = share_figure(arms, pick, draws, rules, floor + allowance(arms, rules))
+    def share(name: str, pick: ShareCounts, floor: float) -> None:
+        figures[name] = share_figure(arms, pick, draws, rules, floor + thin_allowance(arms, rules))
 
     names = group_names(scene)
     for at, name in enumerate(names):
         if told.count[at].sum():
-            share(f"aim:{name}" if name else "aim", in_group("good", at), rules.floor_share)
-    share("refused", in_group("refused", 0), rules.floor_share)
-    share("failed", in_group("failed", 0), rules.floor_share)
-    share("crossed", of_sends("crossed"), rules.floor_endpoint)
-    share("fresh", of_sends("fresh"), rules.floor_endpoint)
+            share(f"aim:{name}" if name else "aim", share_of_requests("good", at), rules.floor_share)
+    share("refused", share_of_requests("refused", 0), rules.floor_share)
+    share("failed", share_of_requests("failed", 0), rules.floor_share)
+    share("crossed", share_of_sends("crossed"), rules.floor_endpoint)
+    share("fresh", share_of_sends("fresh"), rules.floor_endpoint)
     for place, name in enumerate(scene.endpoints):
-        share(f"share:{name}", of_sends("sends", place), rules.floor_endpoint)
+        share(f"share:{name}", share_of_sends("sends", place), rules.floor_endpoint)
     for group in range(told.latency.shape[0]):
         if told.latency[group].sum():
             suffix = f":{names[group]}" if group else ""
             for q in (0.5, 0.99):
-                figures[f"p{round(q * 100)}{suffix}"] = time_figure(arms, group, q, draws, rules)
+                figures[f"p{round(q * 100)}{suffix}"] = latency_figure(arms, group, q, draws, rules)
     return _forecast(scene, arms, figures, cold_bound)
 
 
-def _forecast(scene: Scene, arms: Arms, figures: dict[str, Figure], cold_bound: Floats) -> Forecast:
+def _forecast(scene: Workload, arms: ArmTallies, figures: dict[str, Figure], cold_bound: Floats) -> Forecast:
     def named(values: Floats) -> dict[str, float]:
         return {name: float(values[at]) for at, name in enumerate(scene.endpoints) if values[at] > 0}
 
@@ -220,23 +228,23 @@
         return {name: int(peaks[at]) for at, name in enumerate(scene.endpoints)}
 
     def cold(tallies: Sequence[Tally]) -> dict[str, float]:
-        return named(np.max([one.cold for one in tallies], axis=0) / cold_bound)
+        return named(np.max([one.cold_peak for one in tallies], axis=0) / cold_bound)
 
     def over(tallies: Sequence[Tally]) -> dict[str, float]:
-        found = np.sum([one.over.sum(1) for one in tallies], axis=0)
+        found = np.sum([one.over_limit.sum(1) for one in tallies], axis=0)
         return named(found / np.maximum(1, np.sum([one.sends.sum(1) for one in tallies], axis=0)))
 
-    digest = "".join(one.digest for one in (*arms.force, *arms.proposed))
+    digest = "".join(one.digest for one in (*arms.in_force, *arms.proposed))
     return Forecast(
-        figures, thin(arms), most(arms.proposed), most(arms.force), cold(arms.proposed),
-        cold(arms.force), over(arms.proposed), over(arms.force), int(arms.recorded.count[0].sum()),
+        figures, thin_share(arms), most(arms.proposed), most(arms.in_force), cold(arms.proposed),
+        cold(arms.in_force), over(arms.proposed), over(arms.in_force), int(arms.recorded.count[0].sum()),
         digest,
     )  # fmt: skip
 
 
-def group_names(scene: Scene) -> list[str]:
+def group_names(scene: Workload) -> list[str]:
     """Of the tallies' groups: all (empty), then the classes by number, then the tenants."""
-    tuned = scene.sides[0].tuned[-1]
-    classes = len(max((side.settings.classes for side in scene.sides), key=len))
+    tuned = scene.recordings[0].settings_changes[-1]
+    classes = len(max((side.settings.classes for side in scene.recordings), key=len))
     known = [*tuned.classes, *(str(at) for at in range(len(tuned.classes), classes))]
     return ["", *known[:classes], *tuned.tenants]
--- a/woadyard/whatif/measure.py
+++ b/woadyard/whatif/measure.py
@@ -11,11 +11,19 @@
 from statistics import NormalDist
 
 from woadyard.whatif.rollout import Measured
-from woadyard.whatif.scene import Side
-from woadyard.whatif.trace import ANSWERED, FAILED, REFUSED, Asked, Trace, Weighed, end_of
+from woadyard.whatif.trace import (
+    ANSWERED,
+    FAILED,
+    REFUSED,
+    RecordedRequest,
+    Trace,
+    WeightsApplied,
+    classify_status,
+)
+from woadyard.whatif.workload import SidecarRecording
 
 
-def wilson(good: int, of: int, z: float) -> tuple[float, float, float]:
+def wilson_interval(good: int, of: int, z: float) -> tuple[float, float, float]:
     """A share and its score interval (Wilson 1927)."""
     if not of:
         return 0.0, 0.0, 1.0
@@ -25,7 +33,7 @@
     return share, max(0.0, middle - half), min(1.0, middle + half)
 
 
-def ranked(values: list[int], q: float, z: float) -> tuple[float, float, float]:
+def quantile_interval(values: list[int], q: float, z: float) -> tuple[float, float, float]:
     """A quantile and the order statistics about it (binomial ranks)."""
     values = sorted(values)
     last, half = len(values) - 1, z * sqrt(q * (1 - q) * len(values))
@@ -35,10 +43,11 @@
     return float(value), float(least), float(most) if high <= last else float("inf")
 
 
-def since(trace: Trace, revision: int) -> tuple[int, list[Asked]]:
+def requests_under_revision(trace: Trace, revision: int) -> tuple[int, list[RecordedRequest]]:
     """How long the sidecar has acted on the revision, by its own clock, and the requests it took."""
     began = next(
-        (one.at for one in trace.changes if isinstance(one, Weighed) and one.revision == revision), None
+        (one.at for one in trace.changes if isinstance(one, WeightsApplied) and one.revision == revision),
+        None,
     )
     if began is None:
         return 0, []
@@ -46,25 +55,25 @@
     return (asked[-1].at - began, asked) if asked else (0, [])
 
 
-def measure(traces: Iterable[Trace], revision: int, confidence: float) -> Measured:
+def measure_stage(traces: Iterable[Trace], revision: int, confidence: float) -> Measured:
     z = NormalDist().inv_cdf(0.5 + confidence / 2)
     spans, good, took, ends = [], 0, [], [0, 0, 0]
     for trace in traces:
-        side = Side(trace, 0)
-        span, asked = since(trace, revision)
+        side = SidecarRecording(trace, 0)
+        span, asked = requests_under_revision(trace, revision)
         spans.append(span)
         for one in asked:
-            end, time = end_of(one.status), one.answered - one.at
+            end, time = classify_status(one.status), one.answered - one.at
             ends[end] += 1
             if end == ANSWERED:
                 took.append(time)
-                good += time <= side.aim(one)
+                good += time <= side.aim_us(one)
     of = sum(ends)
     if not spans or not of:
         return Measured()
-    figures = {"aim": wilson(good, of, z)}
-    figures["refused"] = wilson(ends[REFUSED], of, z)
-    figures["failed"] = wilson(ends[FAILED], of, z)
+    figures = {"aim": wilson_interval(good, of, z)}
+    figures["refused"] = wilson_interval(ends[REFUSED], of, z)
+    figures["failed"] = wilson_interval(ends[FAILED], of, z)
     if took:
-        figures["p50"], figures["p99"] = ranked(took, 0.5, z), ranked(took, 0.99, z)
+        figures["p50"], figures["p99"] = quantile_interval(took, 0.5, z), quantile_interval(took, 0.99, z)
     return Measured(min(spans), of, figures)
--- a/woadyard/whatif/planner.py
+++ b/woadyard/whatif/planner.py
@@ -24,7 +24,7 @@
 from woadyard.lists import EndpointListState
 from woadyard.registry.service import Registry
 from woadyard.whatif.doors import Door, pull_all
-from woadyard.whatif.measure import measure
+from woadyard.whatif.measure import measure_stage
 from woadyard.whatif.plans import PROPOSED, ROLLING, Plan, PlansState, plan_digest
 from woadyard.whatif.rollout import Measured, Step, members, step
 from woadyard.whatif.settings import PlansSettings, Rules
@@ -149,7 +149,7 @@
             if len(traces) == len(doors):
                 # Off the loop: a recording has some ten thousand requests.
                 measured = await asyncio.to_thread(
-                    measure, list(traces.values()), plan.revision, rules.confidence
+                    measure_stage, list(traces.values()), plan.revision, rules.confidence
                 )
         if self.book.active is not plan or plan.state != ROLLING:
             return  # an operator was quicker
--- a/woadyard/whatif/pool.py
+++ b/woadyard/whatif/pool.py
@@ -14,65 +14,67 @@
 import msgspec
 
 from woadyard.errors import TraceError
-from woadyard.whatif.model import Model
+from woadyard.whatif.model import FleetModel
 from woadyard.whatif.replay import Replay
-from woadyard.whatif.scene import Scene
-from woadyard.whatif.tally import Frame, Tally, tally
-from woadyard.whatif.trace import read
+from woadyard.whatif.tally import Tally, TallyLayout, build_tally
+from woadyard.whatif.trace import read_trace
+from woadyard.whatif.workload import Workload
 
 LOG = logging.getLogger(__name__)
 # Pools begun anew after a death, at most: more is no accident.
-AGAIN_MOST = 4
+MAX_POOLS = 4
 
 # One replay: its seed, and the proposed weights (none: those that were recorded).
-Job = tuple[int, Mapping[str, float] | None]
+ReplayJob = tuple[int, Mapping[str, float] | None]
 
 
-class Bench:
+class ReplayWorker:
     """What every worker holds: the scene, its model and the frame of the tallies."""
 
-    def __init__(self, data: Sequence[bytes], model: Model, frame: Frame) -> None:
-        self.scene = Scene([read(one) for one in data])
-        self.model, self.frame = model, frame
+    def __init__(self, data: Sequence[bytes], model: FleetModel, frame: TallyLayout) -> None:
+        self.workload = Workload([read_trace(one) for one in data])
+        self.model, self.layout = model, frame
 
-    def play(self, job: Job) -> Tally:
+    def run(self, job: ReplayJob) -> Tally:
         seed, weights = job
         chosen = None if weights is None else dict(weights)
-        return tally(Replay(self.scene, self.model, seed, chosen).run(), self.frame)
+        return build_tally(Replay(self.workload, self.model, seed, chosen).run(), self.layout)
 
 
-_bench: list[Bench] = []  # a worker's one, laid out when the process starts
+_worker: list[ReplayWorker] = []  # a worker's one, laid out when the process starts
 
 
-def _lay(data: Sequence[bytes], model: bytes, frame: Frame) -> None:
-    _bench.append(Bench(data, msgspec.msgpack.decode(model, type=Model), frame))
+def _init_worker(data: Sequence[bytes], model: bytes, frame: TallyLayout) -> None:
+    _worker.append(ReplayWorker(data, msgspec.msgpack.decode(model, type=FleetModel), frame))
 
 
-def _play(job: Job) -> Tally:
-    return _bench[0].play(job)
+def _run_job(job: ReplayJob) -> Tally:
+    return _worker[0].run(job)
 
 
-def play(
+def run_replays(
     data: Sequence[bytes],
-    model: Model,
-    frame: Frame,
-    jobs: Sequence[Job],
+    model: FleetModel,
+    frame: TallyLayout,
+    jobs: Sequence[ReplayJob],
     workers: int,
     halfway: Callable[[], None] = lambda: None,
 ) -> list[Tally]:
     """Each job's tally, in their order. `TraceError` where workers keep dying."""
     if workers < 2:
-        bench = Bench(data, model, frame)
-        return [bench.play(job) for job in jobs]
+        bench = ReplayWorker(data, model, frame)
+        return [bench.run(job) for job in jobs]
     done: dict[int, Tally] = {}
     packed = msgspec.msgpack.encode(model)
-    for _ in range(AGAIN_MOST):
+    for _ in range(MAX_POOLS):
         left = [at for at in range(len(jobs)) if at not in done]
         if not left:
             break
         context = get_context("spawn")
-        with ProcessPoolExecutor(min(workers, len(left)), context, _lay, (data, packed, frame)) as pool:
-            futures: dict[Future[Tally], int] = {pool.submit(_play, jobs[at]): at for at in left}
+        with ProcessPoolExecutor(
+            min(workers, len(left)), context, _init_worker, (data, packed, frame)
+        ) as pool:
+            futures: dict[Future[Tally], int] = {pool.submit(_run_job, jobs[at]): at for at in left}
             try:
                 for one in as_completed(futures):
                     done[futures[one]] = one.result()
@@ -81,6 +83,6 @@
                 LOG.warning("a worker died", extra={"done": len(done), "of": len(jobs)})
     if len(done) < len(jobs):
         raise TraceError(
-            f"replays died {AGAIN_MOST} times", "see to the machine's memory; ask for fewer workers"
+            f"replays died {MAX_POOLS} times", "see to the machine's memory; ask for fewer workers"
         )
     return [done[at] for at in range(len(jobs))]
--- a/woadyard/whatif/replay.py
+++ b/woadyard/whatif/replay.py
@@ -23,204 +23,241 @@
     Timer,
 )
 from woadyard.policy import Balancer, splitmix64
-from woadyard.whatif.facts import Attempts, Facts, Requests, columns
-from woadyard.whatif.model import Model
-from woadyard.whatif.scene import Scene, Side
-from woadyard.whatif.trace import ANSWERED, FAILED, REFUSED, Asked, Change, Listed, Retuned
-from woadyard.whatif.world import Server, World, luck
+from woadyard.whatif.model import FleetModel
+from woadyard.whatif.observations import AttemptColumns, Observations, RequestColumns, to_columns
+from woadyard.whatif.simulated_fleet import SimulatedEndpoint, SimulatedFleet, keyed_uniform
+from woadyard.whatif.trace import (
+    ANSWERED,
+    FAILED,
+    REFUSED,
+    ListApplied,
+    RecordedRequest,
+    SettingsApplied,
+    StateChange,
+)
+from woadyard.whatif.workload import SidecarRecording, Workload
 
 # The driver's timers have no finer steps.
-TICK_US = 1_000
+TIMER_TICK_US = 1_000
 # A request of a sample stands for others: they come within this before or after it.
-SPREAD_US = 500_000
+SAMPLE_SPREAD_US = 500_000
 # Connections outlive an attempt that ended so.
-KEPT = frozenset((OK, ERROR, FULL))
+REUSABLE_OUTCOMES = frozenset((OK, ERROR, FULL))
 
 
-class Live:
+class SimulatedRequest:
     """A request under way."""
 
-    __slots__ = ("aim", "asked", "at", "expires", "key", "open", "out", "scale", "to")
+    __slots__ = ("aim_us", "at", "endpoints", "expires", "in_flight", "is_open", "key", "recorded", "scale")
 
-    def __init__(self, asked: Asked, at: int, aim: int, key: int, scale: float) -> None:
-        self.asked, self.at, self.aim, self.key, self.scale = asked, at, aim, key, scale
+    def __init__(self, asked: RecordedRequest, at: int, aim: int, key: int, scale: float) -> None:
+        self.recorded, self.at, self.aim_us, self.key, self.scale = asked, at, aim, key, scale
         self.expires = at + asked.expires - asked.at
-        self.open = True
-        self.to: list[int] = []  # each attempt's endpoint
-        self.out: list[bool] = []  # whether it is
+        self.is_open = True
+        self.endpoints: list[int] = []  # each attempt's endpoint
+        self.in_flight: list[bool] = []  # whether it is
 
 
-class Sidecar:
+class SimulatedSidecar:
     """One balancer and what its shell would keep."""
 
-    def __init__(self, side: Side, number: int, seed: int, weights: dict[int, float] | None) -> None:
-        self.side, self.number, self.weights = side, number, weights
+    def __init__(
+        self, side: SidecarRecording, number: int, seed: int, weights: dict[int, float] | None
+    ) -> None:
+        self.recording, self.number, self.proposed_factors = side, number, weights
         start = side.trace.started
         settings = replace(side.settings, shares_verdicts=False)
         self.balancer = Balancer(splitmix64(start.seed ^ seed), settings)
-        self.calls: dict[int, Live] = {}
-        self.next = 0
-        self.idle: dict[int, list[int]] = {}  # by endpoint, since when each connection is idle
-        self.forced: dict[str, float] = {}
+        self.requests: dict[int, SimulatedRequest] = {}
+        self.last_request_id = 0
+        self.idle_since: dict[int, list[int]] = {}  # by endpoint, since when each connection is idle
+        self.recorded_weights: dict[str, float] = {}
 
-    def change(self, now: int, change: Change, scene: Scene) -> list[Action]:
+    def apply_change(self, now: int, change: StateChange, scene: Workload) -> list[Action]:
         balancer = self.balancer
-        if isinstance(change, Retuned):
+        if isinstance(change, SettingsApplied):
             return balancer.retune(now, replace(change.settings, shares_verdicts=False))
-        if isinstance(change, Listed):
-            entries = [] if change.mode == LIST_FAILED else [self.side.entry(raw) for raw in change.entries]
+        if isinstance(change, ListApplied):
+            entries = (
+                []
+                if change.mode == LIST_FAILED
+                else [self.recording.parse_entry(raw) for raw in change.entries]
+            )
             done = list(balancer.members(now, change.mode, entries))
         else:
-            self.forced, done = change.factors, []
-        factors = self.weights if self.weights is not None else scene.factors(self.forced)
+            self.recorded_weights, done = change.factors, []
+        factors = (
+            self.proposed_factors
+            if self.proposed_factors is not None
+            else scene.factors_by_number(self.recorded_weights)
+        )
         return done + list(balancer.trust(now, factors))
 
-    def connection(self, now: int, endpoint: int) -> bool:
+    def take_connection(self, now: int, endpoint: int) -> bool:
         """Take a connection; True where it is a new one."""
-        idle, keeps = self.idle.get(endpoint), self.balancer.settings.idle_us
+        idle, keeps = self.idle_since.get(endpoint), self.balancer.settings.idle_us
         if not idle:
             return True
         return keeps > 0 and now - idle.pop() > keeps
 
-    def settle(self, now: int, endpoint: int, outcome: int) -> None:
-        if outcome in KEPT:
-            self.idle.setdefault(endpoint, []).append(now)
+    def release_connection(self, now: int, endpoint: int, outcome: int) -> None:
+        if outcome in REUSABLE_OUTCOMES:
+            self.idle_since.setdefault(endpoint, []).append(now)
 
 
 class Replay:
     """Events in order of time; those of one instant in the order they were made."""
 
-    def __init__(self, scene: Scene, model: Model, seed: int, weights: dict[str, float] | None) -> None:
-        self.scene, self.seed = scene, seed
-        factors = None if weights is None else scene.factors(weights)
-        self.world = World(model, seed, (scene.start, scene.end))
-        self.sidecars = [Sidecar(side, at, seed, factors) for at, side in enumerate(scene.sides)]
+    def __init__(
+        self, scene: Workload, model: FleetModel, seed: int, weights: dict[str, float] | None
+    ) -> None:
+        self.workload, self.seed = scene, seed
+        factors = None if weights is None else scene.factors_by_number(weights)
+        self.fleet = SimulatedFleet(model, seed, (scene.start, scene.end))
+        self.sidecars = [
+            SimulatedSidecar(side, at, seed, factors) for at, side in enumerate(scene.recordings)
+        ]
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.count = 0
+        self.event_count = 0
         self.requests: list[tuple[int, ...]] = []
-        self.tries: list[tuple[int, ...]] = []
+        self.attempts: list[tuple[int, ...]] = []
 
-    def run(self) -> Facts:
+    def run(self) -> Observations:
         for sidecar in self.sidecars:
-            side = sidecar.side
-            first = side.trace.started.at + side.shift
-            self.carry(first, sidecar, sidecar.balancer.start(first))
+            side = sidecar.recording
+            first = side.trace.started.at + side.clock_shift_us
+            self.execute(first, sidecar, sidecar.balancer.start(first))
             for change in side.trace.changes:
-                self.push(max(first, change.at + side.shift), self.change, sidecar, change)
+                self.schedule(max(first, change.at + side.clock_shift_us), self.on_change, sidecar, change)
         arrivals = sorted(
             (at, sidecar.number, asked.request, order, asked)
             for sidecar in self.sidecars
-            for at, order, asked in copies(sidecar.side, sidecar.number)
+            for at, order, asked in expand_sample(sidecar.recording, sidecar.number)
         )
         for at, number, _, order, asked in arrivals:
-            self.until(at)
-            self.arrive(at, self.sidecars[number], order, asked)
-        self.until(None)
+            self.run_until(at)
+            self.on_arrival(at, self.sidecars[number], order, asked)
+        self.run_until(None)
         self.requests.sort()
-        self.tries.sort()
-        return Facts(Requests(*columns(self.requests, 6)), Attempts(*columns(self.tries, 7)))
+        self.attempts.sort()
+        return Observations(
+            RequestColumns(*to_columns(self.requests, 6)), AttemptColumns(*to_columns(self.attempts, 7))
+        )
 
-    def push(self, at: int, act: Callable[..., None], *args: Any) -> None:
-        self.count += 1
-        heappush(self.events, (at, self.count, act, args))
+    def schedule(self, at: int, act: Callable[..., None], *args: Any) -> None:
+        self.event_count += 1
+        heappush(self.events, (at, self.event_count, act, args))
 
-    def until(self, end: int | None) -> None:
+    def run_until(self, end: int | None) -> None:
         events = self.events
         while events and (end is None or events[0][0] <= end):
             now, _, act, args = heappop(events)
             act(now, *args)
 
-    def change(self, now: int, sidecar: Sidecar, change: Change) -> None:
-        self.carry(now, sidecar, sidecar.change(now, change, self.scene))
+    def on_change(self, now: int, sidecar: SimulatedSidecar, change: StateChange) -> None:
+        self.execute(now, sidecar, sidecar.apply_change(now, change, self.workload))
 
-    def fire(self, now: int, sidecar: Sidecar, token: int) -> None:
-        self.carry(now, sidecar, sidecar.balancer.timer(now, token))
+    def on_timer(self, now: int, sidecar: SimulatedSidecar, token: int) -> None:
+        self.execute(now, sidecar, sidecar.balancer.timer(now, token))
 
-    def arrive(self, now: int, sidecar: Sidecar, order: int, asked: Asked) -> None:
-        sidecar.next += 1
-        rid = sidecar.next
-        scale = self.world.scale(asked.cls, asked.work_us)
+    def on_arrival(self, now: int, sidecar: SimulatedSidecar, order: int, asked: RecordedRequest) -> None:
+        sidecar.last_request_id += 1
+        rid = sidecar.last_request_id
+        scale = self.fleet.service_scale(asked.cls, asked.work_us)
         key = splitmix64(self.seed * 31 + sidecar.number) ^ splitmix64(asked.request * 64 + order)
-        live = sidecar.calls[rid] = Live(asked, now, sidecar.side.aim(asked), key, scale)
+        live = sidecar.requests[rid] = SimulatedRequest(
+            asked, now, sidecar.recording.aim_us(asked), key, scale
+        )
         event = Arrival(
             rid, asked.cls, live.expires, asked.tenant, asked.key, asked.work_us, asked.repeated, asked.home
         )
-        self.carry(now, sidecar, sidecar.balancer.request(now, event))
+        self.execute(now, sidecar, sidecar.balancer.request(now, event))
 
-    def carry(self, now: int, sidecar: Sidecar, actions: Sequence[Action]) -> None:
+    def execute(self, now: int, sidecar: SimulatedSidecar, actions: Sequence[Action]) -> None:
         for action in list(actions):
             match action:
                 case Send(request, endpoint, timeout_us):
-                    self.send(now, sidecar, request, endpoint, timeout_us)
+                    self.start_attempt(now, sidecar, request, endpoint, timeout_us)
                 case Timer(token, delay_us):
-                    self.push(now + delay_us + TICK_US // 2, self.fire, sidecar, token)
+                    self.schedule(now + delay_us + TIMER_TICK_US // 2, self.on_timer, sidecar, token)
                 case Refuse(request, _):
-                    self.final(now, sidecar, request, REFUSED)
+                    self.end_request(now, sidecar, request, REFUSED)
                 case Fail(request):
-                    self.final(now, sidecar, request, FAILED)
+                    self.end_request(now, sidecar, request, FAILED)
                 case Cancel(request, copy):
-                    live = sidecar.calls.get(request)
-                    if live is not None and live.out[copy]:
-                        self.push(now, self.ended, sidecar, request, copy, CANCELLED, now)
-
-    def send(self, now: int, sidecar: Sidecar, request: int, endpoint: int, timeout: int) -> None:
-        live = sidecar.calls[request]
-        copy, place = len(live.out), self.scene.places[endpoint]
-        live.out.append(True)
-        live.to.append(endpoint)
-        server = self.world.servers[place]
-        away = self.world.away_us(sidecar.side.zone, server.model.zone)
+                    live = sidecar.requests.get(request)
+                    if live is not None and live.in_flight[copy]:
+                        self.schedule(now, self.end_attempt, sidecar, request, copy, CANCELLED, now)
+
+    def start_attempt(
+        self, now: int, sidecar: SimulatedSidecar, request: int, endpoint: int, timeout: int
+    ) -> None:
+        live = sidecar.requests[request]
+        copy, place = len(live.in_flight), self.workload.index_by_number[endpoint]
+        live.in_flight.append(True)
+        live.endpoints.append(endpoint)
+        server = self.fleet.endpoints[place]
+        away = self.fleet.network_delay_us(sidecar.recording.zone, server.model.zone)
         left = max(1, min(timeout or live.expires - now, live.expires - now))
-        outcome, took, found = server.serve(now, live.asked.cls, live.scale, live.key, copy, left)
+        outcome, took, found = server.serve(now, live.recorded.cls, live.scale, live.key, copy, left)
         took = min(left, took + away)
-        fresh = sidecar.connection(now, endpoint)
-        self.tries.append((now, place, found, *self._marks(now, sidecar, server, live, found, fresh)))
-        self.push(now + took, self.ended, sidecar, request, copy, outcome, now)
+        fresh = sidecar.take_connection(now, endpoint)
+        self.attempts.append(
+            (now, place, found, *self._attempt_flags(now, sidecar, server, live, found, fresh))
+        )
+        self.schedule(now + took, self.end_attempt, sidecar, request, copy, outcome, now)
 
     @staticmethod
-    def _marks(
-        now: int, sidecar: Sidecar, server: Server, live: Live, found: int, fresh: bool
+    def _attempt_flags(
+        now: int,
+        sidecar: SimulatedSidecar,
+        server: SimulatedEndpoint,
+        live: SimulatedRequest,
+        found: int,
+        fresh: bool,
     ) -> tuple[int, int, int, int]:
         model = server.model
         cold = model.boot <= now < model.warm
-        thin = model.thin[live.asked.cls] or found > model.reach or (cold and not model.cold)
-        return int(model.zone != sidecar.side.zone), int(fresh), int(thin), int(cold)
+        thin = model.thin[live.recorded.cls] or found > model.reach or (cold and not model.cold)
+        return int(model.zone != sidecar.recording.zone), int(fresh), int(thin), int(cold)
 
-    def ended(self, now: int, sidecar: Sidecar, request: int, copy: int, outcome: int, sent: int) -> None:
-        live = sidecar.calls.get(request)
-        if live is None or not live.out[copy]:
+    def end_attempt(
+        self, now: int, sidecar: SimulatedSidecar, request: int, copy: int, outcome: int, sent: int
+    ) -> None:
+        live = sidecar.requests.get(request)
+        if live is None or not live.in_flight[copy]:
             return
-        live.out[copy] = False
-        sidecar.settle(now, live.to[copy], outcome)
-        if outcome == OK and live.open:
-            self.answer(now, live, ANSWERED)
-        event = Outcome(request, copy, live.to[copy], outcome, now - sent, not live.open)
-        self.carry(now, sidecar, sidecar.balancer.outcome(now, event))
-        if not live.open and not any(live.out):
-            sidecar.calls.pop(request, None)
-
-    def final(self, now: int, sidecar: Sidecar, request: int, end: int) -> None:
+        live.in_flight[copy] = False
+        sidecar.release_connection(now, live.endpoints[copy], outcome)
+        if outcome == OK and live.is_open:
+            self.record_response(now, live, ANSWERED)
+        event = Outcome(request, copy, live.endpoints[copy], outcome, now - sent, not live.is_open)
+        self.execute(now, sidecar, sidecar.balancer.outcome(now, event))
+        if not live.is_open and not any(live.in_flight):
+            sidecar.requests.pop(request, None)
+
+    def end_request(self, now: int, sidecar: SimulatedSidecar, request: int, end: int) -> None:
         """The module's own last word, where the caller still waits."""
-        live = sidecar.calls.get(request)
-        if live is not None and live.open:
-            self.answer(now, live, end)
-            if not any(live.out):
-                del sidecar.calls[request]
-
-    def answer(self, now: int, live: Live, end: int) -> None:
-        live.open = False
-        asked = live.asked
+        live = sidecar.requests.get(request)
+        if live is not None and live.is_open:
+            self.record_response(now, live, end)
+            if not any(live.in_flight):
+                del sidecar.requests[request]
+
+    def record_response(self, now: int, live: SimulatedRequest, end: int) -> None:
+        live.is_open = False
+        asked = live.recorded
         if asked.status:  # else its caller left, and counts for nothing
-            self.requests.append((live.at, asked.cls, asked.tenant, end, now - live.at, live.aim))
+            self.requests.append((live.at, asked.cls, asked.tenant, end, now - live.at, live.aim_us))
 
 
-def copies(side: Side, number: int) -> Iterator[tuple[int, int, Asked]]:
+def expand_sample(side: SidecarRecording, number: int) -> Iterator[tuple[int, int, RecordedRequest]]:
     """Each recorded request, and as many more near it as it stands for."""
     sample = side.trace.started.sample
     for asked in side.trace.requests:
-        yield asked.at + side.shift, 0, asked
+        yield asked.at + side.clock_shift_us, 0, asked
         if sample < 1.0:
-            more = 1.0 / sample + luck(number, asked.request, 7)
+            more = 1.0 / sample + keyed_uniform(number, asked.request, 7)
             for order in range(1, int(more)):
-                spread = int((luck(number, asked.request, 8 + order) - 0.5) * 2 * SPREAD_US)
-                yield max(side.shift, asked.at + side.shift + spread), order, asked
+                spread = int((keyed_uniform(number, asked.request, 8 + order) - 0.5) * 2 * SAMPLE_SPREAD_US)
+                yield max(side.clock_shift_us, asked.at + side.clock_shift_us + spread), order, asked
--- a/woadyard/whatif/study.py
+++ b/woadyard/whatif/study.py
@@ -9,17 +9,17 @@
 import numpy as np
 
 from woadyard.errors import TraceError
-from woadyard.whatif.facts import recorded
-from woadyard.whatif.forecast import Arms, Forecast, forecast
-from woadyard.whatif.model import Model, fit
+from woadyard.whatif.forecast import ArmTallies, Forecast, build_forecast
+from woadyard.whatif.model import FleetModel, fit_model
+from woadyard.whatif.observations import observe_recordings
 from woadyard.whatif.plans import plan_digest
-from woadyard.whatif.pool import Job, play
-from woadyard.whatif.scene import Scene
+from woadyard.whatif.pool import ReplayJob, run_replays
 from woadyard.whatif.settings import Rules
-from woadyard.whatif.tally import Frame, Tally, tally
-from woadyard.whatif.trace import read
+from woadyard.whatif.tally import Tally, TallyLayout, build_tally
+from woadyard.whatif.trace import read_trace
 from woadyard.whatif.verdict import Verdict, judge
 from woadyard.whatif.weights import Weights, check_weights
+from woadyard.whatif.workload import Workload
 
 
 class Study(msgspec.Struct, frozen=True):
@@ -33,29 +33,29 @@
     dropped: int  # bytes of the traces that could not be read
 
 
-class Work:
+class PlanEvaluator:
     """The traces read and fitted once, for any number of proposals."""
 
     def __init__(self, data: Sequence[bytes], rules: Rules) -> None:
         self.data, self.rules = data, rules
-        traces = [read(one) for one in data]
-        self.dropped = sum(one.dropped for one in traces)
-        self.scene = Scene(traces)
-        self.model: Model = fit(self.scene)
-        self.frame = self._frame()
-        self.told = tally(recorded(self.scene), self.frame)
-        self.force: list[Tally] = []
+        traces = [read_trace(one) for one in data]
+        self.dropped_bytes = sum(one.dropped_bytes for one in traces)
+        self.workload = Workload(traces)
+        self.model: FleetModel = fit_model(self.workload)
+        self.layout = self._tally_layout()
+        self.recorded_tally = build_tally(observe_recordings(self.workload), self.layout)
+        self.in_force_tallies: list[Tally] = []
 
-    def _frame(self) -> Frame:
-        scene, rules = self.scene, self.rules
+    def _tally_layout(self) -> TallyLayout:
+        scene, rules = self.workload, self.rules
         block_us = rules.block_ms * 1000
-        settings = [side.settings for side in scene.sides]
+        settings = [side.settings for side in scene.recordings]
         # The last requests of a trace are those that were quick: the slow ones were still out.
         start = scene.start + rules.warm_s * 1_000_000
         blocks = int((scene.end - start) // block_us) - 1
         if blocks < rules.blocks_least:
             raise TraceError(f"the traces have {max(0, blocks)} blocks in common, too few")
-        return Frame(
+        return TallyLayout(
             start, block_us, blocks,
             max(len(one.classes) for one in settings),
             max(len(one.tenants) for one in settings),
@@ -63,27 +63,27 @@
             settings[0].tip_for_us,
         )  # fmt: skip
 
-    def study(self, weights: Weights) -> Study:
+    def evaluate(self, weights: Weights) -> Study:
         chosen = check_weights(weights)
         seeds = range(self.rules.seeds)
-        force: list[Job] = [] if self.force else [(seed, None) for seed in seeds]
+        force: list[ReplayJob] = [] if self.in_force_tallies else [(seed, None) for seed in seeds]
         jobs = [*force, *((seed, chosen) for seed in seeds)]
-        found = play(self.data, self.model, self.frame, jobs, self.rules.workers)
+        found = run_replays(self.data, self.model, self.layout, jobs, self.rules.workers)
         if force:
-            self.force = found[: len(force)]
-        arms = Arms(self.told, self.force, found[len(force) :])
-        made = forecast(self.scene, arms, self.rules, self._cold_bound())
+            self.in_force_tallies = found[: len(force)]
+        arms = ArmTallies(self.recorded_tally, self.in_force_tallies, found[len(force) :])
+        made = build_forecast(self.workload, arms, self.rules, self._cold_start_bound())
         replays = blake2b(made.digest.encode(), digest_size=16).hexdigest()
         verdict = judge(made, self.rules)
-        return Study(verdict, made, plan_digest(chosen), self.scene.digest, replays, self.dropped)
+        return Study(verdict, made, plan_digest(chosen), self.workload.digest, replays, self.dropped_bytes)
 
-    def _cold_bound(self) -> np.ndarray[tuple[int], np.dtype[np.float64]]:
+    def _cold_start_bound(self) -> np.ndarray[tuple[int], np.dtype[np.float64]]:
         """What a starting endpoint bears in a tipping span: the settings' multiple of its capacity by
         then, taken for what a warm one was sent, with three deviations of chance."""
-        settings = self.scene.sides[0].settings
+        settings = self.workload.recordings[0].settings
         warm = [at for at, one in enumerate(self.model.endpoints) if not one.boot]
-        sends = self.told.sends[warm].sum() / max(1, len(warm)) / self.told.sends.shape[1]
+        sends = self.recorded_tally.sends[warm].sum() / max(1, len(warm)) / self.recorded_tally.sends.shape[1]
         share = max(0.01, settings.cold_share)
-        usual = sends * self.frame.tip_us / self.frame.block_us * share * settings.tip_multiple
+        usual = sends * self.layout.tip_window_us / self.layout.block_us * share * settings.tip_multiple
         bound = usual + 3.0 * np.sqrt(usual) + 3.0
         return np.full(len(self.model.endpoints), float(bound))
--- a/woadyard/whatif/verdict.py
+++ b/woadyard/whatif/verdict.py
@@ -8,8 +8,8 @@
 from woadyard.whatif.settings import Rules
 
 BETTER, HARMLESS, WORSE = "better", "harmless", "worse"
-BREAKS, CANNOT_TELL = "breaks a rule", "cannot tell"
-LETS_OUT = frozenset((BETTER, HARMLESS))
+BREAKS_RULE, CANNOT_TELL = "breaks a rule", "cannot tell"
+APPROVING_STATES = frozenset((BETTER, HARMLESS))
 
 
 class Verdict(msgspec.Struct, frozen=True):
@@ -17,7 +17,7 @@
     reason: str
 
 
-def check(forecast: Forecast, rules: Rules) -> str | None:
+def find_replay_mismatch(forecast: Forecast, rules: Rules) -> str | None:
     """What of the replay under the weights in force does not reproduce the recording; None: all does."""
     if forecast.requests < rules.requests_least:
         return f"the trace has {forecast.requests} requests, {rules.requests_least} are needed"
@@ -39,7 +39,7 @@
     return f"replayed {name} {figure.force:.4g} against {figure.recorded:.4g} recorded, bound {bound:g}"
 
 
-def broken(forecast: Forecast, rules: Rules) -> str | None:
+def find_broken_rule(forecast: Forecast, rules: Rules) -> str | None:
     """The rule that the plan breaks and the weights in force do not."""
     for name, used in forecast.cold.items():
         if used > max(1.0, forecast.cold_force.get(name, 0.0)):
@@ -51,10 +51,10 @@
 
 
 def judge(forecast: Forecast, rules: Rules) -> Verdict:
-    if (failed := check(forecast, rules)) is not None:
+    if (failed := find_replay_mismatch(forecast, rules)) is not None:
         return Verdict(CANNOT_TELL, failed)
-    if (rule := broken(forecast, rules)) is not None:
-        return Verdict(BREAKS, rule)
+    if (rule := find_broken_rule(forecast, rules)) is not None:
+        return Verdict(BREAKS_RULE, rule)
     aim, p99 = forecast.figures["aim"], forecast.figures["p99"]
     for name, figure in forecast.figures.items():
         if name.startswith("aim") and figure.gain_high < -rules.harm * (2.0 if ":" in name else 1.0):
