--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -28,7 +28,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from benchmarks.metrics_cost import measure_request_rate
-from benchmarks.whatif_cost import REQUESTS, TURNS, cpu_s, sidecar
+from benchmarks.whatif_cost import REQUESTS, TURNS, cpu_s, launch_sidecar
 from tests.process import free_port
 from tests.sockets import Endpoint, FakeDiscovery
 from tests.test_registry import register_endpoint, start_registry
@@ -178,7 +178,7 @@
             list_service = await start_registry(Path(name) / "data", port)
             audit_config = {"audit": {"service": f"127.0.0.1:{port}"}}
             sidecars = {
-                kind: await sidecar(Path(name) / kind, registry, endpoint, **changes)
+                kind: await launch_sidecar(Path(name) / kind, registry, endpoint, **changes)
                 for kind, changes in {"off": {}, "on": audit_config}.items()
             }
             for turn in range(TURNS + 1):
--- a/tests/test_whatif_plans.py
+++ b/tests/test_whatif_plans.py
@@ -13,11 +13,11 @@
 from woadyard.errors import LogEntryError, PeerError
 from woadyard.interface import LIST_DELTA, LIST_FULL
 from woadyard.net.planned_weights import PlannedWeights
-from woadyard.whatif.measure import measure
+from woadyard.whatif.measure import measure_stage
 from woadyard.whatif.plans import PlansState, plan_digest
 from woadyard.whatif.rollout import Measurement, next_step, updated_sidecars
 from woadyard.whatif.settings import Rules
-from woadyard.whatif.trace import Weighed, read
+from woadyard.whatif.trace import WeightsApplied, read_trace
 
 SECOND = 1_000_000
 WEIGHTS = {"machineType=old": 0.2, "e1": 2.0}
@@ -189,11 +189,11 @@
 
 
 def test_stage_is_measured_from_when_each_sidecar_applied_the_plan() -> None:
-    trace = read(whatif_world.record(["small", "old"], sidecars=1, seconds=10)[0][0])
+    trace = read_trace(whatif_world.record_traces(["small", "old"], sidecars=1, seconds=10)[0][0])
     applied_at = trace.requests[len(trace.requests) // 2].at
-    assert measure([trace], 7, 0.9).requests == 0
-    trace.changes.append(Weighed(applied_at, 7, {}))
-    measurement = measure([trace], 7, 0.9)
+    assert measure_stage([trace], 7, 0.9).requests == 0
+    trace.changes.append(WeightsApplied(applied_at, 7, {}))
+    measurement = measure_stage([trace], 7, 0.9)
     later = [request for request in trace.requests if request.at >= applied_at]
     assert measurement.requests == len(later) and measurement.span_us == later[-1].at - applied_at
     share, low, high = measurement.figures["aim"]
--- a/tests/test_whatif_trace_fetcher.py
+++ b/tests/test_whatif_trace_fetcher.py
@@ -25,7 +25,7 @@
 from woadyard.errors import PeerError
 from woadyard.interface import OK
 from woadyard.whatif import trace_fetcher
-from woadyard.whatif.trace import read
+from woadyard.whatif.trace import read_trace
 from woadyard.whatif.trace_fetcher import TraceFetcher
 
 REQUESTS = 400
@@ -61,11 +61,7 @@
                 await read_message(reader)
             proxy = FaultProxy(target_port=admin_port)
             await proxy.start()
-            fetcher, rng, stop = (
-                TraceFetcher(f"127.0.0.1:{proxy.port}"),
-                random.Random(3),
-                asyncio.Event(),
-            )
+            fetcher, rng, stop = (TraceFetcher(f"127.0.0.1:{proxy.port}"), random.Random(3), asyncio.Event())
 
             async def inject_faults() -> None:
                 while not stop.is_set():
@@ -74,7 +70,7 @@
 
             faults = asyncio.create_task(inject_faults())
             async with aiohttp.ClientSession() as session:
-                trace = read(await fetcher.fetch(session, rng))
+                trace = read_trace(await fetcher.fetch(session, rng))
             stop.set()
             await faults
             assert [recorded.request for recorded in trace.requests] == list(range(1, REQUESTS + 1))
@@ -84,7 +80,7 @@
             assert sum(len(recorded.tries) for recorded in trace.requests) == sum(
                 len(endpoint.received) for endpoint in endpoints
             )
-            assert trace.started.sidecar == "n1" and trace.dropped == 0
+            assert trace.started.sidecar == "n1" and trace.dropped_bytes == 0
         finally:
             process.kill()
             await process.wait()
--- a/woadyard/net/recorder.py
+++ b/woadyard/net/recorder.py
@@ -17,8 +17,18 @@
 from woadyard.errors import ConfigError
 from woadyard.interface import Arrival, Outcome, Send, Settings
 from woadyard.policy import splitmix64
-from woadyard.whatif.ring import Ring
-from woadyard.whatif.trace import OUT, Asked, Listed, Record, Retuned, Started, State, Tried, Weighed
+from woadyard.whatif.ring import TraceRing
+from woadyard.whatif.trace import (
+    PENDING,
+    ListApplied,
+    Record,
+    RecordedAttempt,
+    RecordedRequest,
+    RecordingStarted,
+    SettingsApplied,
+    StateRecord,
+    WeightsApplied,
+)
 
 BATCH_SIZE = 32  # requests encoded together
 BYTES_PER_OPEN_REQUEST = 1024  # memory of a request in flight
@@ -43,9 +53,9 @@
         raise ConfigError(f"record: {error}") from None
 
 
-def has_no_attempt_in_flight(request_record: Asked) -> bool:
+def has_no_attempt_in_flight(request_record: RecordedRequest) -> bool:
     """Return whether every attempt of the request has its outcome."""
-    return OUT not in [attempt.outcome for attempt in request_record.tries]
+    return PENDING not in [attempt.outcome for attempt in request_record.tries]
 
 
 class Recorder:
@@ -60,15 +70,17 @@
         self.max_open_requests = max(
             BATCH_SIZE, memory_bytes // OPEN_REQUESTS_DIVISOR // BYTES_PER_OPEN_REQUEST
         )
-        self.ring = Ring(memory_bytes - self.max_open_requests * BYTES_PER_OPEN_REQUEST)
+        self.ring = TraceRing(memory_bytes - self.max_open_requests * BYTES_PER_OPEN_REQUEST)
         self.sample_threshold = int(settings.sample * HASH_RANGE)
         self.incarnation = uuid.uuid4().hex
-        self.open_requests: dict[int, Asked] = {}
+        self.open_requests: dict[int, RecordedRequest] = {}
         self.batch: list[Record] = []
         self.lock = threading.Lock()
         self.skipped = 0  # requests not recorded, as too many were in flight
         wall_us = time.time_ns() // 1000
-        self._add_state_record(Started(sidecar, self.incarnation, seed, now, wall_us, settings.sample))
+        self._add_state_record(
+            RecordingStarted(sidecar, self.incarnation, seed, now, wall_us, settings.sample)
+        )
 
     # --- Events from the driver ---------------------------------------------------
 
@@ -79,14 +91,14 @@
         if len(self.open_requests) >= self.max_open_requests:
             self.skipped += 1
             return
-        self.open_requests[request_id] = Asked(
+        self.open_requests[request_id] = RecordedRequest(
             now, request_id, event.cls, event.expires, event.tenant, event.key, event.work_us, event.repeated,
             event.home, [],
         )  # fmt: skip
 
     def attempt_started(self, now: int, action: Send) -> bytes:
         if (request_record := self.open_requests.get(action.request)) is not None:
-            request_record.tries.append(Tried(now, action.endpoint))
+            request_record.tries.append(RecordedAttempt(now, action.endpoint))
         return b""
 
     def attempt_ended(self, now: int, event: Outcome) -> None:
@@ -95,7 +107,7 @@
             return
         attempt = request_record.tries[event.copy]
         attempt.outcome, attempt.delay, attempt.report = event.outcome, event.delay_us, event.report
-        if request_record.status != OUT and has_no_attempt_in_flight(request_record):
+        if request_record.status != PENDING and has_no_attempt_in_flight(request_record):
             self._complete_request(request_record)
 
     def request_answered(self, now: int, request: int, status: int) -> None:
@@ -108,28 +120,28 @@
         """Do nothing: `request_answered` follows, with the status."""
 
     def list_applied(self, now: int, mode: int, version: int, raw: list[dict[str, Any]]) -> None:
-        self._add_state_record(Listed(now, mode, version, raw))
+        self._add_state_record(ListApplied(now, mode, version, raw))
 
     def settings_applied(self, now: int, settings: Settings, raw: dict[str, Any]) -> None:
         names = [str(request_class["name"]) for request_class in raw["classes"]]
         tenants = [str(account["name"]) for account in raw.get("accounts", ())]
         zones, kinds = ([str(name) for name in raw.get(part, ())] for part in ("zones", "kinds"))
-        self._add_state_record(Retuned(now, settings, names, tenants, zones, kinds))
+        self._add_state_record(SettingsApplied(now, settings, names, tenants, zones, kinds))
 
     def weights_applied(self, now: int, revision: int, factors: dict[str, float]) -> None:
         """Record that a plan's weights are in force."""
-        self._add_state_record(Weighed(now, revision, factors))
+        self._add_state_record(WeightsApplied(now, revision, factors))
 
     # --- Ring ---------------------------------------------------------------------
 
-    def _complete_request(self, request_record: Asked) -> None:
+    def _complete_request(self, request_record: RecordedRequest) -> None:
         del self.open_requests[request_record.request]
         with self.lock:
             self.batch.append(request_record)
             if len(self.batch) >= BATCH_SIZE:
                 self._flush_batch()
 
-    def _add_state_record(self, record: State) -> None:
+    def _add_state_record(self, record: StateRecord) -> None:
         with self.lock:
             self._flush_batch()  # keeps the records in order
             self.ring.add([record], record)
@@ -150,4 +162,4 @@
         with self.lock:
             self._flush_batch()
             offset = int(start) if is_same_run and start.isdecimal() and len(start) < 20 else 0
-            return msgspec.msgpack.encode(self.ring.piece(self.incarnation, offset))
+            return msgspec.msgpack.encode(self.ring.read_piece(self.incarnation, offset))
--- a/woadyard/whatif/__init__.py
+++ b/woadyard/whatif/__init__.py
@@ -5,6 +5,6 @@
 their own modules, so that importing the package stays cheap.
 """
 
-from woadyard.whatif.trace import Trace, read
+from woadyard.whatif.trace import Trace, read_trace
 
-__all__ = ["Trace", "read"]
+__all__ = ["Trace", "read_trace"]
--- a/woadyard/whatif/__main__.py
+++ b/woadyard/whatif/__main__.py
@@ -14,7 +14,7 @@
 
 from woadyard.errors import PeerError, WoadyardError
 from woadyard.whatif.settings import parse_rules
-from woadyard.whatif.study import Study, Work
+from woadyard.whatif.study import PlanEvaluator, Study
 
 
 class StudyRequest(msgspec.Struct, forbid_unknown_fields=True):
@@ -31,7 +31,7 @@
     except msgspec.MsgspecError as error:
         raise PeerError(f"ask.json: {error}") from None
     data = [path.read_bytes() for path in sorted(folder.glob("*.trace"))]
-    return Work(data, parse_rules(request.rules)).study(request.weights)
+    return PlanEvaluator(data, parse_rules(request.rules)).evaluate(request.weights)
 
 
 def main() -> int:
--- a/woadyard/whatif/controller.py
+++ b/woadyard/whatif/controller.py
@@ -24,7 +24,7 @@
 from woadyard.errors import LogEntryError, StateError, TraceError, WoadyardError
 from woadyard.lists import EndpointListState
 from woadyard.registry.service import Registry
-from woadyard.whatif.measure import measure
+from woadyard.whatif.measure import measure_stage
 from woadyard.whatif.plans import PROPOSED, ROLLING, Plan, PlansState, plan_digest
 from woadyard.whatif.rollout import Measurement, RolloutStep, next_step, updated_sidecars
 from woadyard.whatif.settings import PlansSettings, Rules
@@ -164,7 +164,7 @@
             if len(traces) == len(fetchers):
                 # In a thread, as some ten thousand requests per trace would block the event loop.
                 measurement = await asyncio.to_thread(
-                    measure, list(traces.values()), plan.revision, rules.confidence
+                    measure_stage, list(traces.values()), plan.revision, rules.confidence
                 )
         if self.plans.active is not plan or plan.state != ROLLING:
             return  # an operator closed the plan meanwhile
--- a/woadyard/whatif/trace_fetcher.py
+++ b/woadyard/whatif/trace_fetcher.py
@@ -11,8 +11,8 @@
 
 from woadyard.errors import PeerError, TraceError
 from woadyard.net.backoff import Backoff
-from woadyard.whatif.ring import Piece
-from woadyard.whatif.trace import Trace, read
+from woadyard.whatif.ring import TracePiece
+from woadyard.whatif.trace import Trace, read_trace
 
 LOG = logging.getLogger(__name__)
 REQUEST_TIMEOUT_S = 5.0
@@ -61,7 +61,7 @@
             if piece.next >= piece.end:
                 return self.data
 
-    async def _fetch_piece(self, session: aiohttp.ClientSession) -> Piece:
+    async def _fetch_piece(self, session: aiohttp.ClientSession) -> TracePiece:
         query = {"from": str(self.next_offset)}
         if self.incarnation:
             query["incarnation"] = self.incarnation
@@ -74,9 +74,9 @@
                     f"no trace from {self.address}: status {response.status}",
                     "set `record` in the sidecar's configuration",
                 )
-            return msgspec.msgpack.decode(await response.read(), type=Piece)
+            return msgspec.msgpack.decode(await response.read(), type=TracePiece)
 
-    def _append_piece(self, piece: Piece) -> None:
+    def _append_piece(self, piece: TracePiece) -> None:
         if piece.incarnation != self.incarnation or piece.start != self.next_offset:
             # The sidecar restarted, or its ring dropped the frames in between: this piece then starts
             # with the state at its beginning and can't be appended.
@@ -97,7 +97,7 @@
         try:
             if isinstance(data, BaseException):
                 raise data
-            traces[name] = await asyncio.to_thread(read, data)
+            traces[name] = await asyncio.to_thread(read_trace, data)
         except (PeerError, TraceError) as error:
             LOG.warning("no trace", extra={"sidecar": name, **error.fields()})
     return traces
