--- a/woadyard/membership/shrink.py
+++ b/woadyard/membership/shrink.py
@@ -33,8 +33,8 @@
 
     def ready(self) -> Entries:
         """Return the ready endpoints, with those that are held back."""
-        both = {**self.listed, **self.held}
-        return {name: entry for name, entry in both.items() if entry.get("lifecycle") == "ready"}
+        in_use = {**self.listed, **self.held}
+        return {name: entry for name, entry in in_use.items() if entry.get("lifecycle") == "ready"}
 
 
 class ShrinkGuard:
--- a/woadyard/policy/lease.py
+++ b/woadyard/policy/lease.py
@@ -52,12 +52,12 @@
         self.expires_us = now + LEASE_US if self.has_heartbeats else inf
         self.responses_extend, self.renewal_cap_us = True, inf
 
-    def unreachable(self, since: int) -> None:
+    def unreachable(self, since_us: int) -> None:
         """Nothing listens at discovery's address: no change binds before it is reachable again."""
         if self.has_heartbeats:
             self.expires_us = max(
                 self.expires_us,
-                min(since + LEASE_US, max(self.renewal_cap_us, since + ADDRESS_CHANGE_LEASE_US)),
+                min(since_us + LEASE_US, max(self.renewal_cap_us, since_us + ADDRESS_CHANGE_LEASE_US)),
             )
 
     def call_failed(self, now: int, ask_within_us: int) -> None:
