--- a/woadyard/net/client_connection.py
+++ b/woadyard/net/client_connection.py
@@ -127,25 +127,21 @@
     def _update_request_timer(self) -> None:
         """Run the timer while a request is awaited. Further bytes of a head do not extend it:
         a client that sends them one by one would never time out."""
-        expects_input = bool(self.upload) or not (self.call or self.pipelined)
-        is_awaiting = expects_input and not (
-            self.is_closed or self.streamed_response or self in self.server.idle_since
-        )
-        if is_awaiting and self.request_timer is None:
+        is_due = bool(self.upload) or not (self.call or self.pipelined)
+        awaits = is_due and not (self.is_closed or self.streamed_response or self in self.server.idle_since)
+        if awaits and self.request_timer is None:
             self.last_checked_size, self.awaiting_since_s = 0, self.loop.time()
             self.request_timer = self.loop.call_later(self.server.timeouts.request_s, self._request_timed_out)
-        elif not is_awaiting and self.request_timer is not None:
+        elif not awaits and self.request_timer is not None:
             self.request_timer.cancel()
             self.request_timer = None
 
     def _request_timed_out(self) -> None:
         self.request_timer = None
-        progress_bytes = self.parser.body_size - self.last_checked_size
-        if self.parser.in_body and (self.is_reading_paused or progress_bytes >= MIN_BODY_PROGRESS_BYTES):
+        new_bytes = self.parser.body_size - self.last_checked_size
+        if self.parser.in_body and (self.is_reading_paused or new_bytes >= MIN_BODY_PROGRESS_BYTES):
             # While reading is paused, the endpoint holds up the body, which is its own failure.
-            self.stalled_checks = (
-                self.stalled_checks + 1 if self.is_reading_paused and not progress_bytes else 0
-            )
+            self.stalled_checks = self.stalled_checks + 1 if self.is_reading_paused and not new_bytes else 0
             self.last_checked_size = self.parser.body_size
             self.request_timer = self.loop.call_later(self.server.timeouts.body_s, self._request_timed_out)
             if self.stalled_checks >= MAX_STALLED_CHECKS and self.call is not None:
@@ -216,13 +212,11 @@
         # read ahead all the same, to notice the half-close of a client that sends much and disconnects.
         self.bytes_ahead = self.bytes_ahead if self.pipelined else 0
         is_next_large = self.call is not None and self.upload is None and self.parser.has_large_body
-        is_too_far_ahead = is_next_large or self.bytes_ahead >= READ_SIZE
-        should_pause = not self.is_closed and (
-            is_too_far_ahead or (self.is_upload_paused and self.upload is not None)
-        )
-        if should_pause != self.is_reading_paused:
-            self.is_reading_paused = should_pause
-            if should_pause:
+        is_ahead = is_next_large or self.bytes_ahead >= READ_SIZE
+        pauses = not self.is_closed and (is_ahead or (self.is_upload_paused and self.upload is not None))
+        if pauses != self.is_reading_paused:
+            self.is_reading_paused = pauses
+            if pauses:
                 self.transport.pause_reading()
                 self.server.paused_clients.add(self)
             else:
@@ -238,10 +232,8 @@
             else:
                 self.call = accepted
                 self.requests.accept(accepted)
-        may_start_upload = not (
-            self.pipelined or self.is_closed or self.is_rejected or self.discards_body or self.upload
-        )
-        if may_start_upload and self.parser.has_large_body and self.call is None:
+        due = not (self.pipelined or self.is_closed or self.is_rejected or self.discards_body or self.upload)
+        if due and self.parser.has_large_body and self.call is None:
             self._start_upload()
         self._update_reading()
 
