--- a/tests/test_elector.py
+++ b/tests/test_elector.py
@@ -193,7 +193,7 @@
                 await member.stop()
         registry.become_elected_leader(elected.elector.election.term + 1)
         assert registry.replicated_index() == -1
-        registry.replica_progress.record_match("x", last_index, time.monotonic())
+        registry.replication_progress.record_match("x", last_index, time.monotonic())
         assert registry.replicated_index() == -1
-        registry.replica_progress.record_match("x", last_index + 1, time.monotonic())
+        registry.replication_progress.record_match("x", last_index + 1, time.monotonic())
         assert registry.replicated_index() == last_index + 1
--- a/woadyard/audit/ledger.py
+++ b/woadyard/audit/ledger.py
@@ -31,7 +31,7 @@
     """The replicated state of the audit.
 
     `compacted_rows` counts rows that were merged into a sum, `forgotten_runs` the runs that were
-    dropped to keep to `max_runs`.
+    dropped to stay within `max_runs`.
     """
 
     name = "audit"
@@ -44,16 +44,16 @@
 
     # --- State machine ----------------------------------------------------------------
 
-    def check(self, record: LogEntry) -> None:
-        self._validate(record)
+    def check(self, entry: LogEntry) -> None:
+        self._validate(entry)
 
-    def _validate(self, record: LogEntry) -> list[Report]:
-        op, at_us = record.get("op"), record.get("at", 0)
+    def _validate(self, entry: LogEntry) -> list[Report]:
+        op, at_us = entry.get("op"), entry.get("at", 0)
         if type(at_us) is not int or at_us < 0:
             raise LogEntryError("the entry's time is not a non-negative integer")
         if op == REPORTS_OP:
             try:
-                reports = msgspec.convert(record.get("reports"), list[Report])
+                reports = msgspec.convert(entry.get("reports"), list[Report])
                 for position in {row.position for report in reports for row in report.rows if row.position}:
                     parse_position(position)
                 for report in reports:
@@ -63,19 +63,19 @@
             return reports
         if op not in (STATE_OP, OVER_OP):
             raise LogEntryError(f"unknown operation of the audit: {op!r}")
-        if str(record.get("key")) not in self.runs:
-            raise LogEntryError(f"unknown run: {record.get('key')!r}")
-        if op == STATE_OP and record.get("state") not in STATES:
-            raise LogEntryError(f"unknown state of a run: {record.get('state')!r}")
+        if str(entry.get("key")) not in self.runs:
+            raise LogEntryError(f"unknown run: {entry.get('key')!r}")
+        if op == STATE_OP and entry.get("state") not in STATES:
+            raise LogEntryError(f"unknown state of a run: {entry.get('state')!r}")
         return []
 
-    def apply(self, record: LogEntry) -> bool:
-        reports, at_ms = self._validate(record), int(record.get("at", 0)) // 1000
-        if record["op"] == STATE_OP:
-            self.runs[record["key"]].state = record["state"]
+    def apply(self, entry: LogEntry) -> bool:
+        reports, at_ms = self._validate(entry), int(entry.get("at", 0)) // 1000
+        if entry["op"] == STATE_OP:
+            self.runs[entry["key"]].state = entry["state"]
             return True
-        if record["op"] == OVER_OP:
-            self.runs[record["key"]].over_at = at_ms
+        if entry["op"] == OVER_OP:
+            self.runs[entry["key"]].over_at = at_ms
             return True
         changed = [self._get_or_add_run(report).add_report(report, at_ms) for report in reports]
         for report in reports:
@@ -121,7 +121,7 @@
 
     def latest_run(self, name: str) -> Run | None:
         """The most recently started run of a sidecar."""
-        return max(self.runs_by_name.get(name, ()), key=lambda one: one.base, default=None)
+        return max(self.runs_by_name.get(name, ()), key=lambda candidate: candidate.base, default=None)
 
     def is_shut_out(self, name: str) -> bool:
         """Whether the sidecar is shut out: it is granted no share of a limit, and is counted nowhere."""
--- a/woadyard/audit/monitor.py
+++ b/woadyard/audit/monitor.py
@@ -28,8 +28,8 @@
     """Tracks which sidecars are behind the list or a directive, on the leader.
 
     `directives` are the instructions of other state machines to sidecars, by kind (`plan` and
-    `experiment`); a sidecar may be behind a directive just as it may be behind a list. Nothing of this
-    is replicated but which runs are shut out: a new leader takes those over and starts afresh otherwise.
+    `experiment`); a sidecar may be behind a directive just as it may be behind a list. Only the
+    set of runs that are shut out is replicated: a new leader adopts it and rebuilds the rest.
     """
 
     def __init__(self, registry: Registry, rules: StragglerRules | None = None) -> None:
@@ -62,8 +62,8 @@
 
     def head_position(self) -> Position:
         """The position of the current list."""
-        host, endpoint_list = self.registry.log_state, self.registry.state_machine(EndpointListState)
-        return Position(host.lineage, endpoint_list.term, endpoint_list.version)
+        log_state, endpoint_list = self.registry.log_state, self.registry.state_machine(EndpointListState)
+        return Position(log_state.lineage, endpoint_list.term, endpoint_list.version)
 
     def evaluate(self, report: Report, position: Position) -> Answer:
         """The answer to a report that was written to the log, without its acks."""
@@ -102,7 +102,7 @@
     def _directive_lag_ms(
         self, key: str, kind: str, directive: dict[str, Any] | None, position: Position, now_ms: int
     ) -> int:
-        """How long a sidecar has not acted on its directive, since this leader first saw that."""
+        """For how many ms this leader has seen the sidecar act on another revision than its directive's."""
         if directive is None or getattr(position, kind) == directive["revision"]:
             self.directives_due.pop((key, kind), None)
             return 0
@@ -113,7 +113,7 @@
         return now_ms - since_ms
 
     def _refresh_head(self, now_ms: int) -> None:
-        """Note the current head; discard all tracked state if this process began a new term."""
+        """Record the current head; discard all tracked state if this process began a new term."""
         if self.term != self.registry.log_state.term:
             self.term = self.registry.log_state.term
             self.fleet, self.heads = Fleet(self.rules), HeadHistory()
@@ -128,7 +128,7 @@
             self.head_watch = asyncio.get_running_loop().create_task(self._watch_head())
 
     async def _watch_head(self) -> None:
-        """Note when each list becomes the head, as reports are too infrequent to show it."""
+        """Record when each list becomes the head, as reports are too infrequent to show it."""
         while self.registry.is_leader and self.term == self.registry.log_state.term:
             self.heads.record_head(self.head_position(), self.now_ms())
             await self.registry.waiters.wait_for_notification(EndpointListState.name, 60.0)
--- a/woadyard/audit/position.py
+++ b/woadyard/audit/position.py
@@ -39,7 +39,7 @@
         )
 
     def header_line(self) -> bytes:
-        """The HTTP header line that tells an endpoint this position."""
+        """The HTTP header line that reports this position to an endpoint."""
         return b"%b: %b\r\n" % (POSITION_HEADER, self.to_text().encode())
 
     def is_older_than(self, head: Position) -> bool:
--- a/woadyard/audit/queries.py
+++ b/woadyard/audit/queries.py
@@ -47,7 +47,7 @@
 
 
 def spans_acted_on(audit_state: AuditState, matches: Callable[[Position], bool]) -> dict[str, Any]:
-    """Spans on matching positions with any decision in them, and their sums by sidecar."""
+    """Spans on matching positions in which any decision was taken, and their sums by sidecar."""
     matching_texts: dict[str, bool] = {"": False}
     spans: list[dict[str, Any]] = []
     sums: dict[str, list[int]] = {}
--- a/woadyard/audit/report_batcher.py
+++ b/woadyard/audit/report_batcher.py
@@ -1,7 +1,7 @@
 """Writes reports to the log: those received within a few ms as one entry, with one fsync.
 
-Other state machines may use a part of a report (the evidence of experiments): a sink returns the
-log entries to write for a batch, and the batch counts as written only with them.
+Another state machine may use a part of each report, such as the evidence of experiments. Its sink
+returns the log entries to write for a batch; the batch counts as written only once they are too.
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
         self.pending, self.batch_written = [], None
         try:
             for sink in self.sinks:
-                for record in sink(batch):
-                    self.registry.append_entry(record)
+                for entry in sink(batch):
+                    self.registry.append_entry(entry)
             stripped = [msgspec.structs.replace(report, evidence=None) for report in batch]
             reports = msgspec.to_builtins(stripped)
             index = self.registry.append_entry(
--- a/woadyard/audit/run.py
+++ b/woadyard/audit/run.py
@@ -101,19 +101,19 @@
 
         If the run has not ended, the last interval is a gap without an end.
         """
-        reached = 0
+        reached_ms = 0
         for row in sorted(self._all_rows(), key=lambda candidate: (candidate.since, candidate.k)):
-            if row.since > reached:
-                yield reached, row.since, None
-            until = self.heard if row.until < 0 and row.k == self.open else row.until
-            if until < 0:  # open when last reported; its end was not reported
-                until = max(row.since, row.last)
-            yield row.since, until, row
-            reached = max(reached, until)
+            if row.since > reached_ms:
+                yield reached_ms, row.since, None
+            until_ms = self.heard if row.until < 0 and row.k == self.open else row.until
+            if until_ms < 0:  # open when last reported; its end was not reported
+                until_ms = max(row.since, row.last)
+            yield row.since, until_ms, row
+            reached_ms = max(reached_ms, until_ms)
         if self.final is None:
-            yield reached, self.ended_ms, None
-        elif reached < self.final:
-            yield reached, self.final, None
+            yield reached_ms, self.ended_ms, None
+        elif reached_ms < self.final:
+            yield reached_ms, self.final, None
 
     def _all_rows(self) -> Iterator[Row]:
         if self.compacted_row is not None:
@@ -162,7 +162,7 @@
         if self.row_count <= max_rows:
             return 0
         span_numbers = sorted([*self.rows, *self.merged_rows])
-        floor = min(span_numbers[-max_rows // 2 - 1], self.open - 1)  # half, so that it is not due each time
+        floor = min(span_numbers[-max_rows // 2 - 1], self.open - 1)  # half: not due at each report
         overlapping = {k for k in self.merged_rows if floor >= k - self.merged_rows[k][1].of + 1}
         floor = max([floor, *overlapping])  # a sum is never split
         removed = [row for row in self._all_rows() if row.k <= floor]
@@ -171,11 +171,11 @@
         self.merged_rows = {k: numbered for k, numbered in self.merged_rows.items() if k > floor}
         self.floor = floor
         self.compacted_row = Row(
-            floor, "", min(old.since for old in removed), max(old.until for old in removed),
-            sum(old.attempts for old in removed), sum(old.refusals for old in removed),
-            sum(old.unsent for old in removed),
-            min((old.first for old in removed if old.first >= 0), default=-1),
-            max(old.last for old in removed), sum(old.of for old in removed),
+            floor, "", min(old_row.since for old_row in removed), max(old_row.until for old_row in removed),
+            sum(old_row.attempts for old_row in removed), sum(old_row.refusals for old_row in removed),
+            sum(old_row.unsent for old_row in removed),
+            min((old_row.first for old_row in removed if old_row.first >= 0), default=-1),
+            max(old_row.last for old_row in removed), sum(old_row.of for old_row in removed),
         )  # fmt: skip
         return count_before - self.row_count
 
--- a/woadyard/audit/spans.py
+++ b/woadyard/audit/spans.py
@@ -1,4 +1,4 @@
-"""Records what this sidecar acted on, span by span, until the ledger has acknowledged it.
+"""Records what this sidecar acted on, span by span, until the list service has acknowledged it.
 
 Does no I/O; times are µs of the caller's clock. Every request passes through the counting, so it
 is a few additions; everything else happens once per report.
@@ -18,13 +18,13 @@
 class Span:
     """A period on one position, with the counts of what was decided in it.
 
-    While `in_flight_count` attempts of it are in flight, its counts may still change. `number` is
-    that of the last of the `span_count` spans merged into it. Times are -1 where there was none.
+    Its counts may still change while `in_flight_count` attempts that began in it are in flight. `number`
+    is that of the last of the `span_count` spans merged into it. Times are -1 where there was none.
     """
 
     __slots__ = (
-        "attempts", "dirty", "first_us", "header", "in_flight_count", "last_us", "number", "position",
-        "refusals", "sent_at", "sent_in_report", "since_us", "span_count", "unsent", "until_us",
+        "attempts", "first_us", "header", "in_flight_count", "is_dirty", "last_us", "number", "position",
+        "refusals", "sent_at_us", "sent_in_report", "since_us", "span_count", "unsent", "until_us",
     )  # fmt: skip
 
     def __init__(self, number: int, position: Position, now_us: int) -> None:
@@ -32,13 +32,13 @@
         self.header = position.header_line()
         self.attempts = self.refusals = self.unsent = self.in_flight_count = 0
         self.first_us = self.last_us = self.until_us = -1
-        self.dirty, self.sent_in_report, self.sent_at = True, 0, 0
+        self.is_dirty, self.sent_in_report, self.sent_at_us = True, 0, 0
 
     def record_decision(self, now_us: int) -> None:
         """Note the time of a decision made in this span."""
         if self.first_us < 0:
             self.first_us = now_us
-        self.last_us, self.dirty = now_us, True
+        self.last_us, self.is_dirty = now_us, True
 
     def absorb(self, other: Span) -> None:
         """Merge the next span into this one; the sum has no position."""
@@ -53,11 +53,11 @@
         self.unsent += other.unsent
         self.first_us = other.first_us if self.first_us < 0 else self.first_us
         self.last_us = max(self.last_us, other.last_us)
-        self.dirty = True
+        self.is_dirty = True
 
 
 class SpanRecorder:
-    """The spans of this run that the ledger has not acknowledged, and the reports made from them.
+    """The spans of this run that the list service has not acknowledged, and the reports built from them.
 
     At most `max_spans` are retained; beyond that the two oldest are merged. `merge_count` counts
     the merges.
@@ -76,7 +76,7 @@
         """Start a span on this position; returns False if it is already the current one."""
         if position == self.position:
             return False
-        self.open_span.until_us, self.open_span.dirty = now_us, True
+        self.open_span.until_us, self.open_span.is_dirty = now_us, True
         self.position = position
         self.open_span = Span(self.open_span.number + 1, position, now_us)
         self.retained[self.open_span.number] = self.open_span
@@ -87,7 +87,7 @@
     # --- Decisions --------------------------------------------------------------------
 
     def record_attempt(self, now_us: int, request: int, endpoint: int) -> bytes:
-        """Count an attempt that begins; returns the header line that tells the endpoint the position."""
+        """Count an attempt that begins; returns the header line that reports the position to the endpoint."""
         span = self.open_span
         span.attempts += 1
         span.in_flight_count += 1
@@ -102,7 +102,7 @@
             span.in_flight_count -= 1
             if not reached:
                 span.unsent += 1
-                span.dirty = True
+                span.is_dirty = True
 
     def record_refusal(self, now_us: int) -> None:
         """Count a request that was rejected without an attempt."""
@@ -115,10 +115,12 @@
         """Build the next report: spans that changed since they were last sent, or whose report was lost."""
         self.last_report_number += 1
         reported = [
-            span for span in self.retained.values() if span.dirty or self._expire_unacknowledged(span, now_us)
+            span
+            for span in self.retained.values()
+            if span.is_dirty or self._expire_unacknowledged(span, now_us)
         ]
         for span in reported:
-            span.dirty, span.sent_in_report, span.sent_at = False, self.last_report_number, now_us
+            span.is_dirty, span.sent_in_report, span.sent_at_us = False, self.last_report_number, now_us
         self.unacknowledged.add(self.last_report_number)
         oldest = min((span.number for span in self.in_flight.values()), default=self.open_span.number)
         rows = [self._build_row(span) for span in reported]
@@ -132,16 +134,18 @@
         """Report `number` got no answer: the next one repeats its spans."""
         self.unacknowledged.discard(number)
         for span in self.retained.values():
-            span.dirty = span.dirty or span.sent_in_report == number
+            span.is_dirty = span.is_dirty or span.sent_in_report == number
 
     def acknowledge(self, numbers: Iterable[int]) -> None:
-        """The ledger has stored these reports durably: drop the completed spans last sent in them."""
+        """The list service has stored these reports durably: drop the completed spans last sent in them."""
         acknowledged = self.unacknowledged.intersection(numbers)
         self.unacknowledged -= acknowledged
         for span in list(self.retained.values()):
             if span.sent_in_report in acknowledged:
                 span.sent_in_report = 0
-            if span is not self.open_span and not (span.sent_in_report or span.dirty or span.in_flight_count):
+            if span is not self.open_span and not (
+                span.sent_in_report or span.is_dirty or span.in_flight_count
+            ):
                 del self.retained[span.number]
 
     def _expire_unacknowledged(self, span: Span, now_us: int) -> bool:
@@ -149,7 +153,7 @@
 
         If so, that report is no longer waited for.
         """
-        if not span.sent_in_report or now_us - span.sent_at < RESEND_US:
+        if not span.sent_in_report or now_us - span.sent_at_us < RESEND_US:
             return False
         self.unacknowledged.discard(span.sent_in_report)
         return True
@@ -170,7 +174,7 @@
         return (time_us - self.start_us) // 1000
 
     def _merge_oldest(self) -> None:
-        """Merge the two oldest adjacent spans; a sum must not cover spans that the ledger already has."""
+        """Merge the two oldest adjacent spans; a sum must not cover spans already stored."""
         numbers = list(self.retained)  # in order: a merged span takes the place of the two
         for first_number, second_number in pairwise(numbers):
             first, second = self.retained[first_number], self.retained[second_number]
--- a/woadyard/audit/straggler.py
+++ b/woadyard/audit/straggler.py
@@ -36,7 +36,7 @@
 
 
 class HeadHistory:
-    """When each recent list became the head, to tell for how long a position has been outdated."""
+    """When each recent list became the head, to compute for how long a position has been outdated."""
 
     def __init__(self) -> None:
         self.head = Position()
@@ -44,7 +44,7 @@
         self.since_ms: deque[int] = deque(maxlen=MAX_HEADS)
 
     def record_head(self, head: Position, now_ms: int) -> None:
-        """Note the head at `now_ms`; a head of another lineage clears the history."""
+        """Record the head at `now_ms`; a head of another lineage clears the history."""
         if head == self.head:
             return
         if head.lineage != self.head.lineage:
@@ -70,13 +70,13 @@
 
     state: str = CURRENT
     behind_since_ms: int = 0
-    bring_up_count: int = 0  # times the list was sent since it is behind
+    bring_up_count: int = 0  # times the list was sent since the run fell behind
     reports_at_head: int = 0  # consecutive
     last_report_ms: int = 0
     is_overdue: bool = False
 
     def is_bring_up_failing(self, now_ms: int, rules: StragglerRules) -> bool:
-        """Whether it is still behind after the list was sent; a run that recovers reports so soon."""
+        """Whether the run is still behind after the list was sent; a run that recovers reports soon."""
         return self.state == BROUGHT_UP and (
             self.bring_up_count > 1 or 2 * (now_ms - self.last_report_ms) > rules.behind_ms
         )
@@ -125,7 +125,9 @@
         return run
 
     def update_hold(self, now_ms: int) -> None:
-        """Hold the fleet if so many runs are behind that they are not at fault; release it later."""
+        """Hold the fleet while so many runs are behind that the fault must lie elsewhere.
+
+        The hold ends once their number has been within the allowed share for `behind_ms`."""
         live = [
             run for run in self.tracked_runs.values()
             if now_ms - run.last_report_ms <= self.rules.silent_ms or run.state == SHUT_OUT
--- a/woadyard/experiment/evidence_totals.py
+++ b/woadyard/experiment/evidence_totals.py
@@ -14,7 +14,7 @@
 from woadyard.experiment.messages import Evidence, Row
 
 CellKey = tuple[int, str, str, str]  # slot, class, zone, arm
-SUMS_PER_CELL = 5  # tried, good, failed, slow, drawn
+SUMS_PER_CELL = 5  # tried, good, failed, slow, drawn: the order of the sums
 MAX_CELLS = 65_536  # requests of further cells are excluded, and counted as such
 
 
--- a/woadyard/experiment/stopper.py
+++ b/woadyard/experiment/stopper.py
@@ -280,7 +280,7 @@
         if missing > plan.missing_share:
             return f"{missing:.3f} of the fleet's evidence is missing, more than {plan.missing_share:g}"
         if suspected_evidence >= SUSPECTED_MISMATCH:
-            return "the arms' shares look off; more evidence will tell"
+            return "a sample ratio mismatch is suspected; more evidence is needed"
         if any(self._sums(*pair, GOOD)[0].units < plan.minimum_units for pair in self._pairs):
             return f"fewer than {plan.minimum_units} batches in which both arms were seen"
         return ""
@@ -314,7 +314,7 @@
                 names[arm],
                 f"{names[arm]} is better than {plan.control}",
             )
-        return State.RUNNING, None, "the interval does not tell yet"
+        return State.RUNNING, None, "the confidence intervals are not yet conclusive"
 
     def _sums(self, arm: int, other: int, measure: int) -> tuple[ContrastSums, int]:
         """Return the contrast's sums at the resolution in use, and their sign.
--- a/woadyard/limits/state.py
+++ b/woadyard/limits/state.py
@@ -12,7 +12,7 @@
 
 
 class LimitsState:
-    """The ledger of limits. Each hold removes expired leases, so only active holders take space."""
+    """The ledger of limits. Each request removes expired leases, so only active holders take space."""
 
     name = "limits"
 
@@ -48,7 +48,7 @@
         self.ledger.extend_all(at)
 
     def grants(self, name: str) -> dict[str, int]:
-        """Return the units granted by the holder's last hold, by resource."""
+        """Return the units granted to the holder by its last request, by resource."""
         return self.ledger.holder_leases[name].grants
 
     def count_holders(self, now_us: int) -> int:
--- a/woadyard/lists/service.py
+++ b/woadyard/lists/service.py
@@ -58,7 +58,7 @@
 
 
 class EndpointListHandlers:
-    """The handlers of the HTTP handlers."""
+    """The handlers of the HTTP calls, for one registry."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
--- a/woadyard/lists/state.py
+++ b/woadyard/lists/state.py
@@ -1,7 +1,7 @@
 """The endpoint list as a state machine: it applies log entries and increments a version per change.
 
 Pure: no I/O, no clock. The time comes from the entries (µs), where the leader set it, so that every
-replica that applies the same entries in the same order has the same list at the same version.
+member that applies the same entries in the same order has the same list at the same version.
 
 A version alone does not identify a list: a leader that was replaced may have served a version that
 its successor never received. So each response carries the term of its version, and the state
@@ -62,7 +62,7 @@
             raise LogEntryError(f"unknown op of the endpoint list: {op!r}")
 
     def apply(self, entry: LogEntry) -> bool:
-        """Apply an entry; return whether the list changed (and the version was incremented).
+        """Apply an entry; return whether the list changed, which increments the version.
 
         A renewal extends a lease without a new version: watches report changes of the list, not
         heartbeats."""
--- a/woadyard/registry/command.py
+++ b/woadyard/registry/command.py
@@ -21,7 +21,7 @@
 from woadyard.registry.follower import Follower
 from woadyard.registry.http import serve
 from woadyard.registry.log import Journal
-from woadyard.registry.peers import PeerPoller
+from woadyard.registry.peer_poller import PeerPoller
 from woadyard.registry.service import Registry
 from woadyard.whatif.controller import PlanController
 from woadyard.whatif.settings import PlansSettings, read_plans_settings
@@ -104,7 +104,7 @@
             parse_addresses(arguments.peers)
         plans = read_plans_settings(arguments.plans) if arguments.plans is not None else None
         registry = Registry(
-            Journal(arguments.data), leader_address=arguments.follow, required_replicas=arguments.copies
+            Journal(arguments.data), leader_address=arguments.follow, required_followers=arguments.copies
         )
         if arguments.audit_rules is not None:
             registry.straggler_rules = read_audit_rules(arguments.audit_rules)
--- a/woadyard/registry/election.py
+++ b/woadyard/registry/election.py
@@ -12,12 +12,12 @@
 for it (pre-vote and leader stickiness; Ongaro's thesis, 2014, 9.6 and 4.2.3). Only if a majority would,
 it raises its term and requests votes. A member votes once a term, for a log at least as far as its own
 by (term, index) of the last entry. A leader that no majority answered for an election timeout steps
-down. Terms are salted (host.py): of two simultaneous candidates the greater term wins, no vote is split.
+down. Terms are salted (replicated_state.py): the greater of two competing terms wins, no vote is split.
 
 A member with an empty folder is `NEW`: it may have forgotten votes and entries, and is a learner that
 neither votes nor counts towards a majority. It becomes a voting member where all members are present
 and none ever had an elected leader (`FOUNDING`), or by a leader's promotion: once no campaign from
-before its start can win, a majority without it confirmed the leader, and it holds all the leader did.
+before its start can win, a majority without it confirmed the leader, and it holds all that leader held.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 class Timing(msgspec.Struct, frozen=True):
     """Intervals in s. The election timeout is drawn between `timeout_s` and `timeout_most_s`. A failed
-    pre-vote disturbs nobody and is repeated after a delay drawn from `again_s`."""
+    pre-vote does not disturb the other members and is repeated after a delay drawn from `again_s`."""
 
     timeout_s: float = 1.5
     timeout_most_s: float = 3.0
@@ -378,7 +378,7 @@
             return
         floor = max(self.get_log().last, *(member.last for member in members))
         self.ballot = msgspec.structs.replace(self.ballot, standing=FOUNDING, floor=floor)
-        self._reset_election_timeout(now)  # the others probe within that time, and found it too
+        self._reset_election_timeout(now)  # by then the others probe and found the cluster too
 
     def _record_confirmation(self, heartbeat: Heartbeat, response: PeerResponse, now: float) -> None:
         if self.role != LEADER or heartbeat.term != self.term or not response.granted:
@@ -389,7 +389,7 @@
                 learner.confirmed_by.add(response.name)
 
     def record_poll(self, name: str, index: int, now: float) -> bool:
-        """Records that a member holds the log up to `index`; whether that counts towards a majority."""
+        """Records that a member holds the log up to `index`; returns whether it counts to a majority."""
         if self.role != LEADER:
             return False
         if self.is_voting_member(name):
--- a/woadyard/registry/elector.py
+++ b/woadyard/registry/elector.py
@@ -47,7 +47,7 @@
 POLL_INTERVAL_S = 0.4
 MAX_PENDING_CALLS = 4  # to one peer: with the link cut, each call stays pending until it times out
 LOG = logging.getLogger(__name__)
-M = TypeVar("M", VoteRequest, Heartbeat)
+MessageT = TypeVar("MessageT", VoteRequest, Heartbeat)
 
 
 def other_members(listen: str, peers: str) -> list[str]:
@@ -84,7 +84,7 @@
         self.election.adopt_term(registry.highest_term, now)
         registry.election = self.election
         registry.observe_term(registry.log_state.lineage, self.saved_ballot.term, "the ballot")
-        registry.replica_progress.required_replicas = self.election.quorum_peers
+        registry.replication_progress.required_followers = self.election.quorum_peers
         registry.follow_elected_leader(None)
         self.follower = Follower(registry, rng, stale_s, poll_wait_s=POLL_INTERVAL_S)
         self.follow_task: asyncio.Task[None] | None = None
@@ -235,7 +235,7 @@
         heartbeat = await self._read_message(request, Heartbeat)
         return self._respond(self.election.handle_heartbeat(heartbeat, time.monotonic()))
 
-    async def _read_message(self, request: web.Request, message_type: type[M]) -> M:
+    async def _read_message(self, request: web.Request, message_type: type[MessageT]) -> MessageT:
         message = await read_body(request, message_type)
         if not self.registry.is_plausible_term(message.term, f"{message.name} at {request.remote}"):
             raise PeerError(
--- a/woadyard/registry/replication.py
+++ b/woadyard/registry/replication.py
@@ -24,6 +24,8 @@
 
 
 class LogQuery(msgspec.Struct):
+    """The query parameters of a poll; `wait` is in s, `who` the id of the follower."""
+
     after: int
     wait: float = 0.0
     chain: str = EMPTY_CHAIN
@@ -49,7 +51,7 @@
         registry.metrics.reads.labels("log").inc()
         registry.observe_term(log_query.lineage, log_query.term, f"a follower at {request.remote}")
         if log_query.who and registry.journal.tail.chain_at(log_query.after) == log_query.chain:
-            registry.record_replica_position(log_query.who, log_query.after)
+            registry.record_follower_position(log_query.who, log_query.after)
         if log_query.after == registry.log_state.applied_index:
             wait_s = min(MAX_WAIT_S, max(0.0, log_query.wait))
             await registry.waiters.wait_until(
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -90,7 +90,7 @@
     """The state machines, their log files and their waiters, on one event loop.
 
     `leader_address` is the address of the process that this one follows; None while this process
-    is the leader, or after it was deposed. `required_replicas` is the number of followers that
+    is the leader, or after it was deposed. `required_followers` is the number of followers that
     must have an entry before it counts as replicated."""
 
     def __init__(
@@ -98,7 +98,7 @@
         journal: Journal,
         clock_us: Callable[[], int] | None = None,
         leader_address: str | None = None,
-        required_replicas: int = 0,
+        required_followers: int = 0,
     ) -> None:
         self.election: Election | None = None  # set with --elect
         self.elected_index = 0  # index of the entry that began its own elected term
@@ -114,7 +114,7 @@
         self.highest_term = max(journal.read_highest_term(), self.log_state.term)  # ever observed
         self.is_stale = False  # a follower that has lost contact with its leader
         self.is_deposed = False
-        self.replica_progress = ReplicationProgress(required_replicas)
+        self.replication_progress = ReplicationProgress(required_followers)
         self.straggler_rules = StragglerRules()
         self.waiters = Waiters()
         self.metrics = RegistryMetrics()
@@ -164,7 +164,7 @@
         """Begin a term that a majority voted for. Raises StateError if the log can't be written."""
         lineage = self.log_state.lineage or secrets.token_hex(8)
         # Progress reported in an earlier term proves nothing in this one.
-        self.replica_progress = ReplicationProgress(self.replica_progress.required_replicas)
+        self.replication_progress = ReplicationProgress(self.replication_progress.required_followers)
         self.append_and_apply(
             {"op": LEAD, "lineage": lineage, "term": term, "by": self.member_id, "at": self.clock_us()}
         )
@@ -200,13 +200,13 @@
         self.schedule_due_entry()
         return self.log_state.applied_index
 
-    def record_replica_position(self, replica: str, index: int) -> None:
+    def record_follower_position(self, follower: str, index: int) -> None:
         """Record that a follower has proven that its log matches up to `index`.
 
         With elections, only followers that are members count."""
         now = time.monotonic()
-        if self.election is None or self.election.record_poll(replica, index, now):
-            self.replica_progress.record_match(replica, index, now)
+        if self.election is None or self.election.record_poll(follower, index, now):
+            self.replication_progress.record_match(follower, index, now)
             self.waiters.notify(REPLICATION_TOPIC)
 
     def replicated_index(self) -> int:
@@ -215,7 +215,7 @@
         Entries up to there survive the loss of this process and its disk. The result is -1 until the
         first entry of an elected leader's own term is replicated: entries of earlier terms are
         not safe before that (Raft, figure 8)."""
-        index = self.replica_progress.advance_commit(self.log_state.applied_index, time.monotonic())
+        index = self.replication_progress.advance_commit(self.log_state.applied_index, time.monotonic())
         return index if index >= self.elected_index else -1
 
     async def wait_replicated(self, index: int, term: int | None = None) -> None:
@@ -224,14 +224,15 @@
         Returns at once if no follower is required. Raises NotReplicatedError after
         `REPLICATION_TIMEOUT_S`, DeposedError if this process is not the leader of that term."""
         term = self.log_state.term if term is None else term
-        if self.replica_progress.required_replicas and not await self.waiters.wait_until(
+        if self.replication_progress.required_followers and not await self.waiters.wait_until(
             REPLICATION_TOPIC,
             lambda: self.replicated_index() >= index or not self._is_leader_in(term),
             REPLICATION_TIMEOUT_S,
         ):
             error_class = NotReplicatedError if self.election is None else NoMajorityError
             raise error_class(
-                f"entry {index} is not yet replicated to {self.replica_progress.required_replicas} followers"
+                f"entry {index} is not yet replicated to "
+                f"{self.replication_progress.required_followers} followers"
             )
         if not self._is_leader_in(term):
             raise self._deposed_error(f"entry {index} may be lost: another process is the leader")
