--- a/tests/lab.py
+++ b/tests/lab.py
@@ -226,10 +226,10 @@
         endpoints: Sequence[Any] = (),
         discovery: Any = 0,
         environ: dict[str, str] | None = None,
-        wait: bool = True,
+        wait_until_ready: bool = True,
         **config: Any,
     ) -> Program:
-        """Starts a sidecar with an admin listener; `wait` waits until it is ready. Its configuration file
+        """Starts a sidecar with an admin listener, and returns at once unless `wait_until_ready`. Its file
         lists `endpoints`, unless only a discovery service is named. `config` overrides keys of the file."""
         folder = self.folder / name
         folder.mkdir(parents=True, exist_ok=True)
@@ -244,12 +244,12 @@
         variables = {"LB_CONFIG": str(path), "LB_NAME": name, "TMPDIR": str(folder), **(environ or {})}
         unstarted = Program(name, folder, ["woadyard"], {**os.environ, **variables}, port, admin_port)
         program = self.run(unstarted)
-        if wait:
+        if wait_until_ready:
             await program.wait_ready()
         return program
 
-    async def proxy(self, target: Any, **parts: Any) -> FaultProxy:
-        proxy = FaultProxy(target if isinstance(target, int) else target.port, **parts)
+    async def proxy(self, target: Any, **options: Any) -> FaultProxy:
+        proxy = FaultProxy(target if isinstance(target, int) else target.port, **options)
         await proxy.start()
         self.proxies.append(proxy)
         return proxy
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -231,11 +231,11 @@
 @contextlib.asynccontextmanager
 async def run_sidecar(
     *endpoints: Endpoint,
-    known: bool = True,
+    has_cached_list: bool = True,
     discovery_server: FakeDiscovery | None = None,
     ceilings: dict[str, Any] | None = None,
 ) -> AsyncIterator[Sidecar]:
-    """Run a sidecar and the endpoints; its cached list holds them, unless `known` is false."""
+    """Run a sidecar and the endpoints; its cached list contains them if `has_cached_list`."""
     raw = {**SETTINGS, "ceilings": {**SETTINGS["ceilings"], **(ceilings or {})}}
     settings = read_settings(json.dumps(raw).encode())
     loop = asyncio.get_running_loop()
@@ -254,7 +254,7 @@
             )
             stack.callback(driver.discovery.close)
         entries = [listed.entry(f"s-{index}") for index, listed in enumerate(endpoints)]
-        driver.start({"generation": 41, "reset": True, "instances": entries} if known else None)
+        driver.start({"generation": 41, "reset": True, "instances": entries} if has_cached_list else None)
         server = Server(driver)
         port = await server.listen("127.0.0.1", 0)
         stack.callback(upstream.close)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -160,7 +160,7 @@
 
 @on_loop
 async def test_a_request_without_an_endpoint_is_rejected_in_time() -> None:
-    async with run_sidecar(known=False, ceilings={"max-retry-after-us": 2_000_000}) as sidecar:
+    async with run_sidecar(has_cached_list=False, ceilings={"max-retry-after-us": 2_000_000}) as sidecar:
         response = await sidecar.send(http_request(deadline_ms=100))
         assert response.start_line.split()[1] == "503"
         assert response.headers["retry-after"] == "0.040", "1/50 of the aim, the balancer's own retry delay"
--- a/tests/test_audit_ledger.py
+++ b/tests/test_audit_ledger.py
@@ -74,12 +74,12 @@
         self._count(0, position)
         self.in_flight.append((self.request, position))
 
-    @rule(reached=st.booleans(), which=st.integers(0, 50))
-    def end(self, reached: bool, which: int) -> None:
+    @rule(was_sent=st.booleans(), which=st.integers(0, 50))
+    def end(self, was_sent: bool, which: int) -> None:
         if self.in_flight:
             request, position = self.in_flight.pop(which % len(self.in_flight))
-            self.recorder.record_attempt_end(request, 7, reached)
-            if not reached:
+            self.recorder.record_attempt_end(request, 7, was_sent)
+            if not was_sent:
                 self._count(2, position)
 
     @rule()
--- a/tests/test_bad_bytes.py
+++ b/tests/test_bad_bytes.py
@@ -142,7 +142,7 @@
 @on_loop
 async def test_an_early_response_is_not_lost_to_a_reset_by_what_follows_the_body(trailing: bytes) -> None:
     """The client reads its response only after it has sent everything."""
-    async with run_sidecar(Endpoint(), known=False) as proxy:
+    async with run_sidecar(Endpoint(), has_cached_list=False) as proxy:
         proxy.server.timeouts.linger_s = TIMEOUT_S
         proxy.driver.balancer.membership.banned[7] = None  # all endpoints are detached: rejected at once
         reader, writer = await proxy.connect()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -128,7 +128,7 @@
 
 @on_loop
 async def test_an_early_response_does_not_cut_the_body_off() -> None:
-    async with run_sidecar(Endpoint(), known=False) as proxy:
+    async with run_sidecar(Endpoint(), has_cached_list=False) as proxy:
         proxy.driver.balancer.membership.banned[7] = None  # all endpoints are detached: rejected at once
         reader, writer = await proxy.connect()
         raw = http_request("pay", LARGE_BODY)
@@ -184,7 +184,7 @@
 
 @on_loop
 async def test_a_body_that_stalls_after_its_response_gets_no_second_one() -> None:
-    async with run_sidecar(Endpoint(), known=False) as proxy:
+    async with run_sidecar(Endpoint(), has_cached_list=False) as proxy:
         proxy.server.timeouts.request_s = 0.05
         proxy.driver.balancer.membership.banned[7] = None  # all endpoints are detached: rejected at once
         reader, writer = await proxy.connect()
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -145,7 +145,7 @@
 
 @on_loop
 async def test_ready_does_not_wait_for_discovery() -> None:
-    async with run_sidecar(known=False) as proxy:
+    async with run_sidecar(has_cached_list=False) as proxy:
         response = await proxy.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert response.start_line.startswith("HTTP/1.1 200")
 
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -49,7 +49,10 @@
 @on_loop
 async def test_endpoint_numbers_depend_on_the_name_alone() -> None:
     first, second = Endpoint(), Endpoint()
-    async with run_sidecar(first, second) as running, run_sidecar(second, first, known=False) as other:
+    async with (
+        run_sidecar(first, second) as running,
+        run_sidecar(second, first, has_cached_list=False) as other,
+    ):
         other.set_list(second.entry("s-1"), first.entry("s-0"))
         assert set(running.driver.balancer.endpoints) == set(other.driver.balancer.endpoints)
         assert endpoint_number("s-0") in running.driver.balancer.endpoints
--- a/tests/test_whatif_rollout.py
+++ b/tests/test_whatif_rollout.py
@@ -66,7 +66,8 @@
         for name, audit_proxy in self.audit_proxies.items():
             audit = {"service": f"127.0.0.1:{audit_proxy.port}", "every-ms": 200}
             sidecar = await self.lab.sidecar(
-                name, discovery=port, wait=False, audit=audit, record={"memory-kb": 2048}, settings=settings,
+                name, discovery=port, wait_until_ready=False, audit=audit, record={"memory-kb": 2048},
+                settings=settings,
                 known={"generation": 0, "reset": True, "instances": entries},
             )  # fmt: skip
             self.sidecars.append(sidecar)
--- a/woadyard/audit/spans.py
+++ b/woadyard/audit/spans.py
@@ -19,12 +19,13 @@
     """A period on one position, with the counts of what was decided in it.
 
     Its counts may still change while `in_flight_count` attempts that began in it are in flight. `number`
-    is that of the last of the `span_count` spans merged into it. Times are -1 where there was none.
+    is that of the last of the `span_count` spans merged into it. Times are -1 where there was none. A `dirty`
+    span changed since it was last sent, at `sent_at` µs.
     """
 
     __slots__ = (
-        "attempts", "first_us", "header", "in_flight_count", "is_dirty", "last_us", "number", "position",
-        "refusals", "sent_at_us", "sent_in_report", "since_us", "span_count", "unsent", "until_us",
+        "attempts", "dirty", "first_us", "header", "in_flight_count", "last_us", "number", "position",
+        "refusals", "sent_at", "sent_in_report", "since_us", "span_count", "unsent", "until_us",
     )  # fmt: skip
 
     def __init__(self, number: int, position: Position, now_us: int) -> None:
@@ -32,13 +33,13 @@
         self.header = position.header_line()
         self.attempts = self.refusals = self.unsent = self.in_flight_count = 0
         self.first_us = self.last_us = self.until_us = -1
-        self.is_dirty, self.sent_in_report, self.sent_at_us = True, 0, 0
+        self.dirty, self.sent_in_report, self.sent_at = True, 0, 0
 
     def record_decision(self, now_us: int) -> None:
         """Note the time of a decision made in this span."""
         if self.first_us < 0:
             self.first_us = now_us
-        self.last_us, self.is_dirty = now_us, True
+        self.last_us, self.dirty = now_us, True
 
     def absorb(self, other: Span) -> None:
         """Merge the next span into this one; the sum has no position."""
@@ -53,7 +54,7 @@
         self.unsent += other.unsent
         self.first_us = other.first_us if self.first_us < 0 else self.first_us
         self.last_us = max(self.last_us, other.last_us)
-        self.is_dirty = True
+        self.dirty = True
 
 
 class SpanRecorder:
@@ -76,7 +77,7 @@
         """Start a span on this position; returns False if it is already the current one."""
         if position == self.position:
             return False
-        self.open_span.until_us, self.open_span.is_dirty = now_us, True
+        self.open_span.until_us, self.open_span.dirty = now_us, True
         self.position = position
         self.open_span = Span(self.open_span.number + 1, position, now_us)
         self.retained[self.open_span.number] = self.open_span
@@ -95,14 +96,14 @@
         self.in_flight[request, endpoint] = span
         return span.header
 
-    def record_attempt_end(self, request: int, endpoint: int, reached: bool) -> None:
-        """Count an attempt that ended; `reached` is False if nothing was sent to the endpoint."""
+    def record_attempt_end(self, request: int, endpoint: int, was_sent: bool) -> None:
+        """Count an attempt that ended; `was_sent` is False if nothing was sent to the endpoint."""
         span = self.in_flight.pop((request, endpoint), None)
         if span is not None:
             span.in_flight_count -= 1
-            if not reached:
+            if not was_sent:
                 span.unsent += 1
-                span.is_dirty = True
+                span.dirty = True
 
     def record_refusal(self, now_us: int) -> None:
         """Count a request that was rejected without an attempt."""
@@ -115,12 +116,10 @@
         """Build the next report: spans that changed since they were last sent, or whose report was lost."""
         self.last_report_number += 1
         reported = [
-            span
-            for span in self.retained.values()
-            if span.is_dirty or self._expire_unacknowledged(span, now_us)
+            span for span in self.retained.values() if span.dirty or self._expire_unacknowledged(span, now_us)
         ]
         for span in reported:
-            span.is_dirty, span.sent_in_report, span.sent_at_us = False, self.last_report_number, now_us
+            span.dirty, span.sent_in_report, span.sent_at = False, self.last_report_number, now_us
         self.unacknowledged.add(self.last_report_number)
         oldest = min((span.number for span in self.in_flight.values()), default=self.open_span.number)
         rows = [self._build_row(span) for span in reported]
@@ -134,7 +133,7 @@
         """Report `number` got no answer: the next one repeats its spans."""
         self.unacknowledged.discard(number)
         for span in self.retained.values():
-            span.is_dirty = span.is_dirty or span.sent_in_report == number
+            span.dirty = span.dirty or span.sent_in_report == number
 
     def acknowledge(self, numbers: Iterable[int]) -> None:
         """The list service has stored these reports durably: drop the completed spans last sent in them."""
@@ -143,9 +142,7 @@
         for span in list(self.retained.values()):
             if span.sent_in_report in acknowledged:
                 span.sent_in_report = 0
-            if span is not self.open_span and not (
-                span.sent_in_report or span.is_dirty or span.in_flight_count
-            ):
+            if span is not self.open_span and not (span.sent_in_report or span.dirty or span.in_flight_count):
                 del self.retained[span.number]
 
     def _expire_unacknowledged(self, span: Span, now_us: int) -> bool:
@@ -153,7 +150,7 @@
 
         If so, that report is no longer waited for.
         """
-        if not span.sent_in_report or now_us - span.sent_at_us < RESEND_US:
+        if not span.sent_in_report or now_us - span.sent_at < RESEND_US:
             return False
         self.unacknowledged.discard(span.sent_in_report)
         return True
--- a/woadyard/experiment/controller.py
+++ b/woadyard/experiment/controller.py
@@ -78,7 +78,7 @@
 class ExperimentController:
     """Takes the active experiment of one registry through its states.
 
-    `missing_share` and `sidecars_behind` query the audit of the fleet.
+    `missing_share` and `sidecars_behind` query the fleet audit.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         return self.registry.state_machine(ExperimentsState)
 
     def ensure_running(self) -> None:
-        """Start the task if there is an experiment to take care of and it isn't running."""
+        """Start the task if there is an experiment in progress and the task isn't running."""
         if self._experiment_in_progress() and (self.task is None or self.task.done()):
             self.task = asyncio.get_running_loop().create_task(self._run())
 
--- a/woadyard/experiment/deduplication.py
+++ b/woadyard/experiment/deduplication.py
@@ -5,7 +5,7 @@
 from bisect import bisect_right
 from collections.abc import Hashable
 
-MAX_RECENT_NUMBERS = 4096  # with a set of their rows; of older numbers only ranges are kept
+MAX_RECENT_NUMBERS = 4096  # each with the set of its rows; older numbers are kept as ranges only
 MAX_RANGES = 4096  # of older numbers
 
 
--- a/woadyard/experiment/service.py
+++ b/woadyard/experiment/service.py
@@ -62,7 +62,7 @@
     # --- Evidence and directives ------------------------------------------------------
 
     def evidence_entries(self, batch: Sequence[Report]) -> list[LogEntry]:
-        """Return the evidence of a batch of reports as one log entry; none if nothing counts."""
+        """Return the evidence of a batch of reports as one log entry; none if there is nothing to count."""
         self.controller.ensure_running()
         active = self.experiments_state.active
         if active is None or active.state is not State.RUNNING:
--- a/woadyard/registry/service.py
+++ b/woadyard/registry/service.py
@@ -382,9 +382,9 @@
             return {**response, "records": tail.entries_after(index, MAX_ENTRIES_PER_RESPONSE)}
         return {**response, "snapshot": log_state.dump(), "marks": tail.chain_marks()}
 
-    def set_stale(self, stale: bool) -> None:
-        if stale != self.is_stale:
-            self.is_stale = stale
+    def set_stale(self, is_stale: bool) -> None:
+        if is_stale != self.is_stale:
+            self.is_stale = is_stale
             self._update_metrics()
             self.waiters.notify()
 
--- a/woadyard/standins/lease.py
+++ b/woadyard/standins/lease.py
@@ -1,4 +1,4 @@
-"""Registration of a stand-in endpoint: a lease at the list service, renewed until it is given up."""
+"""Registration of a stand-in endpoint: a lease at the list service, renewed until unregistered."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class Lease:
     """Keeps `entry()` registered at the list service at `HOST:PORT`.
 
-    A follower forwards the requests to the leader.
+    A follower redirects the requests to the leader.
     """
 
     def __init__(self, service: str, entry: Callable[[], dict[str, Any]], ttl_ms: int = 3_000) -> None:
--- a/woadyard/whatif/rollout.py
+++ b/woadyard/whatif/rollout.py
@@ -90,7 +90,7 @@
 
 
 def find_deviations(plan: Plan, measurement: Measurement, rules: Rules) -> list[str]:
-    """Describe the monitored figures that are outside their intervals, once enough was measured.
+    """Describe the monitored figures that are outside their intervals; none until enough was measured.
 
     While only some of the sidecars have the plan, the fleet is in a state between the recording and
     the forecast; the interval is then extended to the same margins around the recorded value.
