--- a/woadyard/audit/spans.py
+++ b/woadyard/audit/spans.py
@@ -1,4 +1,4 @@
-"""Records what this sidecar acted on, span by span, until the ledger has acknowledged it.
+"""Records what this sidecar acted on, span by span, until the list service has acknowledged it.
 
 Does no I/O; times are µs of the caller's clock. Every request passes through the counting, so it
 is a few additions; everything else happens once per report.
@@ -18,8 +18,9 @@
 class Span:
     """A period on one position, with the counts of what was decided in it.
 
-    While `in_flight_count` attempts of it are in flight, its counts may still change. `number` is
-    that of the last of the `span_count` spans merged into it. Times are -1 where there was none.
+    Its counts may still change while `in_flight_count` attempts that began in it are in flight. `number`
+    is that of the last of the `span_count` spans merged into it. Times are -1 where there was none. A `dirty`
+    span changed since it was last sent, at `sent_at` µs.
     """
 
     __slots__ = (
@@ -57,7 +58,7 @@
 
 
 class SpanRecorder:
-    """The spans of this run that the ledger has not acknowledged, and the reports made from them.
+    """The spans of this run that the list service has not acknowledged, and the reports built from them.
 
     At most `max_spans` are retained; beyond that the two oldest are merged. `merge_count` counts
     the merges.
@@ -87,7 +88,7 @@
     # --- Decisions --------------------------------------------------------------------
 
     def record_attempt(self, now_us: int, request: int, endpoint: int) -> bytes:
-        """Count an attempt that begins; returns the header line that tells the endpoint the position."""
+        """Count an attempt that begins; returns the header line that reports the position to the endpoint."""
         span = self.open_span
         span.attempts += 1
         span.in_flight_count += 1
@@ -95,12 +96,12 @@
         self.in_flight[request, endpoint] = span
         return span.header
 
-    def record_attempt_end(self, request: int, endpoint: int, reached: bool) -> None:
-        """Count an attempt that ended; `reached` is False if nothing was sent to the endpoint."""
+    def record_attempt_end(self, request: int, endpoint: int, was_sent: bool) -> None:
+        """Count an attempt that ended; `was_sent` is False if nothing was sent to the endpoint."""
         span = self.in_flight.pop((request, endpoint), None)
         if span is not None:
             span.in_flight_count -= 1
-            if not reached:
+            if not was_sent:
                 span.unsent += 1
                 span.dirty = True
 
@@ -135,7 +136,7 @@
             span.dirty = span.dirty or span.sent_in_report == number
 
     def acknowledge(self, numbers: Iterable[int]) -> None:
-        """The ledger has stored these reports durably: drop the completed spans last sent in them."""
+        """The list service has stored these reports durably: drop the completed spans last sent in them."""
         acknowledged = self.unacknowledged.intersection(numbers)
         self.unacknowledged -= acknowledged
         for span in list(self.retained.values()):
@@ -170,7 +171,7 @@
         return (time_us - self.start_us) // 1000
 
     def _merge_oldest(self) -> None:
-        """Merge the two oldest adjacent spans; a sum must not cover spans that the ledger already has."""
+        """Merge the two oldest adjacent spans; a sum must not cover spans already stored."""
         numbers = list(self.retained)  # in order: a merged span takes the place of the two
         for first_number, second_number in pairwise(numbers):
             first, second = self.retained[first_number], self.retained[second_number]
