--- a/woadyard/whatif/ring.py
+++ b/woadyard/whatif/ring.py
@@ -1,4 +1,7 @@
-"""A bounded ring of frames: the oldest requests make room, the state they began from stays."""
+"""A bounded ring buffer of trace frames.
+
+The oldest frames are evicted; the state in force at the start of the remaining ones is kept.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +20,18 @@
     encode_frame,
 )
 
-# What the interpreter takes for a kept frame beside its bytes.
+# Memory of the interpreter for each stored frame, in addition to the frame's bytes.
 FRAME_OVERHEAD_BYTES = 160
-# A piece of the trace holds so much at most, and one frame at least.
+# Maximum size of a piece's frames; a piece still holds at least one frame.
 MAX_PIECE_BYTES = 64 * 1024
 
 
 class TracePiece(msgspec.Struct, frozen=True):
-    """Part of a trace: `data` are whole frames; ask for `next` after it. `start` past what was
-    asked for means that what lay between is gone; the state that it left comes first."""
+    """Part of a trace: `data` holds whole frames, and `next` is the offset to fetch next.
+
+    If `start` is past the requested offset, the frames between were evicted, and `data` begins
+    with the state that they resulted in.
+    """
 
     incarnation: str
     start: int
@@ -35,7 +41,7 @@
 
 
 class BaseState:
-    """The state at the ring's beginning, of records that made room."""
+    """The state in force before the ring's first frame, built from evicted state records."""
 
     def __init__(self) -> None:
         self.started: RecordingStarted | None = None
@@ -54,33 +60,33 @@
                 self.weights_applied = record
             case ListApplied():
                 self.list_applied = merge_lists(self.list_applied, record)
-        parts = (self.started, self.settings_applied, self.list_applied, self.weights_applied)
-        self.data = encode_frame([one for one in parts if one is not None])
+        records = (self.started, self.settings_applied, self.list_applied, self.weights_applied)
+        self.data = encode_frame([present for present in records if present is not None])
 
 
 def merge_lists(old: ListApplied | None, new: ListApplied) -> ListApplied:
-    """One whole list that stands for both."""
+    """Returns one full list equivalent to applying `old` and then `new`."""
     if new.mode == LIST_FAILED:
         return old or new
     if old is None or new.mode != LIST_DELTA:
         return new
-    entries = {one["instanceId"]: one for one in old.entries}
-    for one in new.entries:
-        entries[one["instanceId"]] = one
-    kept = [one for one in entries.values() if one.get("lifecycle") != "gone"]
-    return ListApplied(new.at, LIST_FULL, new.version, kept)
+    entries = {entry["instanceId"]: entry for entry in old.entries}
+    for changed in new.entries:
+        entries[changed["instanceId"]] = changed
+    remaining = [entry for entry in entries.values() if entry.get("lifecycle") != "gone"]
+    return ListApplied(new.at, LIST_FULL, new.version, remaining)
 
 
 class TraceRing:
-    """Frames by their offset in the stream of all that was ever written."""
+    """Trace frames, addressed by their offset in the stream of all frames ever added."""
 
-    def __init__(self, most: int) -> None:
-        self.max_bytes = most
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.base_state = BaseState()
         self.frames: deque[tuple[int, bytes, StateRecord | None]] = deque()
         self.size_bytes = 0
         self.next_offset = 0
-        self.is_disabled = False  # the state alone is past the bound: nothing is kept
+        self.is_disabled = False  # the base state alone exceeds max_bytes: nothing is recorded
 
     def add(self, records: list[Record], state: StateRecord | None = None) -> None:
         if self.is_disabled:
@@ -90,27 +96,27 @@
         self.next_offset += len(data)
         self.size_bytes += len(data) + FRAME_OVERHEAD_BYTES
         while self.size_bytes + len(self.base_state.data) > self.max_bytes and self.frames:
-            _, old, gone = self.frames.popleft()
-            self.size_bytes -= len(old) + FRAME_OVERHEAD_BYTES
-            if gone is not None:
-                self.base_state.apply(gone)
+            _, evicted, evicted_state = self.frames.popleft()
+            self.size_bytes -= len(evicted) + FRAME_OVERHEAD_BYTES
+            if evicted_state is not None:
+                self.base_state.apply(evicted_state)
         if len(self.base_state.data) > self.max_bytes:
             self.is_disabled, self.base_state = True, BaseState()
 
     def read_piece(self, incarnation: str, start: int) -> TracePiece:
-        first = self.frames[0][0] if self.frames else self.next_offset
+        first_offset = self.frames[0][0] if self.frames else self.next_offset
         parts: list[bytes] = []
-        if start < first or start > self.next_offset:
-            start = first
-        if start == first:
+        if start < first_offset or start > self.next_offset:
+            start = first_offset
+        if start == first_offset:
             parts.append(self.base_state.data)
-        taken, size = start, 0
+        next_offset, size_bytes = start, 0
         for offset, data, _ in self.frames:
             if offset < start:
                 continue
-            if size and size + len(data) > MAX_PIECE_BYTES:
+            if size_bytes and size_bytes + len(data) > MAX_PIECE_BYTES:
                 break
             parts.append(data)
-            size += len(data)
-            taken = offset + len(data)
-        return TracePiece(incarnation, start, taken, self.next_offset, b"".join(parts))
+            size_bytes += len(data)
+            next_offset = offset + len(data)
+        return TracePiece(incarnation, start, next_offset, self.next_offset, b"".join(parts))
--- a/woadyard/whatif/trace.py
+++ b/woadyard/whatif/trace.py
@@ -1,10 +1,11 @@
-"""What a sidecar recorded, as records in checksummed frames.
-
-A frame is its length and CRC-32 (4 bytes each, big-endian, as in the list service's log) and a
-msgpack array of records. A request is one record, written once it has its answer and none of
-its attempts is out: a trace holds whole requests, never halves. Times are the sidecar's
-monotonic µs; `Started` has the wall time of one instant, so that several traces can be laid
-side by side. No header and no body is kept.
+"""The trace format: what a sidecar recorded, as records in checksummed frames.
+
+A frame is the payload's length and CRC-32 (4 bytes each, big-endian, as in the list service's
+log), followed by the payload: a msgpack array of records. A request is one record, written once
+it has a response and none of its attempts is in flight, so a trace never holds part of a request.
+Times are in µs of the sidecar's monotonic clock; `RecordingStarted` gives the wall-clock time of
+one instant, so that the traces of several sidecars can be aligned. Headers and bodies are not
+recorded.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
 FRAME_HEADER = struct.Struct(">II")
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-PENDING = -1  # outcome of an attempt that is still out
-# What a request came to.
+PENDING = -1  # outcome of an attempt in flight, status of a request without a response
+# Results of a request.
 ANSWERED, REFUSED, FAILED = range(3)
 
 
 class RecordingStarted(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """A recording begins. `sample` is the share of requests that it keeps."""
+    """Start of a recording. `sample` is the fraction of requests that it keeps."""
 
     sidecar: str
     incarnation: str
@@ -40,8 +41,8 @@
 
 
 class SettingsApplied(msgspec.Struct, array_like=True, tag="t", frozen=True):
-    """Settings were put in force. The names are of the numbers in the lists and requests; a
-    class that was changed on the way has the number that its name has by now."""
+    """Settings took effect. The name lists resolve the numbers used in endpoint lists and
+    requests; a class that changed during the recording is numbered as its name is now."""
 
     at: int
     settings: Settings
@@ -52,7 +53,8 @@
 
 
 class ListApplied(msgspec.Struct, array_like=True, tag="l", frozen=True):
-    """A list was put to use: `mode` as in `woadyard.interface`, entries as discovery sent them."""
+    """An endpoint list was applied: `mode` is a `LIST_*` constant of `woadyard.interface`, `entries`
+    are as discovery sent them."""
 
     at: int
     mode: int
@@ -61,7 +63,7 @@
 
 
 class WeightsApplied(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """A plan's weights were put to use: factors by instance id."""
+    """A plan's weights were applied: factors by instance id."""
 
     at: int
     revision: int
@@ -69,7 +71,7 @@
 
 
 class RecordedAttempt(msgspec.Struct, array_like=True):
-    """One attempt: `at` when sent, `delay` µs until its outcome."""
+    """One attempt, sent at `at`; its outcome followed `delay` µs later."""
 
     at: int
     endpoint: int
@@ -79,7 +81,7 @@
 
 
 class RecordedRequest(msgspec.Struct, array_like=True, tag="r"):
-    """One request and all that became of it. `status` 0: its caller left."""
+    """One request with its attempts and its result. `status` is 0 if the client disconnected."""
 
     at: int
     request: int
@@ -92,11 +94,11 @@
     home: int | None
     tries: list[RecordedAttempt]
     status: int = PENDING
-    answered: int = 0  # when
+    answered: int = 0  # time of the response, µs
 
     @property
     def is_complete(self) -> bool:
-        return self.status != PENDING and all(one.outcome != PENDING for one in self.tries)
+        return self.status != PENDING and all(attempt.outcome != PENDING for attempt in self.tries)
 
 
 def classify_status(status: int) -> int:
@@ -117,24 +119,25 @@
 
 
 def decode_frames(data: bytes) -> Iterable[tuple[int, list[Record]]]:
-    """The whole frames from the start, each with the offset where it ends."""
-    at = 0
-    while at + FRAME_HEADER.size <= len(data):
-        length, crc = FRAME_HEADER.unpack_from(data, at)
-        payload = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + length]
+    """Yields the records of each intact frame with the frame's end offset, up to the first damaged
+    or incomplete frame."""
+    offset = 0
+    while offset + FRAME_HEADER.size <= len(data):
+        length, crc = FRAME_HEADER.unpack_from(data, offset)
+        payload = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + length]
         if length > MAX_FRAME_BYTES or len(payload) < length or zlib.crc32(payload) != crc:
             return
         try:
             records = DECODER.decode(payload)
         except msgspec.MsgspecError:
             return
-        at += FRAME_HEADER.size + length
-        yield at, records
+        offset += FRAME_HEADER.size + length
+        yield offset, records
 
 
 @dataclass
 class Trace:
-    """One sidecar's recording, in order of time; `dropped` bytes at its end could not be read."""
+    """One sidecar's recording in order of time; the last `dropped_bytes` bytes could not be read."""
 
     started: RecordingStarted
     changes: list[StateChange] = field(default_factory=list)
@@ -144,36 +147,40 @@
 
     @property
     def wall_offset_us(self) -> int:
-        """Wall time minus the sidecar's clock, µs."""
+        """Wall-clock time minus the sidecar's monotonic time, µs."""
         return self.started.wall_us - self.started.at
 
 
 def read_trace(data: bytes) -> Trace:
-    """The trace in `data`; `TraceError` where nothing of it can be used. Records that come twice
-    (a fetch begun anew) count once, and an older incarnation's are left out."""
+    """Decodes a trace.
+
+    Duplicate records, as a restarted fetch delivers them, count once; records of an older
+    incarnation are ignored. Raises `TraceError` if no part of the trace is usable.
+    """
     trace: Trace | None = None
-    good = 0
-    asked: dict[int, RecordedRequest] = {}
-    for end, records in decode_frames(data):
-        good = end
-        for one in records:
-            if isinstance(one, RecordingStarted):
-                if trace is None or one.incarnation != trace.started.incarnation:
-                    trace, asked = Trace(one), {}
+    intact_bytes = 0
+    requests: dict[int, RecordedRequest] = {}
+    for end_offset, records in decode_frames(data):
+        intact_bytes = end_offset
+        for record in records:
+            if isinstance(record, RecordingStarted):
+                if trace is None or record.incarnation != trace.started.incarnation:
+                    trace, requests = Trace(record), {}
             elif trace is None:
-                raise TraceError("the trace does not begin with its start")
-            elif isinstance(one, RecordedRequest):
-                asked[one.request] = one
-            elif one not in trace.changes:
-                trace.changes.append(one)
+                raise TraceError("the trace does not begin with a record of the recording's start")
+            elif isinstance(record, RecordedRequest):
+                requests[record.request] = record
+            elif record not in trace.changes:
+                trace.changes.append(record)
     if trace is None:
-        raise TraceError(f"none of the trace's {len(data)} bytes can be read")
-    trace.changes.sort(key=lambda one: one.at)
+        raise TraceError(f"no intact frame at the start of the trace's {len(data)} bytes")
+    trace.changes.sort(key=lambda change: change.at)
     trace.requests = sorted(
-        (one for one in asked.values() if one.is_complete), key=lambda one: (one.at, one.request)
+        (request for request in requests.values() if request.is_complete),
+        key=lambda request: (request.at, request.request),
     )
-    trace.dropped_bytes = len(data) - good
-    trace.digest = blake2b(data[:good], digest_size=16).hexdigest()
-    if not trace.requests or not any(isinstance(one, ListApplied) for one in trace.changes):
-        raise TraceError("the trace has no request with a list to send it by")
+    trace.dropped_bytes = len(data) - intact_bytes
+    trace.digest = blake2b(data[:intact_bytes], digest_size=16).hexdigest()
+    if not trace.requests or not any(isinstance(change, ListApplied) for change in trace.changes):
+        raise TraceError("the trace has no complete request or no endpoint list")
     return trace
