--- a/woadyard/whatif/tally.py
+++ b/woadyard/whatif/tally.py
@@ -1,4 +1,7 @@
-"""Facts counted by blocks of time: all that a forecast needs of a replay, and small."""
+"""Tallies: a replay's or recording's observations counted by blocks of time.
+
+A tally holds all that a forecast needs of a replay, in a small size.
+"""
 
 from __future__ import annotations
 
@@ -13,21 +16,21 @@
 
 Floats = NDArray[np.float64]
 
-# Latencies are counted in bins a fiftieth apart, from 50 µs to over a minute.
+# Latency bins are logarithmic, 2% wide, from 50 µs to over a minute.
 MIN_BIN_US, BIN_LOG_STEP, BIN_COUNT = 50.0, 0.02, 720
 
 
 @dataclass(frozen=True)
 class TallyLayout:
-    """The blocks and groups that tallies of one forecast share; times in µs."""
+    """Blocks and groups shared by all tallies of one forecast; times in µs."""
 
     start: int
     block_us: int
     blocks: int
     classes: int
     tenants: int
-    endpoint_limits: tuple[int, ...]  # by endpoint, 0: none known
-    tip_window_us: int  # the span in which a cold endpoint is tipped over
+    endpoint_limits: tuple[int, ...]  # by endpoint; 0: unknown
+    tip_window_us: int  # window in which too many attempts overload a cold endpoint
 
 
 @dataclass(frozen=True)
@@ -38,98 +41,100 @@
     good: Column  # answered within the aim
     refused: Column
     failed: Column
-    latency: Column  # [class + 1, block, bin], of answered ones
+    latency: Column  # [class + 1, block, bin], of answered requests
     sends: Column  # [endpoint, block]
     crossed: Column  # [block]
     fresh: Column  # [block]
     thin: Column  # [block]
     peak: Column  # [endpoint]
-    over_limit: Column  # [endpoint, block] attempts that found the limit reached
-    cold_peak: Column  # [endpoint] most attempts in one span while it was starting
+    over_limit: Column  # [endpoint, block], attempts sent while the endpoint was at its limit
+    cold_peak: Column  # [endpoint], most attempts in one tip window while it was starting
     digest: str
 
 
-def latency_bins(took: Column) -> Column:
-    at = np.log(np.maximum(1, took) / MIN_BIN_US) / BIN_LOG_STEP
-    return np.asarray(np.clip(at, 0, BIN_COUNT - 1), dtype=np.int64)
+def latency_bins(latency_us: Column) -> Column:
+    position = np.log(np.maximum(1, latency_us) / MIN_BIN_US) / BIN_LOG_STEP
+    return np.asarray(np.clip(position, 0, BIN_COUNT - 1), dtype=np.int64)
 
 
-def build_tally(facts: Observations, frame: TallyLayout) -> Tally:
-    asked, tried = facts.requests, facts.attempts
-    blocks, endpoints = frame.blocks, len(frame.endpoint_limits)
-    inside, block = _blocks(asked.at, frame)
-    cls, tenant = asked.cls[inside], np.minimum(asked.tenant[inside], max(0, frame.tenants - 1))
-    end, took = asked.result[inside], asked.latency_us[inside]
-    good = (end == ANSWERED) & (took <= asked.aim_us[inside])
-    answered = end == ANSWERED
+def build_tally(observations: Observations, layout: TallyLayout) -> Tally:
+    requests, attempts = observations.requests, observations.attempts
+    blocks, endpoint_count = layout.blocks, len(layout.endpoint_limits)
+    inside, block = _blocks(requests.at, layout)
+    cls, tenant = requests.cls[inside], np.minimum(requests.tenant[inside], max(0, layout.tenants - 1))
+    result, latency_us = requests.result[inside], requests.latency_us[inside]
+    good = (result == ANSWERED) & (latency_us <= requests.aim_us[inside])
+    answered = result == ANSWERED
 
-    def groups(which: NDArray[np.bool_]) -> Column:
-        parts = [_count((block[which],), (blocks,))[None]]
-        parts.append(_count((cls[which], block[which]), (frame.classes, blocks)))
-        if frame.tenants:
-            parts.append(_count((tenant[which], block[which]), (frame.tenants, blocks)))
+    def count_by_group(selected: NDArray[np.bool_]) -> Column:
+        parts = [_count((block[selected],), (blocks,))[None]]
+        parts.append(_count((cls[selected], block[selected]), (layout.classes, blocks)))
+        if layout.tenants:
+            parts.append(_count((tenant[selected], block[selected]), (layout.tenants, blocks)))
         return np.concatenate(parts)
 
-    latency = np.zeros((frame.classes + 1, blocks, BIN_COUNT), dtype=np.int64)
-    where = (cls[answered], block[answered], latency_bins(took[answered]))
-    latency[1:] = _count(where, (frame.classes, blocks, BIN_COUNT))
+    latency = np.zeros((layout.classes + 1, blocks, BIN_COUNT), dtype=np.int64)
+    bin_index = (cls[answered], block[answered], latency_bins(latency_us[answered]))
+    latency[1:] = _count(bin_index, (layout.classes, blocks, BIN_COUNT))
     latency[0] = latency[1:].sum(axis=0)
 
-    within, slot = _blocks(tried.at, frame)
-    place, found = tried.endpoint[within], tried.in_flight[within]
-    limits = np.asarray(frame.endpoint_limits, dtype=np.int64)
-    full = (limits[place] > 0) & (found >= limits[place])
-    peak = np.zeros(endpoints, dtype=np.int64)
-    np.maximum.at(peak, place, found + 1)
+    attempt_inside, attempt_block = _blocks(attempts.at, layout)
+    endpoint, in_flight = attempts.endpoint[attempt_inside], attempts.in_flight[attempt_inside]
+    limits = np.asarray(layout.endpoint_limits, dtype=np.int64)
+    at_limit = (limits[endpoint] > 0) & (in_flight >= limits[endpoint])
+    peak = np.zeros(endpoint_count, dtype=np.int64)
+    np.maximum.at(peak, endpoint, in_flight + 1)
     return Tally(
-        count=groups(np.ones(len(cls), dtype=bool)),
-        good=groups(good),
-        refused=groups(end == REFUSED),
-        failed=groups(end == FAILED),
+        count=count_by_group(np.ones(len(cls), dtype=bool)),
+        good=count_by_group(good),
+        refused=count_by_group(result == REFUSED),
+        failed=count_by_group(result == FAILED),
         latency=latency,
-        sends=_count((place, slot), (endpoints, blocks)),
-        crossed=_sum(slot, tried.crossed[within], blocks),
-        fresh=_sum(slot, tried.fresh[within], blocks),
-        thin=_sum(slot, tried.thin[within], blocks),
+        sends=_count((endpoint, attempt_block), (endpoint_count, blocks)),
+        crossed=_sum(attempt_block, attempts.crossed[attempt_inside], blocks),
+        fresh=_sum(attempt_block, attempts.fresh[attempt_inside], blocks),
+        thin=_sum(attempt_block, attempts.thin[attempt_inside], blocks),
         peak=peak,
-        over_limit=_count((place[full], slot[full]), (endpoints, blocks)),
-        cold_peak=cold_start_peaks(facts, frame),
-        digest=facts.digest(),
+        over_limit=_count((endpoint[at_limit], attempt_block[at_limit]), (endpoint_count, blocks)),
+        cold_peak=cold_start_peaks(observations, layout),
+        digest=observations.digest(),
     )
 
 
-def cold_start_peaks(facts: Observations, frame: TallyLayout) -> Column:
-    """For each endpoint the most attempts in one tipping span while it was starting."""
-    tried = facts.attempts
-    found = np.zeros(len(frame.endpoint_limits), dtype=np.int64)
-    for place in np.unique(tried.endpoint[tried.cold > 0]):
-        at = np.sort(tried.at[(tried.endpoint == place) & (tried.cold > 0)])
-        found[place] = int((np.searchsorted(at, at + frame.tip_window_us) - np.arange(len(at))).max())
-    return found
+def cold_start_peaks(observations: Observations, layout: TallyLayout) -> Column:
+    """For each endpoint the most attempts in one tip window while it was starting."""
+    attempts = observations.attempts
+    peaks = np.zeros(len(layout.endpoint_limits), dtype=np.int64)
+    for endpoint in np.unique(attempts.endpoint[attempts.cold > 0]):
+        sent_us = np.sort(attempts.at[(attempts.endpoint == endpoint) & (attempts.cold > 0)])
+        peaks[endpoint] = int(
+            (np.searchsorted(sent_us, sent_us + layout.tip_window_us) - np.arange(len(sent_us))).max()
+        )
+    return peaks
 
 
-def _blocks(at: Column, frame: TallyLayout) -> tuple[NDArray[np.bool_], Column]:
-    block = (at - frame.start) // frame.block_us
-    inside = (at >= frame.start) & (block < frame.blocks)
+def _blocks(times_us: Column, layout: TallyLayout) -> tuple[NDArray[np.bool_], Column]:
+    block = (times_us - layout.start) // layout.block_us
+    inside = (times_us >= layout.start) & (block < layout.blocks)
     return inside, block[inside]
 
 
-def _count(where: Sequence[Column], shape: tuple[int, ...]) -> Column:
-    flat = np.ravel_multi_index(tuple(where), shape)
+def _count(indices: Sequence[Column], shape: tuple[int, ...]) -> Column:
+    flat = np.ravel_multi_index(tuple(indices), shape)
     return np.asarray(np.bincount(flat, minlength=int(np.prod(shape))).reshape(shape), dtype=np.int64)
 
 
-def _sum(slot: Column, values: Column, blocks: int) -> Column:
-    return np.asarray(np.bincount(slot, weights=values, minlength=blocks), dtype=np.int64)
+def _sum(block: Column, values: Column, blocks: int) -> Column:
+    return np.asarray(np.bincount(block, weights=values, minlength=blocks), dtype=np.int64)
 
 
 def histogram_quantile(counts: Floats, q: float) -> Floats:
-    """The q-quantile in µs of histograms in the last axis; 0 where nothing was counted."""
-    total = counts.cumsum(axis=-1)
-    rank = q * total[..., -1:]
-    at = np.minimum((total < rank).sum(axis=-1), BIN_COUNT - 1)
-    here = np.take_along_axis(counts, at[..., None], -1)[..., 0]
-    before = np.take_along_axis(total, at[..., None], -1)[..., 0] - here
-    part = np.where(here > 0, (rank[..., 0] - before) / np.maximum(here, 1e-12), 0.0)
-    value = MIN_BIN_US * np.exp((at + np.clip(part, 0.0, 1.0)) * BIN_LOG_STEP)
-    return np.where(total[..., -1] > 0, value, 0.0)
+    """The q-quantile in µs of the histograms along the last axis; 0 where a histogram is empty."""
+    cumulative = counts.cumsum(axis=-1)
+    rank = q * cumulative[..., -1:]
+    bin_index = np.minimum((cumulative < rank).sum(axis=-1), BIN_COUNT - 1)
+    in_bin = np.take_along_axis(counts, bin_index[..., None], -1)[..., 0]
+    before_bin = np.take_along_axis(cumulative, bin_index[..., None], -1)[..., 0] - in_bin
+    fraction = np.where(in_bin > 0, (rank[..., 0] - before_bin) / np.maximum(in_bin, 1e-12), 0.0)
+    value = MIN_BIN_US * np.exp((bin_index + np.clip(fraction, 0.0, 1.0)) * BIN_LOG_STEP)
+    return np.where(cumulative[..., -1] > 0, value, 0.0)
--- a/woadyard/whatif/workload.py
+++ b/woadyard/whatif/workload.py
@@ -1,4 +1,4 @@
-"""Several sidecars' traces side by side: one clock, one numbering of the endpoints."""
+"""The recorded workload: several sidecars' traces on one clock, with one numbering of endpoints."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from woadyard.whatif.trace import ListApplied, RecordedRequest, SettingsApplied, Trace
 from woadyard.whatif.weights import Weights, resolve_factors
 
-# Scenes begin this far from 0, so that an endpoint started before has a time above 0: 0 is long ago.
+# A workload starts at this time rather than at 0, so that an endpoint started shortly before has a
+# start time above 0; a start time of 0 means long ago.
 CLOCK_START_US = 3_600_000_000
 LIFECYCLES = {"ready": READY, "draining": DRAINING, "gone": GONE}
 
 
 class SidecarRecording:
-    """One sidecar of a scene. `shift` is added to its clock."""
+    """One sidecar's part of a workload. `clock_shift_us` converts its clock to the workload's."""
 
-    def __init__(self, trace: Trace, shift: int) -> None:
-        self.trace, self.clock_shift_us = trace, shift
+    def __init__(self, trace: Trace, clock_shift_us: int) -> None:
+        self.trace, self.clock_shift_us = trace, clock_shift_us
         self.name = trace.started.sidecar
-        self.settings_changes = [one for one in trace.changes if isinstance(one, SettingsApplied)]
+        self.settings_changes = [change for change in trace.changes if isinstance(change, SettingsApplied)]
         if not self.settings_changes:
-            raise TraceError(f"{self.name}: the trace has no settings")
-        self.settings_times = [one.at for one in self.settings_changes]
+            raise TraceError(f"the trace of sidecar {self.name} has no settings")
+        self.settings_times = [change.at for change in self.settings_changes]
         self.zone = (
             self.settings_changes[0].zones[self.settings.zone] if self.settings_changes[0].zones else ""
         )
@@ -40,20 +41,20 @@
     def settings_at(self, at: int) -> Settings:
         return self.settings_changes[max(0, bisect_right(self.settings_times, at) - 1)].settings
 
-    def aim_us(self, asked: RecordedRequest) -> int:
-        """Within how many µs its answer counts as good."""
-        cls = self.settings_at(asked.at).classes[asked.cls]
-        return cls.aim_us + int(cls.aim_stretch * asked.work_us)
+    def aim_us(self, request: RecordedRequest) -> int:
+        """The latency target of a request: a response within so many µs counts as good."""
+        cls = self.settings_at(request.at).classes[request.cls]
+        return cls.aim_us + int(cls.aim_stretch * request.work_us)
 
     def boot_time(self, raw: dict[str, Any]) -> int:
-        """When the endpoint started, on the scene's clock; 0 long ago."""
+        """When the endpoint started, in µs of the workload's clock; 0 if long ago or unknown."""
         started_us = int(raw.get("startedAtMs", 0)) * 1000
         if started_us <= 0:
             return 0
         return max(0, started_us - self.trace.wall_offset_us + self.clock_shift_us)
 
     def parse_entry(self, raw: dict[str, Any]) -> Entry:
-        """As the driver tells the module of a listed endpoint."""
+        """Converts a listed endpoint to the `Entry` that the driver passes to the balancer."""
         name = str(raw["instanceId"])
         number = self.endpoint_numbers.setdefault(name, endpoint_number(name))
         zones, kinds = self.settings_changes[0].zones, self.settings_changes[0].kinds
@@ -70,32 +71,33 @@
 
 
 class Workload:
-    """All sides, and each endpoint that a list named: its name, machine type and zone by its place."""
+    """All recordings, and each listed endpoint with its name, machine type and zone by its index."""
 
     def __init__(self, traces: Sequence[Trace]) -> None:
         if not traces:
-            raise TraceError("there is no trace")
-        traces = sorted(traces, key=lambda one: (one.started.sidecar, one.started.incarnation))
-        origin = min(one.requests[0].at + one.wall_offset_us for one in traces)
+            raise TraceError("no traces were given")
+        traces = sorted(traces, key=lambda trace: (trace.started.sidecar, trace.started.incarnation))
+        first_request_us = min(trace.requests[0].at + trace.wall_offset_us for trace in traces)
         self.recordings = [
-            SidecarRecording(one, one.wall_offset_us - origin + CLOCK_START_US) for one in traces
+            SidecarRecording(trace, trace.wall_offset_us - first_request_us + CLOCK_START_US)
+            for trace in traces
         ]
         self.endpoints: list[str] = []
         self.machine_types: list[str] = []
         self.zones: list[str] = []
-        self.index_by_number: dict[int, int] = {}  # by the module's number
-        self.latest_entries: dict[str, dict[str, Any]] = {}  # the latest entry of each
-        for side in self.recordings:
-            for change in side.trace.changes:
+        self.index_by_number: dict[int, int] = {}  # by the balancer's endpoint number
+        self.latest_entries: dict[str, dict[str, Any]] = {}  # by instance id
+        for recording in self.recordings:
+            for change in recording.trace.changes:
                 if isinstance(change, ListApplied):
                     for raw in change.entries:
                         self._add_endpoint(raw)
-        # All of them were recording: outside of it, what one endpoint had under way is not known.
-        self.start = max(one.trace.requests[0].at + one.clock_shift_us for one in self.recordings)
-        self.end = min(one.trace.requests[-1].at + one.clock_shift_us for one in self.recordings)
+        # All sidecars were recording in this span; outside it an endpoint's requests in flight are unknown.
+        self.start = max(side.trace.requests[0].at + side.clock_shift_us for side in self.recordings)
+        self.end = min(side.trace.requests[-1].at + side.clock_shift_us for side in self.recordings)
         if self.end <= self.start:
-            raise TraceError("the traces have no time in common")
-        self.digest = blake2b("".join(one.digest for one in traces).encode(), digest_size=16).hexdigest()
+            raise TraceError("the traces do not overlap in time")
+        self.digest = blake2b("".join(trace.digest for trace in traces).encode(), digest_size=16).hexdigest()
 
     def _add_endpoint(self, raw: dict[str, Any]) -> None:
         name = str(raw["instanceId"])
@@ -111,6 +113,6 @@
         return self.index_by_number[endpoint_number(name)]
 
     def factors_by_number(self, weights: Weights) -> dict[int, float]:
-        """A plan's factors by the module's number."""
-        found = resolve_factors(weights, zip(self.endpoints, self.machine_types, self.zones, strict=True))
-        return {endpoint_number(name): value for name, value in found.items()}
+        """A plan's factors by the balancer's endpoint number."""
+        factors = resolve_factors(weights, zip(self.endpoints, self.machine_types, self.zones, strict=True))
+        return {endpoint_number(name): value for name, value in factors.items()}
