--- a/woadyard/whatif/study.py
+++ b/woadyard/whatif/study.py
@@ -1,4 +1,4 @@
-"""From traces and a proposal to a verdict: the whole way, and what comes of it."""
+"""Evaluates proposed plans against traces, from reading the traces to the verdict."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 class Study(msgspec.Struct, frozen=True):
-    """`plan`, `trace` and `replays` are digests: of the weights, the traces and all replays."""
+    """Result of evaluating a plan.
+
+    `plan`, `trace` and `replays` are digests of the weights, the traces and all replays.
+    """
 
     verdict: Verdict
     forecast: Forecast
@@ -34,12 +37,12 @@
 
 
 class PlanEvaluator:
-    """The traces read and fitted once, for any number of proposals."""
+    """Reads the traces and fits the model once, then evaluates any number of proposed plans."""
 
     def __init__(self, data: Sequence[bytes], rules: Rules) -> None:
         self.data, self.rules = data, rules
-        traces = [read_trace(one) for one in data]
-        self.dropped_bytes = sum(one.dropped_bytes for one in traces)
+        traces = [read_trace(encoded) for encoded in data]
+        self.dropped_bytes = sum(trace.dropped_bytes for trace in traces)
         self.workload = Workload(traces)
         self.model: FleetModel = fit_model(self.workload)
         self.layout = self._tally_layout()
@@ -47,43 +50,51 @@
         self.in_force_tallies: list[Tally] = []
 
     def _tally_layout(self) -> TallyLayout:
-        scene, rules = self.workload, self.rules
+        workload, rules = self.workload, self.rules
         block_us = rules.block_ms * 1000
-        settings = [side.settings for side in scene.recordings]
-        # The last requests of a trace are those that were quick: the slow ones were still out.
-        start = scene.start + rules.warm_s * 1_000_000
-        blocks = int((scene.end - start) // block_us) - 1
+        settings = [recording.settings for recording in workload.recordings]
+        # Only fast requests are recorded at a trace's end, since slow ones were still in flight, so the
+        # last block is left out.
+        start = workload.start + rules.warm_s * 1_000_000
+        blocks = int((workload.end - start) // block_us) - 1
         if blocks < rules.blocks_least:
-            raise TraceError(f"the traces have {max(0, blocks)} blocks in common, too few")
+            raise TraceError(
+                f"the traces overlap for {max(0, blocks)} blocks of time, {rules.blocks_least} are needed"
+            )
         return TallyLayout(
             start, block_us, blocks,
-            max(len(one.classes) for one in settings),
-            max(len(one.tenants) for one in settings),
-            tuple(one.most for one in self.model.endpoints),
+            max(len(sidecar_settings.classes) for sidecar_settings in settings),
+            max(len(sidecar_settings.tenants) for sidecar_settings in settings),
+            tuple(endpoint.most for endpoint in self.model.endpoints),
             settings[0].tip_for_us,
         )  # fmt: skip
 
     def evaluate(self, weights: Weights) -> Study:
-        chosen = validate_weights(weights)
+        proposed = validate_weights(weights)
         seeds = range(self.rules.seeds)
-        force: list[ReplayJob] = [] if self.in_force_tallies else [(seed, None) for seed in seeds]
-        jobs = [*force, *((seed, chosen) for seed in seeds)]
-        found = run_replays(self.data, self.model, self.layout, jobs, self.rules.workers)
-        if force:
-            self.in_force_tallies = found[: len(force)]
-        arms = ArmTallies(self.recorded_tally, self.in_force_tallies, found[len(force) :])
-        made = build_forecast(self.workload, arms, self.rules, self._cold_start_bound())
-        replays = blake2b(made.digest.encode(), digest_size=16).hexdigest()
-        verdict = judge(made, self.rules)
-        return Study(verdict, made, plan_digest(chosen), self.workload.digest, replays, self.dropped_bytes)
+        in_force_jobs: list[ReplayJob] = [] if self.in_force_tallies else [(seed, None) for seed in seeds]
+        jobs = [*in_force_jobs, *((seed, proposed) for seed in seeds)]
+        tallies = run_replays(self.data, self.model, self.layout, jobs, self.rules.workers)
+        if in_force_jobs:
+            self.in_force_tallies = tallies[: len(in_force_jobs)]
+        arms = ArmTallies(self.recorded_tally, self.in_force_tallies, tallies[len(in_force_jobs) :])
+        forecast = build_forecast(self.workload, arms, self.rules, self._cold_start_bound())
+        replays = blake2b(forecast.digest.encode(), digest_size=16).hexdigest()
+        verdict = judge(forecast, self.rules)
+        return Study(
+            verdict, forecast, plan_digest(proposed), self.workload.digest, replays, self.dropped_bytes
+        )
 
     def _cold_start_bound(self) -> np.ndarray[tuple[int], np.dtype[np.float64]]:
-        """What a starting endpoint bears in a tipping span: the settings' multiple of its capacity by
-        then, taken for what a warm one was sent, with three deviations of chance."""
+        """The most attempts that each endpoint can take in one tip window while it is starting.
+
+        This is the settings' multiple of its capacity at that time, estimated from the attempts sent
+        to a warm endpoint, plus three standard deviations of random variation.
+        """
         settings = self.workload.recordings[0].settings
-        warm = [at for at, one in enumerate(self.model.endpoints) if not one.boot]
+        warm = [index for index, endpoint in enumerate(self.model.endpoints) if not endpoint.boot]
         sends = self.recorded_tally.sends[warm].sum() / max(1, len(warm)) / self.recorded_tally.sends.shape[1]
         share = max(0.01, settings.cold_share)
-        usual = sends * self.layout.tip_window_us / self.layout.block_us * share * settings.tip_multiple
-        bound = usual + 3.0 * np.sqrt(usual) + 3.0
+        expected = sends * self.layout.tip_window_us / self.layout.block_us * share * settings.tip_multiple
+        bound = expected + 3.0 * np.sqrt(expected) + 3.0
         return np.full(len(self.model.endpoints), float(bound))
