--- a/woadyard/whatif/ring.py
+++ b/woadyard/whatif/ring.py
@@ -110,7 +110,7 @@
             start = first_offset
         if start == first_offset:
             parts.append(self.base_state.data)
-        next_offset, size_bytes = start, 0
+        piece_end, size_bytes = start, 0
         for offset, data, _ in self.frames:
             if offset < start:
                 continue
@@ -118,5 +118,5 @@
                 break
             parts.append(data)
             size_bytes += len(data)
-            next_offset = offset + len(data)
-        return TracePiece(incarnation, start, next_offset, self.next_offset, b"".join(parts))
+            piece_end = offset + len(data)
+        return TracePiece(incarnation, start, piece_end, self.next_offset, b"".join(parts))
--- a/woadyard/whatif/study.py
+++ b/woadyard/whatif/study.py
@@ -58,9 +58,7 @@
         start = workload.start + rules.warm_s * 1_000_000
         blocks = int((workload.end - start) // block_us) - 1
         if blocks < rules.blocks_least:
-            raise TraceError(
-                f"the traces overlap for {max(0, blocks)} blocks of time, {rules.blocks_least} are needed"
-            )
+            raise TraceError(f"the traces overlap for {max(0, blocks)} blocks of time, which is too few")
         return TallyLayout(
             start, block_us, blocks,
             max(len(sidecar_settings.classes) for sidecar_settings in settings),
--- a/woadyard/whatif/tally.py
+++ b/woadyard/whatif/tally.py
@@ -58,12 +58,15 @@
 
 
 def build_tally(observations: Observations, layout: TallyLayout) -> Tally:
-    requests, attempts = observations.requests, observations.attempts
+    request_columns, attempt_columns = observations.requests, observations.attempts
     blocks, endpoint_count = layout.blocks, len(layout.endpoint_limits)
-    inside, block = _blocks(requests.at, layout)
-    cls, tenant = requests.cls[inside], np.minimum(requests.tenant[inside], max(0, layout.tenants - 1))
-    result, latency_us = requests.result[inside], requests.latency_us[inside]
-    good = (result == ANSWERED) & (latency_us <= requests.aim_us[inside])
+    inside, block = _blocks(request_columns.at, layout)
+    cls, tenant = (
+        request_columns.cls[inside],
+        np.minimum(request_columns.tenant[inside], max(0, layout.tenants - 1)),
+    )
+    result, latency_us = request_columns.result[inside], request_columns.latency_us[inside]
+    good = (result == ANSWERED) & (latency_us <= request_columns.aim_us[inside])
     answered = result == ANSWERED
 
     def count_by_group(selected: NDArray[np.bool_]) -> Column:
@@ -78,24 +81,27 @@
     latency[1:] = _count(bin_index, (layout.classes, blocks, BIN_COUNT))
     latency[0] = latency[1:].sum(axis=0)
 
-    attempt_inside, attempt_block = _blocks(attempts.at, layout)
-    endpoint, in_flight = attempts.endpoint[attempt_inside], attempts.in_flight[attempt_inside]
+    attempt_inside, attempt_block = _blocks(attempt_columns.at, layout)
+    endpoint_index, in_flight_before = (
+        attempt_columns.endpoint[attempt_inside],
+        attempt_columns.in_flight[attempt_inside],
+    )
     limits = np.asarray(layout.endpoint_limits, dtype=np.int64)
-    at_limit = (limits[endpoint] > 0) & (in_flight >= limits[endpoint])
+    at_limit = (limits[endpoint_index] > 0) & (in_flight_before >= limits[endpoint_index])
     peak = np.zeros(endpoint_count, dtype=np.int64)
-    np.maximum.at(peak, endpoint, in_flight + 1)
+    np.maximum.at(peak, endpoint_index, in_flight_before + 1)
     return Tally(
         count=count_by_group(np.ones(len(cls), dtype=bool)),
         good=count_by_group(good),
         refused=count_by_group(result == REFUSED),
         failed=count_by_group(result == FAILED),
         latency=latency,
-        sends=_count((endpoint, attempt_block), (endpoint_count, blocks)),
-        crossed=_sum(attempt_block, attempts.crossed[attempt_inside], blocks),
-        fresh=_sum(attempt_block, attempts.fresh[attempt_inside], blocks),
-        thin=_sum(attempt_block, attempts.thin[attempt_inside], blocks),
+        sends=_count((endpoint_index, attempt_block), (endpoint_count, blocks)),
+        crossed=_sum(attempt_block, attempt_columns.crossed[attempt_inside], blocks),
+        fresh=_sum(attempt_block, attempt_columns.fresh[attempt_inside], blocks),
+        thin=_sum(attempt_block, attempt_columns.thin[attempt_inside], blocks),
         peak=peak,
-        over_limit=_count((endpoint[at_limit], attempt_block[at_limit]), (endpoint_count, blocks)),
+        over_limit=_count((endpoint_index[at_limit], attempt_block[at_limit]), (endpoint_count, blocks)),
         cold_peak=cold_start_peaks(observations, layout),
         digest=observations.digest(),
     )
@@ -103,11 +109,13 @@
 
 def cold_start_peaks(observations: Observations, layout: TallyLayout) -> Column:
     """For each endpoint the most attempts in one tip window while it was starting."""
-    attempts = observations.attempts
+    attempt_columns = observations.attempts
     peaks = np.zeros(len(layout.endpoint_limits), dtype=np.int64)
-    for endpoint in np.unique(attempts.endpoint[attempts.cold > 0]):
-        sent_us = np.sort(attempts.at[(attempts.endpoint == endpoint) & (attempts.cold > 0)])
-        peaks[endpoint] = int(
+    for endpoint_index in np.unique(attempt_columns.endpoint[attempt_columns.cold > 0]):
+        sent_us = np.sort(
+            attempt_columns.at[(attempt_columns.endpoint == endpoint_index) & (attempt_columns.cold > 0)]
+        )
+        peaks[endpoint_index] = int(
             (np.searchsorted(sent_us, sent_us + layout.tip_window_us) - np.arange(len(sent_us))).max()
         )
     return peaks
--- a/woadyard/whatif/trace.py
+++ b/woadyard/whatif/trace.py
@@ -159,25 +159,25 @@
     """
     trace: Trace | None = None
     intact_bytes = 0
-    requests: dict[int, RecordedRequest] = {}
+    requests_by_id: dict[int, RecordedRequest] = {}
     for end_offset, records in decode_frames(data):
         intact_bytes = end_offset
         for record in records:
             if isinstance(record, RecordingStarted):
                 if trace is None or record.incarnation != trace.started.incarnation:
-                    trace, requests = Trace(record), {}
+                    trace, requests_by_id = Trace(record), {}
             elif trace is None:
                 raise TraceError("the trace does not begin with a record of the recording's start")
             elif isinstance(record, RecordedRequest):
-                requests[record.request] = record
+                requests_by_id[record.request] = record
             elif record not in trace.changes:
                 trace.changes.append(record)
     if trace is None:
         raise TraceError(f"no intact frame at the start of the trace's {len(data)} bytes")
     trace.changes.sort(key=lambda change: change.at)
     trace.requests = sorted(
-        (request for request in requests.values() if request.is_complete),
-        key=lambda request: (request.at, request.request),
+        (recorded for recorded in requests_by_id.values() if recorded.is_complete),
+        key=lambda recorded: (recorded.at, recorded.request),
     )
     trace.dropped_bytes = len(data) - intact_bytes
     trace.digest = blake2b(data[:intact_bytes], digest_size=16).hexdigest()
--- a/woadyard/whatif/verdict.py
+++ b/woadyard/whatif/verdict.py
@@ -39,14 +39,14 @@
 
 
 def _describe_mismatch(name: str, figure: Figure, bound: float) -> str:
-    return f"{name} is {figure.force:.4g} replayed and {figure.recorded:.4g} recorded, bound {bound:g}"
+    return f"replayed {name} is {figure.force:.4g} but {figure.recorded:.4g} was recorded, bound {bound:g}"
 
 
 def find_broken_rule(forecast: Forecast, rules: Rules) -> str | None:
     """Describes the first rule that the plan breaks and the weights in force do not, if any."""
     for name, budget_used in forecast.cold.items():
         if budget_used > max(1.0, forecast.cold_force.get(name, 0.0)):
-            return f"{name} gets {budget_used:.2f} of its budget for a cold start"
+            return f"cold endpoint {name} uses {budget_used:.2f} of its cold-start budget"
     for name, share in forecast.over.items():
         if share > rules.over_most and share > 1.5 * forecast.over_force.get(name, 0.0):
             return f"{name} is at its limit for {share:.3f} of its attempts"
@@ -65,7 +65,7 @@
     if p99.gain_low > rules.harm_time:
         return Verdict(WORSE, f"p99 changes by {p99.gain:+.1%}")
     if forecast.thin > rules.thin_most:
-        return Verdict(CANNOT_TELL, f"{forecast.thin:.2f} of attempts are in conditions that the traces do not cover")
+        return Verdict(CANNOT_TELL, f"{forecast.thin:.2f} of attempts are not covered by the traces")
     if aim.gain_low > rules.gain:
         return Verdict(BETTER, f"aim changes by {aim.gain:+.4f}")
     if aim.gain_low >= -rules.harm and p99.gain_high < -rules.gain_time:
--- a/woadyard/whatif/workload.py
+++ b/woadyard/whatif/workload.py
@@ -27,7 +27,7 @@
         self.name = trace.started.sidecar
         self.settings_changes = [change for change in trace.changes if isinstance(change, SettingsApplied)]
         if not self.settings_changes:
-            raise TraceError(f"the trace of sidecar {self.name} has no settings")
+            raise TraceError(f"{self.name}: the trace has no settings")
         self.settings_times = [change.at for change in self.settings_changes]
         self.zone = (
             self.settings_changes[0].zones[self.settings.zone] if self.settings_changes[0].zones else ""
