--- a/woadyard/whatif/simulated_fleet.py
+++ b/woadyard/whatif/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""The modelled endpoints in simulated time: what becomes of one attempt, and when.
+"""The modelled endpoints in simulated time: the outcome of each attempt and its delay.
 
-Luck is keyed by request and attempt, not drawn in turn: both arms of a replay, and any order of
-events, meet the same (common random numbers).
+Random numbers are derived from the request and the attempt instead of being drawn in sequence, so
+both arms of a replay get the same ones in any order of events (common random numbers).
 """
 
 from __future__ import annotations
@@ -13,97 +13,105 @@
 from woadyard.whatif.model import QUANTILE_COUNT, EndpointModel, FailureBurst, FleetModel
 
 HASH_TO_UNIT = 1.0 / (1 << 64)
-# An attempt turned away at once comes back after so many µs at least.
+# Delay of a rejection, before any network delay is added.
 REJECT_DELAY_US = 500
 QUANTILE_STEPS = QUANTILE_COUNT - 1
 
 
-def keyed_uniform(seed: int, request: int, what: int) -> float:
-    """One number in [0, 1), fixed by its key."""
-    return splitmix64(splitmix64(seed ^ request) + what) * HASH_TO_UNIT
+def keyed_uniform(seed: int, request: int, purpose: int) -> float:
+    """Return a number in [0, 1) that depends on the arguments only."""
+    return splitmix64(splitmix64(seed ^ request) + purpose) * HASH_TO_UNIT
 
 
 class SimulatedEndpoint:
-    """One endpoint. `seed` also turns its bursts round the span, so that seeds differ in when."""
+    """One endpoint. A nonzero `seed` also rotates its failure bursts within the span, so that their
+    times differ between seeds."""
 
-    def __init__(self, model: EndpointModel, place: int, seed: int, span: tuple[int, int]) -> None:
-        self.model, self.place = model, place
-        self.seed = splitmix64(seed * 1_000_003 + place)
-        self.slot_free_times = [0] * model.slots  # when each slot is free again
+    def __init__(self, model: EndpointModel, position: int, seed: int, span: tuple[int, int]) -> None:
+        self.model, self.position = model, position
+        self.seed = splitmix64(seed * 1_000_003 + position)
+        self.slot_free_times = [0] * model.slots  # when each slot becomes free
         heapify(self.slot_free_times)
-        self.attempt_ends: list[int] = []  # when each attempt here ends
+        self.attempt_ends: list[int] = []  # when each attempt in flight ends
         start, end = span
-        turn = int(keyed_uniform(seed, place, 99) * (end - start)) if seed else 0
-        self.bursts = [shift_burst(one, turn, start, end) for one in model.bursts]
+        rotation_us = int(keyed_uniform(seed, position, 99) * (end - start)) if seed else 0
+        self.bursts = [shift_burst(burst, rotation_us, start, end) for burst in model.bursts]
 
     def count_in_flight(self, now: int) -> int:
-        under_way = self.attempt_ends
-        while under_way and under_way[0] <= now:
-            heappop(under_way)
-        return len(under_way)
+        ends = self.attempt_ends
+        while ends and ends[0] <= now:
+            heappop(ends)
+        return len(ends)
 
     def serve(
-        self, now: int, cls: int, scale: float, key: int, copy: int, timeout: int
+        self, now: int, cls: int, scale: float, request_key: int, attempt_index: int, timeout_us: int
     ) -> tuple[int, int, int]:
-        """Outcome, µs until it, and the others found in flight; `scale` multiplies the service."""
-        model, found = self.model, self.count_in_flight(now)
+        """Return the outcome, the µs until it, and the number of other attempts in flight.
+
+        `scale` multiplies the service time."""
+        model, in_flight = self.model, self.count_in_flight(now)
         for burst in self.bursts:
             if burst.start <= now < burst.end:
-                return self._fail(burst, timeout, found)
-        if model.chance and keyed_uniform(self.seed, key, copy * 4 + 1) < model.chance:
-            return self._fail(model.failed, timeout, found)
-        if model.most and found >= model.most and keyed_uniform(self.seed, key, copy * 4 + 2) < model.turned:
-            return FULL, min(timeout, REJECT_DELAY_US), found
-        took = self._service_us(now, cls, key, found) * scale
+                return self._fail(burst, timeout_us, in_flight)
+        if model.chance and keyed_uniform(self.seed, request_key, attempt_index * 4 + 1) < model.chance:
+            return self._fail(model.failed, timeout_us, in_flight)
+        if (
+            model.most
+            and in_flight >= model.most
+            and keyed_uniform(self.seed, request_key, attempt_index * 4 + 2) < model.turned
+        ):
+            return FULL, min(timeout_us, REJECT_DELAY_US), in_flight
+        service_us = self._service_us(now, cls, request_key, in_flight) * scale
         if self.slot_free_times:
             start = max(now, self.slot_free_times[0])
-            end = start + int(took)
+            end = start + int(service_us)
             heapreplace(self.slot_free_times, end)
         else:
-            end = now + int(took)
+            end = now + int(service_us)
         heappush(self.attempt_ends, end)
-        if end - now > timeout:
-            return TIMEOUT, timeout, found
-        return OK, max(1, end - now), found
+        if end - now > timeout_us:
+            return TIMEOUT, timeout_us, in_flight
+        return OK, max(1, end - now), in_flight
 
-    def _service_us(self, now: int, cls: int, key: int, found: int) -> float:
+    def _service_us(self, now: int, cls: int, request_key: int, in_flight: int) -> float:
         model = self.model
-        # Keyed by the request alone: what is heavy is heavy everywhere.
-        at = keyed_uniform(0, key, 0) * QUANTILE_STEPS
-        low = int(at)
-        values = model.quantiles[cls]
-        took = values[low] + (values[low + 1] - values[low]) * (at - low)
-        beside = min(found, model.slots - 1) if model.slots else found
-        took *= 1.0 + model.slow * beside
+        # Derived from the request only: an expensive request is expensive at every endpoint.
+        rank = keyed_uniform(0, request_key, 0) * QUANTILE_STEPS
+        lower = int(rank)
+        quantiles_us = model.quantiles[cls]
+        service_us = quantiles_us[lower] + (quantiles_us[lower + 1] - quantiles_us[lower]) * (rank - lower)
+        concurrent = min(in_flight, model.slots - 1) if model.slots else in_flight
+        service_us *= 1.0 + model.slow * concurrent
         if model.cold and model.boot <= now < model.warm:
-            took *= model.cold[(now - model.boot) * len(model.cold) // (model.warm - model.boot)]
-        return took
+            service_us *= model.cold[(now - model.boot) * len(model.cold) // (model.warm - model.boot)]
+        return service_us
 
     @staticmethod
-    def _fail(how: FailureBurst, timeout: int, found: int) -> tuple[int, int, int]:
-        if how.outcome == TIMEOUT or how.delay >= timeout:
-            return TIMEOUT, timeout, found
-        return how.outcome, max(1, how.delay), found
+    def _fail(failure: FailureBurst, timeout_us: int, in_flight: int) -> tuple[int, int, int]:
+        if failure.outcome == TIMEOUT or failure.delay >= timeout_us:
+            return TIMEOUT, timeout_us, in_flight
+        return failure.outcome, max(1, failure.delay), in_flight
 
 
-def shift_burst(burst: FailureBurst, turn: int, start: int, end: int) -> FailureBurst:
-    length = burst.end - burst.start
-    at = start + (burst.start - start + turn) % max(1, end - start)
-    return FailureBurst(at, at + length, burst.outcome, burst.delay)
+def shift_burst(burst: FailureBurst, rotation_us: int, start: int, end: int) -> FailureBurst:
+    length_us = burst.end - burst.start
+    shifted_start = start + (burst.start - start + rotation_us) % max(1, end - start)
+    return FailureBurst(shifted_start, shifted_start + length_us, burst.outcome, burst.delay)
 
 
 class SimulatedFleet:
-    """All servers of one replay."""
+    """All endpoints of one replay."""
 
     def __init__(self, model: FleetModel, seed: int, span: tuple[int, int]) -> None:
         self.work_scaling, self.network_delays = model.works, model.away_us
         self.endpoints = [
-            SimulatedEndpoint(one, place, seed, span) for place, one in enumerate(model.endpoints)
+            SimulatedEndpoint(endpoint_model, position, seed, span)
+            for position, endpoint_model in enumerate(model.endpoints)
         ]
 
     def network_delay_us(self, origin: str, zone: str) -> int:
         return int(self.network_delays.get(f"{origin}>{zone}", 0.0))
 
     def service_scale(self, cls: int, work_us: int) -> float:
-        work = self.work_scaling[cls]
-        return (work_us / work.usual) ** work.power if work_us > 0 and work.power else 1.0
+        scaling = self.work_scaling[cls]
+        return (work_us / scaling.usual) ** scaling.power if work_us > 0 and scaling.power else 1.0
