--- a/woadyard/whatif/pool.py
+++ b/woadyard/whatif/pool.py
@@ -1,6 +1,6 @@
-"""Replays spread over worker processes; the result is the same however many there are.
+"""Runs replays in worker processes; the result does not depend on their number.
 
-A worker that dies takes its pool along: what was not finished is done again in a new one.
+A worker that dies breaks its pool: the unfinished jobs are run again in a new pool.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 from woadyard.whatif.workload import Workload
 
 LOG = logging.getLogger(__name__)
-# Pools begun anew after a death, at most: more is no accident.
+# Pools to try before giving up: if workers die in all of them, the cause is persistent.
 MAX_POOLS = 4
 
-# One replay: its seed, and the proposed weights (none: those that were recorded).
+# One replay: its seed and the proposed weights (None: the recorded weights).
 ReplayJob = tuple[int, Mapping[str, float] | None]
 
 
 class ReplayWorker:
-    """What every worker holds: the scene, its model and the frame of the tallies."""
+    """The state of a worker process: the workload, its model and the layout of the tallies."""
 
-    def __init__(self, data: Sequence[bytes], model: FleetModel, frame: TallyLayout) -> None:
-        self.workload = Workload([read_trace(one) for one in data])
-        self.model, self.layout = model, frame
+    def __init__(self, data: Sequence[bytes], model: FleetModel, layout: TallyLayout) -> None:
+        self.workload = Workload([read_trace(trace_bytes) for trace_bytes in data])
+        self.model, self.layout = model, layout
 
     def run(self, job: ReplayJob) -> Tally:
-        seed, weights = job
-        chosen = None if weights is None else dict(weights)
-        return build_tally(Replay(self.workload, self.model, seed, chosen).run(), self.layout)
+        seed, proposed = job
+        weights = None if proposed is None else dict(proposed)
+        return build_tally(Replay(self.workload, self.model, seed, weights).run(), self.layout)
 
 
-_worker: list[ReplayWorker] = []  # a worker's one, laid out when the process starts
+_worker: list[ReplayWorker] = []  # the worker of this process, created when it starts
 
 
-def _init_worker(data: Sequence[bytes], model: bytes, frame: TallyLayout) -> None:
-    _worker.append(ReplayWorker(data, msgspec.msgpack.decode(model, type=FleetModel), frame))
+def _init_worker(data: Sequence[bytes], model: bytes, layout: TallyLayout) -> None:
+    _worker.append(ReplayWorker(data, msgspec.msgpack.decode(model, type=FleetModel), layout))
 
 
 def _run_job(job: ReplayJob) -> Tally:
@@ -55,34 +55,38 @@
 def run_replays(
     data: Sequence[bytes],
     model: FleetModel,
-    frame: TallyLayout,
+    layout: TallyLayout,
     jobs: Sequence[ReplayJob],
     workers: int,
-    halfway: Callable[[], None] = lambda: None,
+    on_job_done: Callable[[], None] = lambda: None,
 ) -> list[Tally]:
-    """Each job's tally, in their order. `TraceError` where workers keep dying."""
+    """Return the tally of each job, in the order of `jobs`.
+
+    Raises `TraceError` if workers died in each of `MAX_POOLS` pools."""
     if workers < 2:
-        bench = ReplayWorker(data, model, frame)
-        return [bench.run(job) for job in jobs]
-    done: dict[int, Tally] = {}
-    packed = msgspec.msgpack.encode(model)
+        worker = ReplayWorker(data, model, layout)
+        return [worker.run(job) for job in jobs]
+    tallies: dict[int, Tally] = {}
+    packed_model = msgspec.msgpack.encode(model)
     for _ in range(MAX_POOLS):
-        left = [at for at in range(len(jobs)) if at not in done]
-        if not left:
+        unfinished = [index for index in range(len(jobs)) if index not in tallies]
+        if not unfinished:
             break
         context = get_context("spawn")
         with ProcessPoolExecutor(
-            min(workers, len(left)), context, _init_worker, (data, packed, frame)
+            min(workers, len(unfinished)), context, _init_worker, (data, packed_model, layout)
         ) as pool:
-            futures: dict[Future[Tally], int] = {pool.submit(_run_job, jobs[at]): at for at in left}
+            futures: dict[Future[Tally], int] = {
+                pool.submit(_run_job, jobs[index]): index for index in unfinished
+            }
             try:
-                for one in as_completed(futures):
-                    done[futures[one]] = one.result()
-                    halfway()
+                for future in as_completed(futures):
+                    tallies[futures[future]] = future.result()
+                    on_job_done()
             except BrokenProcessPool:
-                LOG.warning("a worker died", extra={"done": len(done), "of": len(jobs)})
-    if len(done) < len(jobs):
+                LOG.warning("a worker died", extra={"done": len(tallies), "of": len(jobs)})
+    if len(tallies) < len(jobs):
         raise TraceError(
-            f"replays died {MAX_POOLS} times", "see to the machine's memory; ask for fewer workers"
+            f"replay workers died in {MAX_POOLS} pools", "check the machine's memory or use fewer workers"
         )
-    return [done[at] for at in range(len(jobs))]
+    return [tallies[index] for index in range(len(jobs))]
--- a/woadyard/whatif/replay.py
+++ b/woadyard/whatif/replay.py
@@ -1,4 +1,4 @@
-"""One replay: the real `Balancer` of each recorded sidecar, in simulated time, against the model."""
+"""One replay: runs the real `Balancer` of each recorded sidecar in simulated time against the model."""
 
 from __future__ import annotations
 
@@ -37,43 +37,44 @@
 )
 from woadyard.whatif.workload import SidecarRecording, Workload
 
-# The driver's timers have no finer steps.
+# Resolution of the sidecar's timers.
 TIMER_TICK_US = 1_000
-# A request of a sample stands for others: they come within this before or after it.
+# A sampled request represents others, which arrive at most this long before or after it.
 SAMPLE_SPREAD_US = 500_000
-# Connections outlive an attempt that ended so.
+# Outcomes after which the connection can be reused.
 REUSABLE_OUTCOMES = frozenset((OK, ERROR, FULL))
 
 
 class SimulatedRequest:
-    """A request under way."""
+    """A request with its attempts, by attempt index."""
 
     __slots__ = ("aim_us", "at", "endpoints", "expires", "in_flight", "is_open", "key", "recorded", "scale")
 
-    def __init__(self, asked: RecordedRequest, at: int, aim: int, key: int, scale: float) -> None:
-        self.recorded, self.at, self.aim_us, self.key, self.scale = asked, at, aim, key, scale
-        self.expires = at + asked.expires - asked.at
+    def __init__(self, recorded: RecordedRequest, start_us: int, aim_us: int, key: int, scale: float) -> None:
+        self.recorded, self.at, self.aim_us, self.key, self.scale = recorded, start_us, aim_us, key, scale
+        self.expires = start_us + recorded.expires - recorded.at
         self.is_open = True
-        self.endpoints: list[int] = []  # each attempt's endpoint
-        self.in_flight: list[bool] = []  # whether it is
+        self.endpoints: list[int] = []  # the endpoint number of each attempt
+        self.in_flight: list[bool] = []  # whether each attempt is still in flight
 
 
 class SimulatedSidecar:
-    """One balancer and what its shell would keep."""
+    """One balancer with the state that the sidecar process keeps around it."""
 
     def __init__(
-        self, side: SidecarRecording, number: int, seed: int, weights: dict[int, float] | None
+        self, recording: SidecarRecording, number: int, seed: int, proposed_factors: dict[int, float] | None
     ) -> None:
-        self.recording, self.number, self.proposed_factors = side, number, weights
-        start = side.trace.started
-        settings = replace(side.settings, shares_verdicts=False)
-        self.balancer = Balancer(splitmix64(start.seed ^ seed), settings)
+        self.recording, self.number, self.proposed_factors = recording, number, proposed_factors
+        trace_start = recording.trace.started
+        settings = replace(recording.settings, shares_verdicts=False)
+        self.balancer = Balancer(splitmix64(trace_start.seed ^ seed), settings)
         self.requests: dict[int, SimulatedRequest] = {}
         self.last_request_id = 0
-        self.idle_since: dict[int, list[int]] = {}  # by endpoint, since when each connection is idle
+        # By endpoint number: when each idle connection became idle.
+        self.idle_since: dict[int, list[int]] = {}
         self.recorded_weights: dict[str, float] = {}
 
-    def apply_change(self, now: int, change: StateChange, scene: Workload) -> list[Action]:
+    def apply_change(self, now: int, change: StateChange, workload: Workload) -> list[Action]:
         balancer = self.balancer
         if isinstance(change, SettingsApplied):
             return balancer.retune(now, replace(change.settings, shares_verdicts=False))
@@ -81,24 +82,24 @@
             entries = (
                 []
                 if change.mode == LIST_FAILED
-                else [self.recording.parse_entry(raw) for raw in change.entries]
+                else [self.recording.parse_entry(raw_entry) for raw_entry in change.entries]
             )
-            done = list(balancer.members(now, change.mode, entries))
+            actions = list(balancer.members(now, change.mode, entries))
         else:
-            self.recorded_weights, done = change.factors, []
+            self.recorded_weights, actions = change.factors, []
         factors = (
             self.proposed_factors
             if self.proposed_factors is not None
-            else scene.factors_by_number(self.recorded_weights)
+            else workload.factors_by_number(self.recorded_weights)
         )
-        return done + list(balancer.trust(now, factors))
+        return actions + list(balancer.trust(now, factors))
 
     def take_connection(self, now: int, endpoint: int) -> bool:
-        """Take a connection; True where it is a new one."""
-        idle, keeps = self.idle_since.get(endpoint), self.balancer.settings.idle_us
-        if not idle:
+        """Take an idle connection or open a new one; return True if it is new."""
+        idle_connections, idle_timeout_us = self.idle_since.get(endpoint), self.balancer.settings.idle_us
+        if not idle_connections:
             return True
-        return keeps > 0 and now - idle.pop() > keeps
+        return idle_timeout_us > 0 and now - idle_connections.pop() > idle_timeout_us
 
     def release_connection(self, now: int, endpoint: int, outcome: int) -> None:
         if outcome in REUSABLE_OUTCOMES:
@@ -106,16 +107,17 @@
 
 
 class Replay:
-    """Events in order of time; those of one instant in the order they were made."""
+    """Runs events in order of time; events of the same time run in the order they were scheduled."""
 
     def __init__(
-        self, scene: Workload, model: FleetModel, seed: int, weights: dict[str, float] | None
+        self, workload: Workload, model: FleetModel, seed: int, weights: dict[str, float] | None
     ) -> None:
-        self.workload, self.seed = scene, seed
-        factors = None if weights is None else scene.factors_by_number(weights)
-        self.fleet = SimulatedFleet(model, seed, (scene.start, scene.end))
+        self.workload, self.seed = workload, seed
+        factors = None if weights is None else workload.factors_by_number(weights)
+        self.fleet = SimulatedFleet(model, seed, (workload.start, workload.end))
         self.sidecars = [
-            SimulatedSidecar(side, at, seed, factors) for at, side in enumerate(scene.recordings)
+            SimulatedSidecar(recording, number, seed, factors)
+            for number, recording in enumerate(workload.recordings)
         ]
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.event_count = 0
@@ -124,19 +126,21 @@
 
     def run(self) -> Observations:
         for sidecar in self.sidecars:
-            side = sidecar.recording
-            first = side.trace.started.at + side.clock_shift_us
-            self.execute(first, sidecar, sidecar.balancer.start(first))
-            for change in side.trace.changes:
-                self.schedule(max(first, change.at + side.clock_shift_us), self.on_change, sidecar, change)
+            recording = sidecar.recording
+            start_us = recording.trace.started.at + recording.clock_shift_us
+            self.execute(start_us, sidecar, sidecar.balancer.start(start_us))
+            for change in recording.trace.changes:
+                self.schedule(
+                    max(start_us, change.at + recording.clock_shift_us), self.on_change, sidecar, change
+                )
         arrivals = sorted(
-            (at, sidecar.number, asked.request, order, asked)
+            (arrival_us, sidecar.number, recorded.request, sample_index, recorded)
             for sidecar in self.sidecars
-            for at, order, asked in expand_sample(sidecar.recording, sidecar.number)
+            for arrival_us, sample_index, recorded in expand_sample(sidecar.recording, sidecar.number)
         )
-        for at, number, _, order, asked in arrivals:
-            self.run_until(at)
-            self.on_arrival(at, self.sidecars[number], order, asked)
+        for arrival_us, number, _, sample_index, recorded in arrivals:
+            self.run_until(arrival_us)
+            self.on_arrival(arrival_us, self.sidecars[number], sample_index, recorded)
         self.run_until(None)
         self.requests.sort()
         self.attempts.sort()
@@ -144,15 +148,15 @@
             RequestColumns(*to_columns(self.requests, 6)), AttemptColumns(*to_columns(self.attempts, 7))
         )
 
-    def schedule(self, at: int, act: Callable[..., None], *args: Any) -> None:
+    def schedule(self, time_us: int, callback: Callable[..., None], *args: Any) -> None:
         self.event_count += 1
-        heappush(self.events, (at, self.event_count, act, args))
+        heappush(self.events, (time_us, self.event_count, callback, args))
 
-    def run_until(self, end: int | None) -> None:
+    def run_until(self, end_us: int | None) -> None:
         events = self.events
-        while events and (end is None or events[0][0] <= end):
-            now, _, act, args = heappop(events)
-            act(now, *args)
+        while events and (end_us is None or events[0][0] <= end_us):
+            now, _, callback, args = heappop(events)
+            callback(now, *args)
 
     def on_change(self, now: int, sidecar: SimulatedSidecar, change: StateChange) -> None:
         self.execute(now, sidecar, sidecar.apply_change(now, change, self.workload))
@@ -160,18 +164,29 @@
     def on_timer(self, now: int, sidecar: SimulatedSidecar, token: int) -> None:
         self.execute(now, sidecar, sidecar.balancer.timer(now, token))
 
-    def on_arrival(self, now: int, sidecar: SimulatedSidecar, order: int, asked: RecordedRequest) -> None:
+    def on_arrival(
+        self, now: int, sidecar: SimulatedSidecar, sample_index: int, recorded: RecordedRequest
+    ) -> None:
         sidecar.last_request_id += 1
-        rid = sidecar.last_request_id
-        scale = self.fleet.service_scale(asked.cls, asked.work_us)
-        key = splitmix64(self.seed * 31 + sidecar.number) ^ splitmix64(asked.request * 64 + order)
-        live = sidecar.requests[rid] = SimulatedRequest(
-            asked, now, sidecar.recording.aim_us(asked), key, scale
+        request_id = sidecar.last_request_id
+        scale = self.fleet.service_scale(recorded.cls, recorded.work_us)
+        request_key = splitmix64(self.seed * 31 + sidecar.number) ^ splitmix64(
+            recorded.request * 64 + sample_index
+        )
+        live_request = sidecar.requests[request_id] = SimulatedRequest(
+            recorded, now, sidecar.recording.aim_us(recorded), request_key, scale
         )
-        event = Arrival(
-            rid, asked.cls, live.expires, asked.tenant, asked.key, asked.work_us, asked.repeated, asked.home
+        arrival = Arrival(
+            request_id,
+            recorded.cls,
+            live_request.expires,
+            recorded.tenant,
+            recorded.key,
+            recorded.work_us,
+            recorded.repeated,
+            recorded.home,
         )
-        self.execute(now, sidecar, sidecar.balancer.request(now, event))
+        self.execute(now, sidecar, sidecar.balancer.request(now, arrival))
 
     def execute(self, now: int, sidecar: SimulatedSidecar, actions: Sequence[Action]) -> None:
         for action in list(actions):
@@ -185,79 +200,129 @@
                 case Fail(request):
                     self.end_request(now, sidecar, request, FAILED)
                 case Cancel(request, copy):
-                    live = sidecar.requests.get(request)
-                    if live is not None and live.in_flight[copy]:
+                    live_request = sidecar.requests.get(request)
+                    if live_request is not None and live_request.in_flight[copy]:
                         self.schedule(now, self.end_attempt, sidecar, request, copy, CANCELLED, now)
 
     def start_attempt(
-        self, now: int, sidecar: SimulatedSidecar, request: int, endpoint: int, timeout: int
+        self, now: int, sidecar: SimulatedSidecar, request_id: int, endpoint: int, timeout_us: int
     ) -> None:
-        live = sidecar.requests[request]
-        copy, place = len(live.in_flight), self.workload.index_by_number[endpoint]
-        live.in_flight.append(True)
-        live.endpoints.append(endpoint)
-        server = self.fleet.endpoints[place]
-        away = self.fleet.network_delay_us(sidecar.recording.zone, server.model.zone)
-        left = max(1, min(timeout or live.expires - now, live.expires - now))
-        outcome, took, found = server.serve(now, live.recorded.cls, live.scale, live.key, copy, left)
-        took = min(left, took + away)
-        fresh = sidecar.take_connection(now, endpoint)
+        live_request = sidecar.requests[request_id]
+        attempt_index, position = len(live_request.in_flight), self.workload.index_by_number[endpoint]
+        live_request.in_flight.append(True)
+        live_request.endpoints.append(endpoint)
+        simulated_endpoint = self.fleet.endpoints[position]
+        network_delay_us = self.fleet.network_delay_us(sidecar.recording.zone, simulated_endpoint.model.zone)
+        remaining_us = max(1, min(timeout_us or live_request.expires - now, live_request.expires - now))
+        outcome, latency_us, in_flight_count = simulated_endpoint.serve(
+            now, live_request.recorded.cls, live_request.scale, live_request.key, attempt_index, remaining_us
+        )
+        latency_us = min(remaining_us, latency_us + network_delay_us)
+        is_new_connection = sidecar.take_connection(now, endpoint)
         self.attempts.append(
-            (now, place, found, *self._attempt_flags(now, sidecar, server, live, found, fresh))
+            (
+                now,
+                position,
+                in_flight_count,
+                *self._attempt_flags(
+                    now, sidecar, simulated_endpoint, live_request, in_flight_count, is_new_connection
+                ),
+            )
         )
-        self.schedule(now + took, self.end_attempt, sidecar, request, copy, outcome, now)
+        self.schedule(now + latency_us, self.end_attempt, sidecar, request_id, attempt_index, outcome, now)
 
     @staticmethod
     def _attempt_flags(
         now: int,
         sidecar: SimulatedSidecar,
-        server: SimulatedEndpoint,
-        live: SimulatedRequest,
-        found: int,
-        fresh: bool,
+        simulated_endpoint: SimulatedEndpoint,
+        live_request: SimulatedRequest,
+        in_flight_count: int,
+        is_new_connection: bool,
     ) -> tuple[int, int, int, int]:
-        model = server.model
-        cold = model.boot <= now < model.warm
-        thin = model.thin[live.recorded.cls] or found > model.reach or (cold and not model.cold)
-        return int(model.zone != sidecar.recording.zone), int(fresh), int(thin), int(cold)
+        model = simulated_endpoint.model
+        is_cold = model.boot <= now < model.warm
+        is_extrapolated = (
+            model.thin[live_request.recorded.cls]
+            or in_flight_count > model.reach
+            or (is_cold and not model.cold)
+        )
+        return (
+            int(model.zone != sidecar.recording.zone),
+            int(is_new_connection),
+            int(is_extrapolated),
+            int(is_cold),
+        )
 
     def end_attempt(
-        self, now: int, sidecar: SimulatedSidecar, request: int, copy: int, outcome: int, sent: int
+        self,
+        now: int,
+        sidecar: SimulatedSidecar,
+        request_id: int,
+        attempt_index: int,
+        outcome: int,
+        sent_us: int,
     ) -> None:
-        live = sidecar.requests.get(request)
-        if live is None or not live.in_flight[copy]:
+        live_request = sidecar.requests.get(request_id)
+        if live_request is None or not live_request.in_flight[attempt_index]:
             return
-        live.in_flight[copy] = False
-        sidecar.release_connection(now, live.endpoints[copy], outcome)
-        if outcome == OK and live.is_open:
-            self.record_response(now, live, ANSWERED)
-        event = Outcome(request, copy, live.endpoints[copy], outcome, now - sent, not live.is_open)
-        self.execute(now, sidecar, sidecar.balancer.outcome(now, event))
-        if not live.is_open and not any(live.in_flight):
-            sidecar.requests.pop(request, None)
+        live_request.in_flight[attempt_index] = False
+        sidecar.release_connection(now, live_request.endpoints[attempt_index], outcome)
+        if outcome == OK and live_request.is_open:
+            self.record_response(now, live_request, ANSWERED)
+        attempt_outcome = Outcome(
+            request_id,
+            attempt_index,
+            live_request.endpoints[attempt_index],
+            outcome,
+            now - sent_us,
+            not live_request.is_open,
+        )
+        self.execute(now, sidecar, sidecar.balancer.outcome(now, attempt_outcome))
+        if not live_request.is_open and not any(live_request.in_flight):
+            sidecar.requests.pop(request_id, None)
 
-    def end_request(self, now: int, sidecar: SimulatedSidecar, request: int, end: int) -> None:
-        """The module's own last word, where the caller still waits."""
-        live = sidecar.requests.get(request)
-        if live is not None and live.is_open:
-            self.record_response(now, live, end)
-            if not any(live.in_flight):
-                del sidecar.requests[request]
+    def end_request(self, now: int, sidecar: SimulatedSidecar, request_id: int, result: int) -> None:
+        """End a request without a response from an endpoint, unless the client already has its result."""
+        live_request = sidecar.requests.get(request_id)
+        if live_request is not None and live_request.is_open:
+            self.record_response(now, live_request, result)
+            if not any(live_request.in_flight):
+                del sidecar.requests[request_id]
 
-    def record_response(self, now: int, live: SimulatedRequest, end: int) -> None:
-        live.is_open = False
-        asked = live.recorded
-        if asked.status:  # else its caller left, and counts for nothing
-            self.requests.append((live.at, asked.cls, asked.tenant, end, now - live.at, live.aim_us))
+    def record_response(self, now: int, live_request: SimulatedRequest, result: int) -> None:
+        live_request.is_open = False
+        recorded = live_request.recorded
+        if recorded.status:  # 0: the client disconnected; the request is not counted
+            self.requests.append(
+                (
+                    live_request.at,
+                    recorded.cls,
+                    recorded.tenant,
+                    result,
+                    now - live_request.at,
+                    live_request.aim_us,
+                )
+            )
 
 
-def expand_sample(side: SidecarRecording, number: int) -> Iterator[tuple[int, int, RecordedRequest]]:
-    """Each recorded request, and as many more near it as it stands for."""
-    sample = side.trace.started.sample
-    for asked in side.trace.requests:
-        yield asked.at + side.clock_shift_us, 0, asked
-        if sample < 1.0:
-            more = 1.0 / sample + keyed_uniform(number, asked.request, 7)
-            for order in range(1, int(more)):
-                spread = int((keyed_uniform(number, asked.request, 8 + order) - 0.5) * 2 * SAMPLE_SPREAD_US)
-                yield max(side.clock_shift_us, asked.at + side.clock_shift_us + spread), order, asked
+def expand_sample(
+    recording: SidecarRecording, sidecar_number: int
+) -> Iterator[tuple[int, int, RecordedRequest]]:
+    """Yield (µs, sample index, request): each recorded request, then the unsampled ones it represents."""
+    sample_rate = recording.trace.started.sample
+    for recorded in recording.trace.requests:
+        yield recorded.at + recording.clock_shift_us, 0, recorded
+        if sample_rate < 1.0:
+            represented = 1.0 / sample_rate + keyed_uniform(sidecar_number, recorded.request, 7)
+            for sample_index in range(1, int(represented)):
+                offset_us = int(
+                    (keyed_uniform(sidecar_number, recorded.request, 8 + sample_index) - 0.5)
+                    * 2
+                    * SAMPLE_SPREAD_US
+                )
+                yield (
+                    max(recording.clock_shift_us, recorded.at + recording.clock_shift_us + offset_us),
+                    sample_index,
+                    recorded,
+                )
