--- a/woadyard/whatif/workload.py
+++ b/woadyard/whatif/workload.py
@@ -76,11 +76,11 @@
     def __init__(self, traces: Sequence[Trace]) -> None:
         if not traces:
             raise TraceError("no traces were given")
-        traces = sorted(traces, key=lambda trace: (trace.started.sidecar, trace.started.incarnation))
-        first_request_us = min(trace.requests[0].at + trace.wall_offset_us for trace in traces)
+        traces = sorted(traces, key=lambda recorded: (recorded.started.sidecar, recorded.started.incarnation))
+        first_request_us = min(recorded.requests[0].at + recorded.wall_offset_us for recorded in traces)
         self.recordings = [
-            SidecarRecording(trace, trace.wall_offset_us - first_request_us + CLOCK_START_US)
-            for trace in traces
+            SidecarRecording(recorded, recorded.wall_offset_us - first_request_us + CLOCK_START_US)
+            for recorded in traces
         ]
         self.endpoints: list[str] = []
         self.machine_types: list[str] = []
@@ -97,7 +97,9 @@
         self.end = min(side.trace.requests[-1].at + side.clock_shift_us for side in self.recordings)
         if self.end <= self.start:
             raise TraceError("the traces do not overlap in time")
-        self.digest = blake2b("".join(trace.digest for trace in traces).encode(), digest_size=16).hexdigest()
+        self.digest = blake2b(
+            "".join(recorded.digest for recorded in traces).encode(), digest_size=16
+        ).hexdigest()
 
     def _add_endpoint(self, raw: dict[str, Any]) -> None:
         name = str(raw["instanceId"])
