--- a/woadyard/whatif/replay.py
+++ b/woadyard/whatif/replay.py
@@ -212,12 +212,12 @@
         live_request.in_flight.append(True)
         live_request.endpoints.append(endpoint)
         simulated_endpoint = self.fleet.endpoints[position]
-        network_delay_us = self.fleet.network_delay_us(sidecar.recording.zone, simulated_endpoint.model.zone)
+        extra_delay_us = self.fleet.network_delay_us(sidecar.recording.zone, simulated_endpoint.model.zone)
         remaining_us = max(1, min(timeout_us or live_request.expires - now, live_request.expires - now))
         outcome, latency_us, in_flight_count = simulated_endpoint.serve(
             now, live_request.recorded.cls, live_request.scale, live_request.key, attempt_index, remaining_us
         )
-        latency_us = min(remaining_us, latency_us + network_delay_us)
+        latency_us = min(remaining_us, latency_us + extra_delay_us)
         is_new_connection = sidecar.take_connection(now, endpoint)
         self.attempts.append(
             (
