--- a/woadyard/whatif/measure.py
+++ b/woadyard/whatif/measure.py
@@ -77,7 +77,7 @@
             result_counts[result] += 1
             if result == ANSWERED:
                 latencies_us.append(latency_us)
-                within_aim += latency_us <= recording.aim_us(request)
+                within_aim += latency_us <= recording.request_aim_us(request)
     total = sum(result_counts)
     if not spans_us or not total:
         return Measurement()
--- a/woadyard/whatif/model.py
+++ b/woadyard/whatif/model.py
@@ -102,11 +102,11 @@
                             )
                         )
         table = np.asarray(sorted(rows), dtype=np.int64).reshape(-1, 7)
-        self.at, self.endpoint, self.outcome, self.delay, self.cls, self.work, self.recording = table.T
+        self.at, self.position, self.outcome, self.delay, self.cls, self.work, self.recording = table.T
         self.scale = 1.0 / min(sidecar.trace.started.sample for sidecar in workload.recordings)
         self.in_flight = np.zeros(len(table), dtype=np.int64)
         for position in range(len(workload.endpoints)):
-            at_endpoint = self.endpoint == position
+            at_endpoint = self.position == position
             self.in_flight[at_endpoint] = (
                 count_in_flight(self.at[at_endpoint], (self.at + self.delay)[at_endpoint]) * self.scale
             )
@@ -171,7 +171,7 @@
         quick_delays = {}
         for zone_index, origin_zone in enumerate(sorted(set(sidecar_zones))):
             is_from_origin = (
-                attempts.succeeded & (attempts.endpoint == position) & (origin_index == zone_index)
+                attempts.succeeded & (attempts.position == position) & (origin_index == zone_index)
             )
             if is_from_origin.sum() >= MIN_SAMPLES:
                 quick_delays[origin_zone] = float(np.quantile(attempts.delay[is_from_origin], 0.1))
@@ -270,7 +270,7 @@
     for recording_index, sidecar in enumerate(workload.recordings):
         for position, zone in enumerate(workload.zones):
             if extra_delay_us := delays.get(f"{sidecar.zone}>{zone}", 0.0):
-                service[(attempts.recording == recording_index) & (attempts.endpoint == position)] -= (
+                service[(attempts.recording == recording_index) & (attempts.position == position)] -= (
                     extra_delay_us
                 )
     exponents = np.asarray([scaling.power for scaling in scalings])[attempts.cls]
@@ -279,14 +279,14 @@
     cold_spans = cold_start_spans(workload)
     is_cold = np.zeros(len(service), dtype=bool)
     for position, (start, end) in cold_spans.items():
-        is_cold |= (attempts.endpoint == position) & (attempts.at >= start) & (attempts.at < end)
+        is_cold |= (attempts.position == position) & (attempts.at >= start) & (attempts.at < end)
     everywhere = np.ones(len(service), dtype=bool)
     fleet_fit = MachineTypeFit(attempts, service, everywhere & ~is_cold, class_count)
     fits_by_type = {}
     for machine_type in set(workload.machine_types):
         is_of_type = (
             np.isin(
-                attempts.endpoint,
+                attempts.position,
                 [
                     index
                     for index, endpoint_type in enumerate(workload.machine_types)
@@ -324,7 +324,7 @@
     is_cold: NDArray[np.bool_],
     cold_span: tuple[int, int],
 ) -> EndpointModel:
-    at_endpoint = attempts.endpoint == position
+    at_endpoint = attempts.position == position
     class_quantiles, has_few_samples = [], []
     for cls, type_service in enumerate(type_fit.pooled_service):
         own_service = type_fit.unloaded_service[
--- a/woadyard/whatif/observations.py
+++ b/woadyard/whatif/observations.py
@@ -99,7 +99,7 @@
                     request.tenant,
                     classify_status(request.status),
                     latency_us,
-                    recording.aim_us(request),
+                    recording.request_aim_us(request),
                 )
                 request_rows.append((request.at + recording.clock_shift_us, *row))
             for attempt in request.tries:
--- a/woadyard/whatif/pool.py
+++ b/woadyard/whatif/pool.py
@@ -35,7 +35,7 @@
         self.workload = Workload([read_trace(trace_bytes) for trace_bytes in data])
         self.model, self.layout = model, layout
 
-    def run(self, job: ReplayJob) -> Tally:
+    def run_job(self, job: ReplayJob) -> Tally:
         seed, proposed = job
         weights = None if proposed is None else dict(proposed)
         return build_tally(Replay(self.workload, self.model, seed, weights).run(), self.layout)
@@ -49,7 +49,7 @@
 
 
 def _run_job(job: ReplayJob) -> Tally:
-    return _worker[0].run(job)
+    return _worker[0].run_job(job)
 
 
 def run_replays(
@@ -65,7 +65,7 @@
     Raises `TraceError` if workers died in each of `MAX_POOLS` pools."""
     if workers < 2:
         worker = ReplayWorker(data, model, layout)
-        return [worker.run(job) for job in jobs]
+        return [worker.run_job(job) for job in jobs]
     tallies: dict[int, Tally] = {}
     packed_model = msgspec.msgpack.encode(model)
     for _ in range(MAX_POOLS):
--- a/woadyard/whatif/replay.py
+++ b/woadyard/whatif/replay.py
@@ -174,7 +174,7 @@
             recorded.request * 64 + sample_index
         )
         live_request = sidecar.requests[request_id] = SimulatedRequest(
-            recorded, now, sidecar.recording.aim_us(recorded), request_key, scale
+            recorded, now, sidecar.recording.request_aim_us(recorded), request_key, scale
         )
         arrival = Arrival(
             request_id,
@@ -211,7 +211,7 @@
         attempt_index, position = len(live_request.in_flight), self.workload.index_by_number[endpoint]
         live_request.in_flight.append(True)
         live_request.endpoints.append(endpoint)
-        simulated_endpoint = self.fleet.endpoints[position]
+        simulated_endpoint = self.fleet.simulated_endpoints[position]
         extra_delay_us = self.fleet.network_delay_us(sidecar.recording.zone, simulated_endpoint.model.zone)
         remaining_us = max(1, min(timeout_us or live_request.expires - now, live_request.expires - now))
         outcome, latency_us, in_flight_count = simulated_endpoint.serve(
--- a/woadyard/whatif/simulated_fleet.py
+++ b/woadyard/whatif/simulated_fleet.py
@@ -104,7 +104,7 @@
 
     def __init__(self, model: FleetModel, seed: int, span: tuple[int, int]) -> None:
         self.work_scaling, self.network_delays = model.works, model.away_us
-        self.endpoints = [
+        self.simulated_endpoints = [
             SimulatedEndpoint(endpoint_model, position, seed, span)
             for position, endpoint_model in enumerate(model.endpoints)
         ]
--- a/woadyard/whatif/workload.py
+++ b/woadyard/whatif/workload.py
@@ -41,7 +41,7 @@
     def settings_at(self, at: int) -> Settings:
         return self.settings_changes[max(0, bisect_right(self.settings_times, at) - 1)].settings
 
-    def aim_us(self, request: RecordedRequest) -> int:
+    def request_aim_us(self, request: RecordedRequest) -> int:
         """The latency target of a request: a response within so many µs counts as good."""
         cls = self.settings_at(request.at).classes[request.cls]
         return cls.aim_us + int(cls.aim_stretch * request.work_us)
